--- a/crates/gatekeeper/src/node/event_loop/control.rs
+++ b/crates/gatekeeper/src/node/event_loop/control.rs
@@ -1,8 +1,8 @@
 //! What the control socket and the control address ask.
 
 use super::Gatekeeper;
+use crate::node::components::Room;
 use crate::node::control::Question;
-use crate::node::subjects::Room;
 use hollypaddle_service::figures::Gauges;
 use hollypaddle_service::http::{self as control_http, Call};
 use hollypaddle_service::lifecycle::Phase;
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -1,10 +1,10 @@
 //! Settings and configurations that are read anew.
 
 use super::{Gatekeeper, SOCKET_SLACK};
+use crate::node::components::Room;
 use crate::node::config::{Config, ConfigError, LinkClass};
 use crate::node::resolver;
 use crate::node::servers::Turn;
-use crate::node::subjects::Room;
 use hollypaddle_config::{Conf, Problem};
 use hollypaddle_policy::{ClassSettings, ListKind, Settings};
 use hollypaddle_relay::settings::Set;
--- a/crates/gatekeeper/src/node/event_loop/stopping.rs
+++ b/crates/gatekeeper/src/node/event_loop/stopping.rs
@@ -1,9 +1,9 @@
 //! The run of the program to its end: signals, and what is seen to after SIGTERM.
 
 use super::{repeatable, Gatekeeper, TICK};
+use crate::node::components::Room;
 use crate::node::config::{Config, ConfigError};
 use crate::node::servers::Turn;
-use crate::node::subjects::Room;
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/gatekeeper/src/node/mod.rs
+++ b/crates/gatekeeper/src/node/mod.rs
@@ -3,6 +3,7 @@
 
 mod clients;
 pub mod clock;
+mod components;
 pub mod config;
 pub mod control;
 mod delivery;
@@ -20,7 +21,6 @@
 pub mod resolver;
 mod servers;
 mod steering;
-mod subjects;
 #[cfg(test)]
 mod tests;
 mod tier;
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -20,13 +20,13 @@
 use hollypaddle_replica::record::{ServerKey, Topic};
 use serde_json::{json, Value};
 
+use super::components::{Room, Subject};
 use super::control::Question;
 use super::events::{log_member_event, Lines};
 use super::fleet::new_life;
 use super::hearsay::{Hearsay, Told};
 use super::poller::Ready;
 use super::relays::{most_links, most_links_of_leaf, Links};
-use super::subjects::{Room, Subject};
 
 /// A start waits so long at most for what a relay knows, in seconds, until it says that it is ready.
 const CATCH_UP: f64 = 1.0;
