--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -34,9 +34,9 @@
 const STRAYS: f64 = 100.0;
 const STRAYS_PER_S: f64 = 50.0;
 /// The origin of a call that came before a restart: any connection will do.
-pub const NO_ORIGIN: Origin = 0;
+pub const ANY_ORIGIN: Origin = 0;
 /// The class of a call of an earlier life, which is not known.
-pub const NO_CLASS: usize = usize::MAX;
+pub const UNKNOWN_CLASS: usize = usize::MAX;
 
 /// The connection on which a call came; means something to its front alone.
 pub type Origin = usize;
@@ -69,46 +69,46 @@
 
 /// Why a call was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum OfferError {
     /// A call of that id came earlier, on another connection or to its end.
-    Known,
+    KnownId,
     /// A call of that id came on the same connection and is not over: whatever were said of the second
     /// there would be taken for the first.
-    Repeated,
+    DuplicateId,
     /// Too many calls are held.
-    Crowded,
+    TooManyHeld,
 }
 
-impl fmt::Display for NotTaken {
+impl fmt::Display for OfferError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NotTaken::Known => write!(f, "a call of this id came earlier"),
-            NotTaken::Repeated => write!(f, "a call of this id is open on this connection"),
-            NotTaken::Crowded => write!(f, "too many calls are held"),
+            OfferError::KnownId => write!(f, "a call of this id came earlier"),
+            OfferError::DuplicateId => write!(f, "a call of this id is open on this connection"),
+            OfferError::TooManyHeld => write!(f, "too many calls are held"),
         }
     }
 }
 
-impl std::error::Error for NotTaken {}
+impl std::error::Error for OfferError {}
 
 /// What a caller is told.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
 pub enum Reply {
     /// The call stands.
-    Stands(Option<Vec<u8>>),
+    Established(Option<Vec<u8>>),
     /// Refused: trying again is harmless, after so many seconds.
     Refused(f64),
     /// Failed.
     Failed,
     /// A call that stood is over: ended or cut.
-    Over { cut: bool },
+    Ended { cut: bool },
 }
 
 /// What a server is told.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
-pub enum Order {
+pub enum Command {
     /// A set-up, worth an answer until then.
     SetUp { class: usize, until: f64, content: Rc<Content> },
     /// The set-up is given up.
@@ -121,23 +121,23 @@
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
 pub enum Effect {
-    /// Tell a caller. The class is the call's, for the figures; [`NO_CLASS`] where the call is of an
+    /// Tell a caller. The class is the call's, for the figures; [`UNKNOWN_CLASS`] where the call is of an
     /// earlier life.
-    Caller { origin: Origin, id: u64, class: usize, reply: Reply },
+    Reply { origin: Origin, id: u64, class: usize, reply: Reply },
     /// Tell a server.
-    Server { pool: PoolId, id: u64, order: Order },
+    Command { pool: PoolId, id: u64, command: Command },
     /// Release a call at whichever server it stands.
-    Stray { id: u64 },
+    ReleaseEverywhere { id: u64 },
     /// A server ended a call that is not known here, told only where changes are noted. `earlier` where it may have
     /// stood here before a restart.
-    EndOfUnknown { pool: PoolId, id: u64, cut: bool, earlier: bool },
-    /// A caller released a call that is not known here, told only where changes are noted; `stray` where it may be
+    UnknownCallEnded { pool: PoolId, id: u64, cut: bool, may_predate_start: bool },
+    /// A caller released a call that is not known here, told only where changes are noted; `release_everywhere` where it may be
     /// released at every server.
-    ReleaseOfUnknown { id: u64, stray: bool },
-    /// Call [`Calls::deadline`] then.
-    Deadline { call: CallId, at: f64 },
-    /// Call [`Calls::limit`] then.
-    Limit { call: CallId, attempt: u8, at: f64 },
+    UnknownCallReleased { id: u64, release_everywhere: bool },
+    /// Call [`Calls::deadline_passed`] then.
+    DeadlineTimer { call: CallId, at: f64 },
+    /// Call [`Calls::attempt_timed_out`] then.
+    AttemptTimer { call: CallId, attempt: u8, at: f64 },
 }
 
 /// How a server ended an attempt or a call.
@@ -155,7 +155,7 @@
 
 impl End {
     /// An end of which only the outcome is known.
-    pub fn of(outcome: Outcome) -> Self {
+    pub fn with_outcome(outcome: Outcome) -> Self {
         End { outcome, cause: Cause::Unknown, wait: None, report: Report::default() }
     }
 
@@ -217,11 +217,11 @@
 /// A call that stands, or no longer does, to be told to other gatekeepers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
-pub enum Change {
+pub enum CallChange {
     /// It stands, since then.
-    Stands { id: u64, class: usize, pool: PoolId, since: f64 },
+    Established { id: u64, class: usize, pool: PoolId, since: f64 },
     /// It is over.
-    Over { id: u64 },
+    Ended { id: u64 },
 }
 
 /// A call that stood through another gatekeeper, which is gone: its end is to be seen to here.
@@ -255,7 +255,7 @@
     /// Calls of gatekeepers that are gone, by id.
     adopted: HashMap<u64, Adopted>,
     /// Calls that stand or are over since this was last taken; none are noted unless somebody wants them.
-    changes: Option<Vec<Change>>,
+    changes: Option<Vec<CallChange>>,
     /// What the decision module has yet to be told.
     pub events: Vec<Event>,
     /// What the fronts have yet to do.
@@ -289,24 +289,24 @@
     }
 
     /// Takes how long a call stands on average, in seconds, where that is told.
-    pub fn calls_last(&mut self, hold: Option<f64>) {
+    pub fn set_mean_call_duration(&mut self, hold: Option<f64>) {
         self.earlier_for = hold.map_or(EARLIER, |hold| (EARLIER_HOLDS * hold).max(EARLIER));
     }
 
     /// How many calls of an origin wait for their final answer.
-    pub fn open_from(&self, origin: Origin) -> usize {
+    pub fn open_count(&self, origin: Origin) -> usize {
         self.open.get(&origin).copied().unwrap_or(0)
     }
 
     /// Whether something is still to be told to an origin's caller in this turn.
-    pub fn owes_reply(&self, origin: Origin) -> bool {
-        let owed = |effect: &Effect| matches!(effect, Effect::Caller { origin: to, .. } if *to == origin);
+    pub fn has_pending_reply(&self, origin: Origin) -> bool {
+        let owed = |effect: &Effect| matches!(effect, Effect::Reply { origin: to, .. } if *to == origin);
         self.effects.iter().any(owed)
     }
 
     /// Ids of the calls of an origin that wait for their final answer.
-    pub fn ids_from(&self, origin: Origin) -> Vec<u64> {
-        if self.open_from(origin) == 0 {
+    pub fn open_ids(&self, origin: Origin) -> Vec<u64> {
+        if self.open_count(origin) == 0 {
             return Vec::new();
         }
         let open = |c: &&Call| c.origin == origin && !matches!(c.state, State::Standing { .. });
@@ -322,12 +322,12 @@
     }
 
     /// How many calls of an origin stand.
-    pub fn standing_from(&self, origin: Origin) -> usize {
+    pub fn standing_count(&self, origin: Origin) -> usize {
         self.standing.get(&origin).copied().unwrap_or(0)
     }
 
     /// Whether a call stands, here or in place of another gatekeeper, whose origin is none of these.
-    pub fn stands_elsewhere(&self, here: impl Fn(Origin) -> bool) -> bool {
+    pub fn has_standing_call_outside(&self, here: impl Fn(Origin) -> bool) -> bool {
         !self.adopted.is_empty() || self.standing.keys().any(|origin| !here(*origin))
     }
 
@@ -338,16 +338,16 @@
     }
 
     /// Takes a call from a caller.
-    pub fn offer(&mut self, now: f64, origin: Origin, request: Request) -> Result<(), NotTaken> {
+    pub fn offer(&mut self, now: f64, origin: Origin, request: Request) -> Result<(), OfferError> {
         let Request { id, class, wait, dialled, first_choice, content } = request;
         // An id is taken once: the servers and the caller tell calls apart by it alone.
         match self.ids.get(&id).and_then(|call| self.calls.get(call)) {
-            Some(first) if first.origin == origin => return Err(NotTaken::Repeated),
-            _ if self.is_known(id) => return Err(NotTaken::Known),
+            Some(first) if first.origin == origin => return Err(OfferError::DuplicateId),
+            _ if self.is_known(id) => return Err(OfferError::KnownId),
             _ => {}
         }
         if self.held_bytes > self.most_held {
-            return Err(NotTaken::Crowded);
+            return Err(OfferError::TooManyHeld);
         }
         self.next = self.next.wrapping_add(1);
         let wait = wait - AHEAD.min(AHEAD_SHARE * wait);
@@ -360,7 +360,7 @@
         self.calls.insert(call, new);
         self.ids.insert(id, call);
         self.remember(id);
-        self.effects.push(Effect::Deadline { call, at: deadline });
+        self.effects.push(Effect::DeadlineTimer { call, at: deadline });
         self.events.push(Event::Call { call, class, tenant: 0, time_left: wait, dialled, first_choice });
         Ok(())
     }
@@ -385,26 +385,26 @@
         self.ids.remove(&gone.id);
         if matches!(gone.state, State::Standing { .. }) {
             less(&mut self.standing, gone.origin);
-            self.note(Change::Over { id: gone.id });
+            self.note(CallChange::Ended { id: gone.id });
         } else {
             self.settled(gone.origin, gone.bytes());
         }
         Some(gone)
     }
 
-    fn order(&mut self, pool: PoolId, id: u64, order: Order) {
-        self.effects.push(Effect::Server { pool, id, order });
+    fn push_command(&mut self, pool: PoolId, id: u64, command: Command) {
+        self.effects.push(Effect::Command { pool, id, command });
     }
 
     // ---- What other gatekeepers are told, and what is seen to in their place
 
     /// Notes the calls that stand and that are over from now on, or stops it. Those that stand now are noted.
-    pub fn note_changes(&mut self, on: bool) {
+    pub fn record_changes(&mut self, on: bool) {
         self.changes = on.then(Vec::new);
-        let standing: Vec<Change> = (self.calls.values())
+        let standing: Vec<CallChange> = (self.calls.values())
             .filter_map(|c| match c.state {
                 State::Standing { pool, since } => {
-                    Some(Change::Stands { id: c.id, class: c.class, pool, since })
+                    Some(CallChange::Established { id: c.id, class: c.class, pool, since })
                 }
                 _ => None,
             })
@@ -415,14 +415,14 @@
         }
     }
 
-    fn note(&mut self, change: Change) {
+    fn note(&mut self, change: CallChange) {
         if let Some(changes) = &mut self.changes {
             changes.push(change);
         }
     }
 
     /// What was noted since this was last asked.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<CallChange> {
         self.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
@@ -435,7 +435,7 @@
     }
 
     /// Leaves a call to another gatekeeper again; or it is over, and its caller knows.
-    pub fn yield_call(&mut self, id: u64) {
+    pub fn drop_adopted(&mut self, id: u64) {
         self.adopted.remove(&id);
     }
 
@@ -448,37 +448,37 @@
         let Some(call) = self.ids.get(&id).copied() else { return };
         if let Some(pool) = self.calls.get(&call).and_then(standing) {
             if let Some(gone) = self.remove(call) {
-                self.events.push(gone.ended(call, pool, true, End::of(Outcome::Done)));
+                self.events.push(gone.ended(call, pool, true, End::with_outcome(Outcome::Done)));
             }
         }
     }
 
     /// Calls that are seen to in place of other gatekeepers.
-    pub fn adopted(&self) -> usize {
+    pub fn adopted_count(&self) -> usize {
         self.adopted.len()
     }
 
     /// A caller released a call that stands through another gatekeeper.
     pub fn released_elsewhere(&mut self, id: u64) {
-        self.note(Change::Over { id });
+        self.note(CallChange::Ended { id });
     }
 
     /// Tells a caller the end of a call that is not known here.
-    pub fn tell_end(&mut self, id: u64, cut: bool) {
+    pub fn report_end(&mut self, id: u64, cut: bool) {
         self.adopted.remove(&id);
-        self.note(Change::Over { id });
-        let reply = Reply::Over { cut };
-        self.effects.push(Effect::Caller { origin: NO_ORIGIN, id, class: NO_CLASS, reply });
+        self.note(CallChange::Ended { id });
+        let reply = Reply::Ended { cut };
+        self.effects.push(Effect::Reply { origin: ANY_ORIGIN, id, class: UNKNOWN_CLASS, reply });
     }
 
     // ---- What the decision module asks for
 
     /// Starts an attempt.
-    pub fn send(&mut self, now: f64, call: CallId, pool: PoolId, limit: f64) {
+    pub fn start_attempt(&mut self, now: f64, call: CallId, pool: PoolId, limit: f64) {
         let Some(c) = self.calls.get_mut(&call) else {
             // Its caller went while the module decided. The module counts this attempt as out until it is
             // told of its end, and a set-up out for ever makes a pool look as if it had stopped.
-            let end = End::of(Outcome::Moot);
+            let end = End::with_outcome(Outcome::Moot);
             return self.events.push(end.event(call, pool, 0, true));
         };
         if !matches!(c.state, State::Held) {
@@ -489,25 +489,25 @@
         // A limit of 0 is until the caller's deadline, whose timer runs already.
         let until = if limit > 0.0 { c.deadline.min(now + limit) } else { c.deadline };
         if now >= until {
-            self.events.push(c.ended(call, pool, false, End::of(Outcome::Moot)));
+            self.events.push(c.ended(call, pool, false, End::with_outcome(Outcome::Moot)));
             return;
         }
         c.state = State::Out(Attempt { pool, sent_at: now, leaving: None });
         c.tried.push(pool);
         let (id, class, content) = (c.id, c.class, Rc::clone(&c.content));
         if until < c.deadline {
-            self.effects.push(Effect::Limit { call, attempt, at: until });
+            self.effects.push(Effect::AttemptTimer { call, attempt, at: until });
         }
-        self.order(pool, id, Order::SetUp { class, until, content });
+        self.push_command(pool, id, Command::SetUp { class, until, content });
     }
 
-    /// Gives an attempt up. It has ended once the give-up is written, see [`Calls::gave_up`].
+    /// Gives an attempt up. It has ended once the give-up is written, see [`Calls::give_up_written`].
     pub fn cancel(&mut self, call: CallId, attempt: u8) {
         self.leave(call, attempt, Outcome::Cancelled);
     }
 
     /// An attempt's own time limit has passed.
-    pub fn limit(&mut self, call: CallId, attempt: u8) {
+    pub fn attempt_timed_out(&mut self, call: CallId, attempt: u8) {
         self.leave(call, attempt, Outcome::Timeout);
     }
 
@@ -517,7 +517,7 @@
             if c.attempts == attempt.saturating_add(1) {
                 *leaving = Some(outcome);
                 let (pool, id) = (*pool, c.id);
-                self.order(pool, id, Order::GiveUp);
+                self.push_command(pool, id, Command::GiveUp);
             }
         }
     }
@@ -539,7 +539,7 @@
         }
         let Some(gone) = self.remove(call) else { return };
         self.forsake(call, &gone);
-        self.effects.push(Effect::Caller { origin: gone.origin, id: gone.id, class: gone.class, reply });
+        self.effects.push(Effect::Reply { origin: gone.origin, id: gone.id, class: gone.class, reply });
     }
 
     /// Gives up the attempt of a call that is over, unless its give-up is on its way already. The module
@@ -547,9 +547,9 @@
     fn forsake(&mut self, call: CallId, gone: &Call) {
         if let State::Out(Attempt { pool, leaving, .. }) = gone.state {
             if leaving.is_none() {
-                self.order(pool, gone.id, Order::GiveUp);
+                self.push_command(pool, gone.id, Command::GiveUp);
             }
-            let end = End::of(leaving.unwrap_or(Outcome::Cancelled));
+            let end = End::with_outcome(leaving.unwrap_or(Outcome::Cancelled));
             self.events.push(gone.ended(call, pool, true, end));
         }
     }
@@ -558,15 +558,15 @@
 
     /// The caller's deadline has passed. The module is owed the time-out of an open attempt and answers
     /// it in the slack; a call that it still holds after that is failed here.
-    pub fn deadline(&mut self, now: f64, call: CallId) {
+    pub fn deadline_passed(&mut self, now: f64, call: CallId) {
         let Some(c) = self.calls.get_mut(&call) else { return };
         match std::mem::replace(&mut c.state, State::Held) {
             State::Out(Attempt { pool, leaving, .. }) => {
                 let id = c.id;
-                self.events.push(c.ended(call, pool, false, End::of(Outcome::Timeout)));
-                self.effects.push(Effect::Deadline { call, at: now + SLACK });
+                self.events.push(c.ended(call, pool, false, End::with_outcome(Outcome::Timeout)));
+                self.effects.push(Effect::DeadlineTimer { call, at: now + SLACK });
                 if leaving.is_none() {
-                    self.order(pool, id, Order::GiveUp);
+                    self.push_command(pool, id, Command::GiveUp);
                 }
             }
             State::Held => {
@@ -584,7 +584,7 @@
     }
 
     /// Answers the calls of an origin that have no final answer in the same way, as its connection is to be closed.
-    pub fn answer_from(&mut self, origin: Origin, repeatable: impl Fn(usize) -> bool, stay_away: f64) {
+    pub fn answer_origin(&mut self, origin: Origin, repeatable: impl Fn(usize) -> bool, stay_away: f64) {
         self.answer_now(|from| from == origin, repeatable, stay_away);
     }
 
@@ -619,8 +619,8 @@
         all.sort_unstable();
         for &(call, pool, id) in &all {
             // The server is not to blame.
-            self.over(call, pool, End::of(Outcome::Cancelled));
-            self.order(pool, id, Order::Release);
+            self.over(call, pool, End::with_outcome(Outcome::Cancelled));
+            self.push_command(pool, id, Command::Release);
         }
         all.len()
     }
@@ -631,23 +631,23 @@
     pub fn caller_release(&mut self, now: f64, id: u64) {
         let Some(call) = self.ids.get(&id).copied() else {
             if let Some(adopted) = self.adopted.remove(&id) {
-                self.note(Change::Over { id });
-                return self.order(adopted.pool, id, Order::Release);
+                self.note(CallChange::Ended { id });
+                return self.push_command(adopted.pool, id, Command::Release);
             }
             // It may have stood through this gatekeeper before a restart, which knows not where.
-            let mut stray = false;
-            if self.earlier(now, id) {
+            let mut release_everywhere = false;
+            if self.may_predate_start(now, id) {
                 let (left, at) = self.strays;
                 let left = (left + (now - at) * STRAYS_PER_S).min(STRAYS);
                 self.strays = (left, now);
                 if left >= 1.0 {
                     self.strays.0 -= 1.0;
-                    stray = true;
+                    release_everywhere = true;
                 }
             }
             match self.changes.is_some() {
-                true => self.effects.push(Effect::ReleaseOfUnknown { id, stray }),
-                false if stray => self.effects.push(Effect::Stray { id }),
+                true => self.effects.push(Effect::UnknownCallReleased { id, release_everywhere }),
+                false if release_everywhere => self.effects.push(Effect::ReleaseEverywhere { id }),
                 false => {}
             }
             return;
@@ -658,7 +658,7 @@
         let untold = |e: &Event| matches!(e, Event::Call { call: new, .. } if *new == call);
         if let Some(at) = self.events.iter().rposition(untold) {
             self.events.remove(at);
-            let timer = |e: &Effect| matches!(e, Effect::Deadline { call: new, .. } if *new == call);
+            let timer = |e: &Effect| matches!(e, Effect::DeadlineTimer { call: new, .. } if *new == call);
             if let Some(at) = self.effects.iter().rposition(timer) {
                 self.effects.remove(at);
             }
@@ -666,8 +666,8 @@
         }
         match gone.state {
             State::Standing { pool, .. } => {
-                self.order(pool, id, Order::Release);
-                self.events.push(gone.ended(call, pool, true, End::of(Outcome::Cancelled)));
+                self.push_command(pool, id, Command::Release);
+                self.events.push(gone.ended(call, pool, true, End::with_outcome(Outcome::Cancelled)));
             }
             State::Out(_) | State::Held => {
                 self.events.push(Event::Abandoned { call });
@@ -678,26 +678,26 @@
 
     /// A caller's connection is gone: its open set-ups are given up. What stands belongs to no connection.
     pub fn origin_lost(&mut self, now: f64, origin: Origin) {
-        for id in self.ids_from(origin) {
+        for id in self.open_ids(origin) {
             self.caller_release(now, id);
         }
     }
 
     /// Whether an id may be of a call that stood through this gatekeeper before it started.
-    fn earlier(&self, now: f64, id: u64) -> bool {
+    fn may_predate_start(&self, now: f64, id: u64) -> bool {
         now - self.started < self.earlier_for && !self.offered.contains(&id)
     }
 
     // ---- What servers say
 
     /// A server answered: the call stands there.
-    pub fn stood(&mut self, now: f64, pool: PoolId, id: u64, description: Option<Vec<u8>>) {
+    pub fn established(&mut self, now: f64, pool: PoolId, id: u64, description: Option<Vec<u8>>) {
         let known = self.ids.get(&id).copied();
         if let Some((call, c)) = known.and_then(|call| Some((call, self.calls.get_mut(&call)?))) {
             match c.state {
                 State::Out(Attempt { pool: at, sent_at, leaving: None }) if at == pool => {
                     let (origin, bytes, class) = (c.origin, c.bytes(), c.class);
-                    let change = Change::Stands { id, class, pool, since: now };
+                    let change = CallChange::Established { id, class, pool, since: now };
                     c.content = Rc::default();
                     c.state = State::Standing { pool, since: now };
                     let attempt = c.attempts.saturating_sub(1);
@@ -705,8 +705,8 @@
                     self.settled(origin, bytes);
                     *self.standing.entry(origin).or_default() += 1;
                     self.note(change);
-                    let reply = Reply::Stands(description);
-                    self.effects.push(Effect::Caller { origin, id, class, reply });
+                    let reply = Reply::Established(description);
+                    self.effects.push(Effect::Reply { origin, id, class, reply });
                     return;
                 }
                 // A second copy.
@@ -720,7 +720,7 @@
             return;
         }
         // The answer crossed the give-up: nobody waits for this call, and it must not stand on.
-        self.order(pool, id, Order::Release);
+        self.push_command(pool, id, Command::Release);
     }
 
     /// A server ended an attempt, or a call that stood.
@@ -745,19 +745,19 @@
             (matches!(end.outcome, Outcome::Done | Outcome::Reset), end.outcome != Outcome::Done);
         // Set-ups of an earlier life were given up with its connections, so this ends a call that stood
         // then. Ends of calls of this life that crossed their give-up are no news to anyone.
-        let earlier = self.earlier(now, id);
+        let may_predate_start = self.may_predate_start(now, id);
         if self.adopted.get(&id).is_some_and(|a| a.pool == pool) {
-            self.tell_end(id, cut);
+            self.report_end(id, cut);
         } else if self.changes.is_some() {
             if over && known.is_none() && !self.offered.contains(&id) {
-                self.effects.push(Effect::EndOfUnknown { pool, id, cut, earlier });
+                self.effects.push(Effect::UnknownCallEnded { pool, id, cut, may_predate_start });
             }
-        } else if earlier && over {
+        } else if may_predate_start && over {
             // A server says an end again on the next connection that is opened. Guards against a second word to a caller
             // whose call was answered by nobody before the restart: it would take it for a second answer.
             self.remember(id);
-            let reply = Reply::Over { cut };
-            self.effects.push(Effect::Caller { origin: NO_ORIGIN, id, class: NO_CLASS, reply });
+            let reply = Reply::Ended { cut };
+            self.effects.push(Effect::Reply { origin: ANY_ORIGIN, id, class: UNKNOWN_CLASS, reply });
         }
         self.events.push(Event::Load { pool, report: end.report });
     }
@@ -765,22 +765,22 @@
     fn over(&mut self, call: CallId, pool: PoolId, end: End) {
         let Some(gone) = self.remove(call) else { return };
         self.events.push(gone.ended(call, pool, true, end));
-        let reply = Reply::Over { cut: end.outcome != Outcome::Done };
-        self.effects.push(Effect::Caller { origin: gone.origin, id: gone.id, class: gone.class, reply });
+        let reply = Reply::Ended { cut: end.outcome != Outcome::Done };
+        self.effects.push(Effect::Reply { origin: gone.origin, id: gone.id, class: gone.class, reply });
     }
 
     /// The give-up of an attempt is written, or was not needed.
-    pub fn gave_up(&mut self, pool: PoolId, id: u64) {
+    pub fn give_up_written(&mut self, pool: PoolId, id: u64) {
         self.attempt_over(pool, id, None);
     }
 
     /// An attempt never left: no connection came up.
-    pub fn never_ran(&mut self, pool: PoolId, id: u64) {
+    pub fn attempt_not_sent(&mut self, pool: PoolId, id: u64) {
         self.attempt_over(pool, id, Some(Outcome::ConnectFailed));
     }
 
     /// The connection of an attempt broke.
-    pub fn reset(&mut self, pool: PoolId, id: u64) {
+    pub fn attempt_reset(&mut self, pool: PoolId, id: u64) {
         self.attempt_over(pool, id, Some(Outcome::Reset));
     }
 
@@ -790,22 +790,22 @@
         if let State::Out(Attempt { pool: at, leaving, .. }) = c.state {
             if let (true, Some(outcome)) = (at == pool, leaving.or(outcome)) {
                 c.state = State::Held;
-                self.events.push(c.ended(call, pool, false, End::of(outcome)));
+                self.events.push(c.ended(call, pool, false, End::with_outcome(outcome)));
             }
         }
     }
 
     /// The calls that stood at a pool before then were cut, by a server that could not say so. With
     /// `tell` it is told when it can be reached: it may only have been cut off, and hold them still.
-    pub fn cut(&mut self, pool: PoolId, before: f64, tell: bool) -> usize {
+    pub fn cut_calls_at(&mut self, pool: PoolId, before: f64, tell: bool) -> usize {
         let cut = |c: &&Call| matches!(c.state, State::Standing { pool: at, since } if at == pool && since < before);
         let mut ids: Vec<u64> = self.calls.values().filter(cut).map(|c| c.id).collect();
         ids.sort_unstable();
         for &id in &ids {
             if let Some(call) = self.ids.get(&id).copied() {
-                self.over(call, pool, End::of(Outcome::Reset));
+                self.over(call, pool, End::with_outcome(Outcome::Reset));
                 if tell {
-                    self.order(pool, id, Order::Release);
+                    self.push_command(pool, id, Command::Release);
                 }
             }
         }
@@ -813,16 +813,16 @@
         let mut adopted: Vec<u64> = self.adopted.iter().filter(cut).map(|(id, _)| *id).collect();
         adopted.sort_unstable();
         for &id in &adopted {
-            self.tell_end(id, true);
+            self.report_end(id, true);
             if tell {
-                self.order(pool, id, Order::Release);
+                self.push_command(pool, id, Command::Release);
             }
         }
         ids.len() + adopted.len()
     }
 
     /// Whether a call that came here stands.
-    pub fn stands(&self, id: u64) -> bool {
+    pub fn is_standing(&self, id: u64) -> bool {
         let call = self.ids.get(&id).and_then(|call| self.calls.get(call));
         call.is_some_and(|c| matches!(c.state, State::Standing { .. }))
     }
@@ -843,7 +843,7 @@
     }
 
     /// Whether any call stands at a pool, or waits for an answer from it.
-    pub fn any_at(&self, pool: PoolId) -> bool {
+    pub fn has_calls_at(&self, pool: PoolId) -> bool {
         self.calls.values().any(|c| match c.state {
             State::Held => false,
             State::Out(Attempt { pool: at, .. }) | State::Standing { pool: at, .. } => at == pool,
@@ -851,7 +851,7 @@
     }
 
     /// News of a pool's load that belongs to no call.
-    pub fn load(&mut self, pool: PoolId, report: Report) {
+    pub fn load_reported(&mut self, pool: PoolId, report: Report) {
         self.events.push(Event::Load { pool, report });
     }
 }
--- a/crates/core/src/calls/tests.rs
+++ b/crates/core/src/calls/tests.rs
@@ -29,42 +29,44 @@
     fn settle(&mut self) {
         for effect in std::mem::take(&mut self.calls.effects) {
             match effect {
-                Effect::Caller { id, reply, .. } => {
+                Effect::Reply { id, reply, .. } => {
                     let m = self.models.get_mut(&id).expect("a reply to a call never offered");
                     assert!(!m.abandoned && !m.over, "a reply to a caller that waits for none");
                     match reply {
-                        Reply::Over { .. } => {
+                        Reply::Ended { .. } => {
                             assert!(m.answered, "over before it stood");
                             (m.over, m.standing) = (true, None);
                         }
                         reply => {
                             assert!(!m.answered, "a second final answer");
                             m.answered = true;
-                            m.over = !matches!(reply, Reply::Stands(_));
+                            m.over = !matches!(reply, Reply::Established(_));
                         }
                     }
                 }
-                Effect::Server { pool, id, order } => {
+                Effect::Command { pool, id, command } => {
                     let Some(m) = self.models.get_mut(&id) else {
-                        assert_eq!(order, Order::Release, "an order for a call never offered");
+                        assert_eq!(command, Command::Release, "an order for a call never offered");
                         continue;
                     };
-                    match order {
-                        Order::SetUp { until, .. } => {
+                    match command {
+                        Command::SetUp { until, .. } => {
                             assert!(until > self.now && m.out.is_none() && m.standing.is_none());
                             assert!(!m.answered && !m.abandoned, "sent after its final answer");
                             m.out = Some(pool);
                             m.tried.insert(pool);
                             m.attempts += 1;
                         }
-                        Order::GiveUp => assert_eq!(m.out.take(), Some(pool), "nothing to give up"),
-                        Order::Release => m.standing = m.standing.filter(|at| *at != pool),
+                        Command::GiveUp => assert_eq!(m.out.take(), Some(pool), "nothing to give up"),
+                        Command::Release => m.standing = m.standing.filter(|at| *at != pool),
                     }
                 }
-                Effect::Stray { .. } | Effect::EndOfUnknown { .. } | Effect::ReleaseOfUnknown { .. } => {
+                Effect::ReleaseEverywhere { .. }
+                | Effect::UnknownCallEnded { .. }
+                | Effect::UnknownCallReleased { .. } => {
                     panic!("every call of this test was offered")
                 }
-                Effect::Deadline { .. } | Effect::Limit { .. } => {}
+                Effect::DeadlineTimer { .. } | Effect::AttemptTimer { .. } => {}
             }
         }
         for event in std::mem::take(&mut self.calls.events) {
@@ -81,10 +83,10 @@
             m.out = None;
         }
         match how {
-            0 => self.calls.never_ran(pool, id),
-            1 => self.calls.reset(pool, id),
-            2 => self.calls.ended(self.now, pool, id, End::of(Outcome::Full)),
-            _ => self.calls.ended(self.now, pool, id, End::of(Outcome::Done)),
+            0 => self.calls.attempt_not_sent(pool, id),
+            1 => self.calls.attempt_reset(pool, id),
+            2 => self.calls.ended(self.now, pool, id, End::with_outcome(Outcome::Full)),
+            _ => self.calls.ended(self.now, pool, id, End::with_outcome(Outcome::Done)),
         }
     }
 
@@ -95,18 +97,18 @@
         match what {
             0 | 1 => {
                 let gone = !self.calls.calls.contains_key(&call);
-                self.calls.send(self.now, call, pool, if what == 0 { 0.0 } else { 1.0 });
+                self.calls.start_attempt(self.now, call, pool, if what == 0 { 0.0 } else { 1.0 });
                 if gone {
-                    let end = End::of(Outcome::Moot).event(call, pool, 0, true);
+                    let end = End::with_outcome(Outcome::Moot).event(call, pool, 0, true);
                     assert_eq!(self.calls.events, [end], "the module counts what it sent");
                     self.calls.events.clear();
                 }
             }
             2 => self.calls.cancel(call, m.attempts.saturating_sub(1)),
-            3 => self.calls.limit(call, m.attempts.saturating_sub(1)),
+            3 => self.calls.attempt_timed_out(call, m.attempts.saturating_sub(1)),
             4 => self.calls.refuse(call, 0.5),
             5 => self.calls.fail(call),
-            6 => self.calls.deadline(self.now, call),
+            6 => self.calls.deadline_passed(self.now, call),
             7 => {
                 m.abandoned = true;
                 self.calls.caller_release(self.now, id);
@@ -125,13 +127,13 @@
                 }
                 let gone = !self.calls.calls.contains_key(&call);
                 let crossed = m.standing != Some(pool) && (gone || m.tried.contains(&pool));
-                self.calls.stood(self.now, pool, id, None);
-                let release = Effect::Server { pool, id, order: Order::Release };
+                self.calls.established(self.now, pool, id, None);
+                let release = Effect::Command { pool, id, command: Command::Release };
                 assert_eq!(self.calls.effects.contains(&release), crossed, "an answer that crossed");
             }
             12..=15 => self.end_attempt(id, pool, what - 12),
-            16 => self.calls.gave_up(pool, id),
-            _ => drop(self.calls.cut(pool, self.now, what == 17)),
+            16 => self.calls.give_up_written(pool, id),
+            _ => drop(self.calls.cut_calls_at(pool, self.now, what == 17)),
         }
     }
 }
@@ -139,28 +141,28 @@
 #[test]
 fn what_stood_before_a_restart_is_ended_for_both_sides() {
     let mut calls = Calls::new(0.0, 0);
-    calls.ended(1.0, PoolId(1), 7, End::of(Outcome::Done));
-    let reply = Reply::Over { cut: false };
-    assert_eq!(calls.effects, [Effect::Caller { origin: NO_ORIGIN, id: 7, class: NO_CLASS, reply }]);
+    calls.ended(1.0, PoolId(1), 7, End::with_outcome(Outcome::Done));
+    let reply = Reply::Ended { cut: false };
+    assert_eq!(calls.effects, [Effect::Reply { origin: ANY_ORIGIN, id: 7, class: UNKNOWN_CLASS, reply }]);
     calls.effects.clear();
-    calls.ended(1.5, PoolId(1), 7, End::of(Outcome::Done));
+    calls.ended(1.5, PoolId(1), 7, End::with_outcome(Outcome::Done));
     assert_eq!(calls.effects, [], "once, though the server says it again");
     calls.caller_release(1.0, 8);
-    assert_eq!(calls.effects, [Effect::Stray { id: 8 }]);
+    assert_eq!(calls.effects, [Effect::ReleaseEverywhere { id: 8 }]);
     calls.effects.clear();
     // A refusal belongs to no call that stood.
-    calls.ended(1.0, PoolId(1), 9, End::of(Outcome::Full));
+    calls.ended(1.0, PoolId(1), 9, End::with_outcome(Outcome::Full));
     assert_eq!(calls.effects, []);
     // Made-up ids are not multiplied by the servers without end, nor believed for ever.
     (100..1100).for_each(|id| calls.caller_release(1.0, id));
     assert_eq!(calls.effects.len(), STRAYS as usize - 1);
     calls.caller_release(EARLIER, 9);
-    calls.ended(EARLIER, PoolId(1), 9, End::of(Outcome::Done));
+    calls.ended(EARLIER, PoolId(1), 9, End::with_outcome(Outcome::Done));
     assert_eq!(calls.effects.len(), STRAYS as usize - 1);
     // Where calls stand for minutes, one from before the start may stand for as long.
     calls.effects.clear();
-    calls.calls_last(Some(60.0));
-    calls.ended(EARLIER + 1.0, PoolId(1), 10, End::of(Outcome::Done));
+    calls.set_mean_call_duration(Some(60.0));
+    calls.ended(EARLIER + 1.0, PoolId(1), 10, End::with_outcome(Outcome::Done));
     assert_eq!(calls.effects.len(), 1);
 }
 
@@ -176,8 +178,8 @@
     calls.offer(0.0, 1, request(1)).unwrap();
     calls.caller_release(0.0, 1);
     assert!(calls.events.is_empty() && calls.effects.is_empty() && calls.held_bytes == 0);
-    calls.send(0.0, 1, PoolId(1), 0.0);
-    assert_eq!(calls.events, [End::of(Outcome::Moot).event(1, PoolId(1), 0, true)]);
+    calls.start_attempt(0.0, 1, PoolId(1), 0.0);
+    assert_eq!(calls.events, [End::with_outcome(Outcome::Moot).event(1, PoolId(1), 0, true)]);
 }
 
 /// Guards against two calls that servers and callers could not tell apart, and against a set-up sent
@@ -186,18 +188,18 @@
 fn an_id_is_taken_once() {
     let mut calls = Calls::new(0.0, 1 << 20);
     calls.offer(0.0, 1, request(7)).unwrap();
-    assert_eq!(calls.offer(0.0, 1, request(7)), Err(NotTaken::Repeated));
-    assert_eq!(calls.offer(0.0, 2, request(7)), Err(NotTaken::Known));
-    assert_eq!((calls.open_from(1), calls.open_from(2)), (1, 0));
+    assert_eq!(calls.offer(0.0, 1, request(7)), Err(OfferError::DuplicateId));
+    assert_eq!(calls.offer(0.0, 2, request(7)), Err(OfferError::KnownId));
+    assert_eq!((calls.open_count(1), calls.open_count(2)), (1, 0));
     calls.refuse(1, 0.0);
-    assert_eq!(calls.offer(0.0, 1, request(7)), Err(NotTaken::Known));
+    assert_eq!(calls.offer(0.0, 1, request(7)), Err(OfferError::KnownId));
     // Answers ahead are neither passed on nor remembered, nor is anything released for them.
     calls.effects.clear();
-    calls.stood(0.0, PoolId(1), 8, None);
+    calls.established(0.0, PoolId(1), 8, None);
     assert_eq!((calls.effects.len(), calls.offer(0.0, 1, request(8))), (0, Ok(())));
-    calls.send(0.0, 2, PoolId(1), 0.0);
+    calls.start_attempt(0.0, 2, PoolId(1), 0.0);
     calls.effects.clear();
-    calls.stood(0.0, PoolId(2), 8, None);
+    calls.established(0.0, PoolId(2), 8, None);
     assert_eq!(calls.effects, []);
 }
 
@@ -220,7 +222,7 @@
         }
         // Past the deadline every call gets its answer, whatever the module does.
         for id in (1..8).chain(1..8) {
-            bench.calls.deadline(40.0, id as CallId);
+            bench.calls.deadline_passed(40.0, id as CallId);
             bench.settle();
         }
         let open: BTreeSet<u64> =
--- a/crates/core/src/wheel.rs
+++ b/crates/core/src/wheel.rs
@@ -4,22 +4,22 @@
 const SLOTS: usize = 512;
 
 /// Timers by tick. A timer cannot be taken back: its owner passes over the ones it no longer wants.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(u64, T)>>,
     tick: f64,
     /// All ticks up to here have been handed out.
     done: u64,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel with ticks of so many seconds, starting now.
     pub fn new(now: f64, tick: f64) -> Self {
         let slots = (0..SLOTS).map(|_| Vec::new()).collect();
-        Wheel { slots, tick, done: (now / tick) as u64 }
+        TimerWheel { slots, tick, done: (now / tick) as u64 }
     }
 
     /// Sets a timer: due at the first tick at or after `at`, never in the tick that is handed out now.
-    pub fn set(&mut self, at: f64, timer: T) {
+    pub fn schedule(&mut self, at: f64, timer: T) {
         let due = ((at / self.tick).ceil().max(0.0) as u64).max(self.done + 1);
         self.slots[(due % SLOTS as u64) as usize].push((due, timer));
     }
@@ -43,7 +43,7 @@
     }
 
     /// Seconds from `now` until the next timer can come due; none if the wheel is empty.
-    pub fn next_in(&self, now: f64) -> Option<f64> {
+    pub fn time_to_next(&self, now: f64) -> Option<f64> {
         let next = self.slots.iter().flatten().map(|(at, _)| *at).min()?;
         Some((next as f64 * self.tick - now).max(0.0))
     }
@@ -51,7 +51,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Wheel;
+    use super::TimerWheel;
     use proptest::prelude::*;
 
     proptest! {
@@ -60,9 +60,9 @@
         fn timers_come_due_in_order_and_on_time(
             steps in prop::collection::vec((0.0..4000.0f64, 0.0..900.0f64), 1..60),
         ) {
-            let (mut wheel, mut now, mut model) = (Wheel::new(0.0, 0.5), 0.0, Vec::new());
+            let (mut wheel, mut now, mut model) = (TimerWheel::new(0.0, 0.5), 0.0, Vec::new());
             for (n, (after, pass)) in steps.into_iter().enumerate() {
-                wheel.set(now + after, n);
+                wheel.schedule(now + after, n);
                 model.push((now + after, n));
                 now += pass;
                 let due = wheel.advance(now);
@@ -74,7 +74,7 @@
                 // A timer set for the running tick waits for the next one.
                 prop_assert!(model.iter().all(|m| m.0 > now - 0.5 || pass < 0.5), "a timer is overdue");
                 let next = model.iter().map(|m| m.0).fold(f64::MAX, f64::min);
-                prop_assert!(wheel.next_in(now).map_or(next == f64::MAX, |wait| now + wait <= next.max(now) + 0.5));
+                prop_assert!(wheel.time_to_next(now).map_or(next == f64::MAX, |wait| now + wait <= next.max(now) + 0.5));
             }
         }
     }
--- a/crates/drive/src/lib.rs
+++ b/crates/drive/src/lib.rs
@@ -56,8 +56,8 @@
         let mut nodes = Vec::new();
         let listen = free_addresses(world.plan.fronts.len())?;
         for (front, listen) in listen.iter().enumerate() {
-            let config = Config::read(format!("n{front}"), &listen.to_string(), &world.config(front)?)?;
-            nodes.push(Some(Gatekeeper::on_clock(config.with_own(conf)?, Clock::still(BEGIN))?));
+            let config = Config::parse(format!("n{front}"), &listen.to_string(), &world.config(front)?)?;
+            nodes.push(Some(Gatekeeper::with_clock(config.with_own_file(conf)?, Clock::manual(BEGIN))?));
         }
         let addresses: Vec<_> = nodes.iter().flatten().map(Gatekeeper::address).collect();
         world.connect(&addresses);
@@ -111,7 +111,7 @@
         if let Some(plain) = self.plain.get_mut(front) {
             return Ok(plain.start()?);
         }
-        let node = Gatekeeper::on_clock(self.config(front)?, Clock::still(self.now))?;
+        let node = Gatekeeper::with_clock(self.config(front)?, Clock::manual(self.now))?;
         self.nodes[front] = Some(node);
         Ok(())
     }
@@ -120,7 +120,7 @@
     pub fn config(&self, front: usize) -> Result<Config, ConfigError> {
         let listen = self.addresses[front].to_string();
         let text = self.world.config(front).map_err(|e| ConfigError::File(self.conf.clone(), e))?;
-        Config::read(format!("n{front}"), &listen, &text)?.with_own(&self.conf)
+        Config::parse(format!("n{front}"), &listen, &text)?.with_own_file(&self.conf)
     }
 
     /// Lets a gatekeeper read its configuration anew, as SIGHUP does.
@@ -166,8 +166,8 @@
         self.world.turn(self.now);
         let begun = Instant::now();
         for node in self.nodes.iter_mut().flatten() {
-            node.skip(seconds);
-            node.turn()?;
+            node.advance_clock(seconds);
+            node.run_once()?;
         }
         self.took += begun.elapsed().as_secs_f64();
         self.plain.iter_mut().for_each(|front| front.turn(&self.world));
--- a/crates/drive/tests/fleet.rs
+++ b/crates/drive/tests/fleet.rs
@@ -326,7 +326,7 @@
         let paused = t.fleet.nodes[0].take();
         t.pass(5.0);
         let mut paused = paused.unwrap();
-        paused.skip(5.0);
+        paused.advance_clock(5.0);
         t.fleet.nodes[0] = Some(paused);
     };
     // Its list cannot tell it what changed meanwhile.
--- a/crates/gatekeeper/src/ctl.rs
+++ b/crates/gatekeeper/src/ctl.rs
@@ -9,7 +9,7 @@
 use comfy_table::{presets, CellAlignment, Table};
 use serde_json::Value;
 
-use crate::node::control::Question;
+use crate::node::control::Query;
 
 /// How long an answer may take.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -20,7 +20,7 @@
     /// The gatekeeper cannot be reached.
     Io(io::Error),
     /// It said what is no answer.
-    NoAnswer(String),
+    InvalidAnswer(String),
     /// It refused, in these words.
     Refused(String),
 }
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CtlError::Io(error) => write!(f, "the gatekeeper cannot be reached: {error}"),
-            CtlError::NoAnswer(what) => write!(f, "the gatekeeper's answer makes no sense: {what}"),
+            CtlError::InvalidAnswer(what) => write!(f, "the gatekeeper's answer makes no sense: {what}"),
             CtlError::Refused(what) => write!(f, "{what}"),
         }
     }
@@ -44,7 +44,7 @@
 }
 
 /// Asks one question.
-pub fn ask(socket: &Path, question: &Question) -> Result<Value, CtlError> {
+pub fn query(socket: &Path, question: &Query) -> Result<Value, CtlError> {
     let mut stream = UnixStream::connect(socket)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.set_write_timeout(Some(PATIENCE))?;
@@ -52,11 +52,11 @@
     stream.write_all(format!("{asked}\n").as_bytes())?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
-    let mut told: Value = serde_json::from_str(&line).map_err(|e| CtlError::NoAnswer(e.to_string()))?;
+    let mut told: Value = serde_json::from_str(&line).map_err(|e| CtlError::InvalidAnswer(e.to_string()))?;
     if let Some(error) = told.get("error").and_then(Value::as_str) {
         return Err(CtlError::Refused(error.to_string()));
     }
-    told.get_mut("ok").map(Value::take).ok_or(CtlError::NoAnswer(line))
+    told.get_mut("ok").map(Value::take).ok_or(CtlError::InvalidAnswer(line))
 }
 
 /// A value as a cell of a table: what is not there is a dash, a time is in milliseconds.
@@ -99,7 +99,7 @@
 }
 
 /// The report of what crosses districts, as text.
-pub fn crossings(report: &Value) -> String {
+pub fn format_crossings(report: &Value) -> String {
     let rows = [
         ("class", "class"),
         ("from", "from"),
@@ -155,7 +155,7 @@
 }
 
 /// Who of the fleet is alive, as text: of a small fleet, or by its role in a tier of relays.
-pub fn members(report: &Value) -> String {
+pub fn format_members(report: &Value) -> String {
     match report["role"].as_str() {
         Some("leaf") => return leaf(report),
         Some(_) => return relay(report),
@@ -256,7 +256,7 @@
 }
 
 /// What is held of each member, as text.
-pub fn replica(report: &Value) -> String {
+pub fn format_replica(report: &Value) -> String {
     let columns = [
         ("member", "member"),
         ("life", "life"),
@@ -295,7 +295,7 @@
 }
 
 /// What the gatekeeper is and holds, as text.
-pub fn status(status: &Value) -> String {
+pub fn format_status(status: &Value) -> String {
     let columns =
         [("name", "server"), ("state", "state"), ("district", "district"), ("connections", "connections")];
     format!(
--- a/crates/gatekeeper/src/logging.rs
+++ b/crates/gatekeeper/src/logging.rs
@@ -26,7 +26,7 @@
 }
 
 /// One record as JSON, without the end of the line; `time` in Unix seconds.
-pub fn json(record: &log::Record, time: f64) -> String {
+pub fn to_json(record: &log::Record, time: f64) -> String {
     let mut fields = Fields(Map::new());
     // A field that cannot be told is left out; the event stays.
     let _ = record.key_values().visit(&mut fields);
@@ -40,12 +40,12 @@
 
 /// Starts the log on standard error. `RUST_LOG` says what is written; by default what does not grow with
 /// traffic.
-pub fn start(format: Format) {
+pub fn init(format: Format) {
     let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
     if format == Format::Json {
         builder.format(|out, record| {
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-            writeln!(out, "{}", json(record, now.unwrap_or_default().as_secs_f64()))
+            writeln!(out, "{}", to_json(record, now.unwrap_or_default().as_secs_f64()))
         });
     }
     builder.init();
@@ -62,7 +62,7 @@
             .args(format_args!("server-gone"))
             .key_values(&fields)
             .build();
-        let line: serde_json::Value = serde_json::from_str(&super::json(&record, 1.5)).unwrap();
+        let line: serde_json::Value = serde_json::from_str(&super::to_json(&record, 1.5)).unwrap();
         let told = serde_json::json!({"time": 1.5, "level": "INFO", "target": "hollypaddle",
             "event": "server-gone", "cut": 3, "server": "s-\"1"});
         assert_eq!(line, told);
--- a/crates/gatekeeper/src/main.rs
+++ b/crates/gatekeeper/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use hollypaddle::node::config::Config;
-use hollypaddle::node::control::Question;
+use hollypaddle::node::control::Query;
 use hollypaddle::node::event_loop::{Gatekeeper, Signals};
 use hollypaddle::{ctl, logging};
 use hollypaddle_config::Names;
@@ -121,10 +121,10 @@
 /// Prints of `ctl`.
 fn print(what: &What, told: &serde_json::Value) -> String {
     match what {
-        What::Status { .. } => ctl::status(told),
-        What::Crossings { .. } => ctl::crossings(told),
-        What::Members { .. } => ctl::members(told),
-        What::Replica { .. } => ctl::replica(told),
+        What::Status { .. } => ctl::format_status(told),
+        What::Crossings { .. } => ctl::format_crossings(told),
+        What::Members { .. } => ctl::format_members(told),
+        What::Replica { .. } => ctl::format_replica(told),
     }
 }
 
@@ -145,7 +145,7 @@
 }
 
 fn serve(run: Run) -> Result<(), Box<dyn Error>> {
-    logging::start(run.log_format);
+    logging::init(run.log_format);
     let signals = Signals::default();
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, Arc::clone(&signals.stop))?;
@@ -165,7 +165,7 @@
     let names = match &settings {
         Some(path) => {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            Config::names_in(&text)?
+            Config::names_from_text(&text)?
         }
         None => Names::default(),
     };
@@ -194,15 +194,15 @@
         (None, None) => return Err("which gatekeeper? expected --socket or --config".into()),
     };
     let (question, json) = match what {
-        What::Status { json } => (Question::Status {}, *json),
+        What::Status { json } => (Query::Status {}, *json),
         What::Crossings { span, json } => {
             let span = span.to_possible_value().map_or(String::new(), |v| v.get_name().to_string());
-            (Question::Crossings { span }, *json)
+            (Query::Crossings { span }, *json)
         }
-        What::Members { json } => (Question::Members {}, *json),
-        What::Replica { json } => (Question::Replica {}, *json),
+        What::Members { json } => (Query::Members {}, *json),
+        What::Replica { json } => (Query::Replica {}, *json),
     };
-    let told = ctl::ask(&socket, &question)?;
+    let told = ctl::query(&socket, &question)?;
     match json {
         true => println!("{told}"),
         false => print!("{}", print(what, &told)),
@@ -222,7 +222,7 @@
         eprintln!("hollypaddle: {error}");
         let reached = error.downcast_ref::<ctl::CtlError>();
         match reached {
-            Some(ctl::CtlError::Io(_) | ctl::CtlError::NoAnswer(_)) => UNREACHABLE.into(),
+            Some(ctl::CtlError::Io(_) | ctl::CtlError::InvalidAnswer(_)) => UNREACHABLE.into(),
             _ => WRONG.into(),
         }
     })
--- a/crates/gatekeeper/src/node/clients.rs
+++ b/crates/gatekeeper/src/node/clients.rs
@@ -18,12 +18,12 @@
 pub use self::ends::EndCounts;
 use self::reply::encode;
 use self::set_up::{request, request_class};
-use super::config::LinkClass;
+use super::config::ProtocolClass;
 use super::delivery::Pending;
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 use super::steering::{self, Steering};
-use hollypaddle_core::calls::{Calls, NotTaken, Origin, Reply};
+use hollypaddle_core::calls::{Calls, OfferError, Origin, Reply};
 use hollypaddle_platform::boundary::{Candidate, Verdict};
 use hollypaddle_platform::connection::{Connection, Over};
 use hollypaddle_platform::message::{cause, kind, Message, MOST};
@@ -73,7 +73,7 @@
 pub struct Clients {
     /// Where it listens, or listened before a drain.
     address: SocketAddr,
-    classes: Vec<LinkClass>,
+    classes: Vec<ProtocolClass>,
     listener: Option<TcpListener>,
     listener_key: Key,
     /// While the listener is about to close.
@@ -114,13 +114,13 @@
         address: SocketAddr,
         most: usize,
         memory: usize,
-        classes: Vec<LinkClass>,
-        watch: &mut Watch,
+        classes: Vec<ProtocolClass>,
+        poller: &mut Poller,
     ) -> io::Result<Self> {
         let listener = bind(address, BACKLOG)?;
-        steering::spread(&listener);
+        steering::reset_to_hash(&listener);
         let address = listener.local_addr()?;
-        let listener_key = watch.add(&listener, false)?;
+        let listener_key = poller.add(&listener, false)?;
         let (listener, connections) = (Some(listener), BTreeMap::new());
         let (paused, undelivered) = (false, VecDeque::new());
         let most_waiting = (memory / most).clamp(2 * MOST, 8 * MOST);
@@ -167,53 +167,53 @@
     /// Takes its part of new connections again.
     pub fn steer_back(&mut self) {
         if let (Some(_), Some(listener)) = (self.steering.take(), &self.listener) {
-            steering::spread(listener);
+            steering::reset_to_hash(listener);
         }
     }
 
     /// Takes no further connections; returns whether the listener is closed. What waits in its queue is taken first: closing a
     /// listener resets the connections queued to it, and at an upgrade they were meant for this process. Where there is no
     /// place for those it stays open, and this is to be called again.
-    pub fn stop_listening(&mut self, now: f64, watch: &mut Watch, calls: &mut Calls) -> bool {
-        self.accept(now, watch, calls);
+    pub fn stop_listening(&mut self, now: f64, poller: &mut Poller, calls: &mut Calls) -> bool {
+        self.accept(now, poller, calls);
         if self.paused {
             return false;
         }
-        self.close_listener(watch);
+        self.close_listener(poller);
         true
     }
 
     /// Takes what waits in the listener's queue, also with descriptors that servers would have, and closes the listener once
     /// the queue is empty: the program ends, and whoever waited for a place is to hear of it.
-    pub fn take_last(&mut self, now: f64, watch: &mut Watch, calls: &mut Calls) {
+    pub fn take_last(&mut self, now: f64, poller: &mut Poller, calls: &mut Calls) {
         self.most = usize::MAX;
-        self.stop_listening(now, watch, calls);
+        self.stop_listening(now, poller, calls);
     }
 
-    fn close_listener(&mut self, watch: &Watch) {
+    fn close_listener(&mut self, poller: &Poller) {
         let Some(listener) = self.listener.take() else { return };
         #[cfg(test)]
         if let Some(hook) = &mut self.before_close {
             hook(self.address);
         }
-        watch.remove(&listener);
+        poller.remove(&listener);
         self.paused = false;
         self.steering = None;
     }
 
     /// Closes connections that are of no use to anyone, and carries on after a pause. Called now and then.
-    pub fn beat(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
-        self.close_unused(now, watch, calls);
-        self.send_unread(now, watch, calls);
-        self.send_undelivered(now, watch, calls);
+    pub fn beat(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
+        self.close_unused(now, poller, calls);
+        self.send_unread(now, poller, calls);
+        self.send_undelivered(now, poller, calls);
         if let (true, Some(listener)) = (self.paused, &self.listener) {
             self.paused = false;
-            watch.set(self.listener_key, listener, true, false);
+            poller.set_interest(self.listener_key, listener, true, false);
         }
     }
 
     /// Takes the classes of settings read anew, by number.
-    pub fn set_classes(&mut self, classes: Vec<LinkClass>) {
+    pub fn set_classes(&mut self, classes: Vec<ProtocolClass>) {
         self.classes = classes;
     }
 
@@ -238,58 +238,58 @@
     }
 
     /// Listens again at its address, after a drain.
-    pub fn listen_again(&mut self, watch: &mut Watch) -> io::Result<()> {
+    pub fn listen_again(&mut self, poller: &mut Poller) -> io::Result<()> {
         if self.listener.is_none() {
             let listener = bind(self.address, BACKLOG)?;
-            steering::spread(&listener);
-            self.listener_key = watch.add(&listener, false)?;
+            steering::reset_to_hash(&listener);
+            self.listener_key = poller.add(&listener, false)?;
             (self.listener, self.paused) = (Some(listener), false);
         }
         Ok(())
     }
 
     /// Takes what is ready, if it is a caller's.
-    pub fn ready(&mut self, now: f64, ready: Ready, watch: &mut Watch, calls: &mut Calls) {
+    pub fn ready(&mut self, now: f64, ready: Ready, poller: &mut Poller, calls: &mut Calls) {
         if ready.key == self.listener_key {
-            self.accept(now, watch, calls);
+            self.accept(now, poller, calls);
         } else if self.closing.contains_key(&ready.key) {
-            self.finish_closing(now, ready.key, watch);
+            self.finish_closing(now, ready.key, poller);
         } else if let Some(client) = self.connections.get_mut(&ready.key) {
             if ready.writable {
                 let end = client.connection.flush();
-                self.close_if_over(now, ready.key, end, watch, calls);
+                self.close_if_over(now, ready.key, end, poller, calls);
             }
             if ready.readable {
-                self.read(now, ready.key, watch, calls);
+                self.read(now, ready.key, poller, calls);
             }
         }
-        self.send_unread(now, watch, calls);
+        self.send_unread(now, poller, calls);
     }
 
     /// Takes what has come on a connection.
-    fn read(&mut self, now: f64, key: Key, watch: &Watch, calls: &mut Calls) {
+    fn read(&mut self, now: f64, key: Key, poller: &Poller, calls: &mut Calls) {
         let Some(client) = self.connections.get_mut(&key) else { return };
         let mut messages = Vec::new();
         let mut end = client.connection.read_judged(&mut messages, &judge);
         for message in messages {
-            if let Err(reason) = self.receive(now, key, &message, watch, calls) {
+            if let Err(reason) = self.receive(now, key, &message, poller, calls) {
                 end = Err(reason);
                 break;
             }
         }
-        self.close_if_over(now, key, end, watch, calls);
+        self.close_if_over(now, key, end, poller, calls);
     }
 
     /// Takes what every caller has sent by now.
-    pub fn read_all(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
+    pub fn read_all(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         let keys: Vec<Key> = self.connections.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.read(now, key, watch, calls));
+        keys.into_iter().for_each(|key| self.read(now, key, poller, calls));
     }
 
-    fn accept(&mut self, now: f64, watch: &mut Watch, calls: &mut Calls) {
+    fn accept(&mut self, now: f64, poller: &mut Poller, calls: &mut Calls) {
         loop {
             if self.held() >= self.most {
-                self.make_room(now, watch, calls);
+                self.make_room(now, poller, calls);
             }
             if self.held() >= self.most {
                 self.short_since.get_or_insert(now);
@@ -300,9 +300,9 @@
                 false => Err(io::Error::other("as many callers are connected as may be")),
             };
             if let (Ok(_), Some(steering)) = (&accepted, &mut self.steering) {
-                steering.accepted(now, listener);
+                steering.connection_accepted(now, listener);
             }
-            let error = match accepted.and_then(|(stream, _)| self.admit(now, stream, watch)) {
+            let error = match accepted.and_then(|(stream, _)| self.admit(now, stream, poller)) {
                 Ok(()) => continue,
                 Err(error) => error,
             };
@@ -318,7 +318,7 @@
                 _ => {
                     log::debug!(error:%; "accept-paused");
                     if let Some(listener) = &self.listener {
-                        watch.set(self.listener_key, listener, false, false);
+                        poller.set_interest(self.listener_key, listener, false, false);
                     }
                     self.paused = true;
                     return;
@@ -345,10 +345,10 @@
         self.connections.len() + self.closing.len()
     }
 
-    fn admit(&mut self, now: f64, stream: TcpStream, watch: &mut Watch) -> io::Result<()> {
+    fn admit(&mut self, now: f64, stream: TcpStream, poller: &mut Poller) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        let key = watch.add(&stream, false)?;
+        let key = poller.add(&stream, false)?;
         let connection = Connection::new(stream, self.most_waiting);
         let client = Client {
             connection,
@@ -373,7 +373,7 @@
         now: f64,
         key: Key,
         message: &Message,
-        watch: &Watch,
+        poller: &Poller,
         calls: &mut Calls,
     ) -> Result<(), Over> {
         let Some(client) = self.connections.get_mut(&key) else { return Ok(()) };
@@ -386,29 +386,30 @@
                 let refusal = match request(message, &self.classes) {
                     Err(cause) => Message::new(kind::RELEASE, message.call).caused(cause),
                     Ok(_)
-                        if !calls.is_known(message.call) && self.refuse_drained(now, key, message, watch) =>
+                        if !calls.is_known(message.call)
+                            && self.refuse_drained(now, key, message, poller) =>
                     {
                         return Ok(())
                     }
                     Ok(request) => match calls.offer(now, key, request) {
                         Ok(()) => return Ok(()),
-                        Err(NotTaken::Crowded) => {
+                        Err(OfferError::TooManyHeld) => {
                             self.turned_away.push(request_class(message, &self.classes));
                             let refusal = encode(message.call, Reply::Refused(self.stay_away.unwrap_or(0.0)));
-                            self.send(now, key, &refusal, BestReply::Outcome, watch);
+                            self.send(now, key, &refusal, BestReply::Outcome, poller);
                             return Ok(());
                         }
-                        Err(NotTaken::Known) => {
+                        Err(OfferError::KnownId) => {
                             Message::new(kind::RELEASE, message.call).caused(cause::INVALID_PARAMETER)
                         }
-                        Err(NotTaken::Repeated) => return Err(Over::Improper("a set-up came twice")),
+                        Err(OfferError::DuplicateId) => return Err(Over::Improper("a set-up came twice")),
                     },
                 };
                 log::debug!(call:% = format_args!("{:016x}", message.call), cause = refusal.cause(); "set-up-not-taken");
                 let Some(client) = self.connections.get_mut(&key) else { return Ok(()) };
                 client.senseless += 1;
                 let senseless = client.senseless;
-                self.send(now, key, &refusal, BestReply::Notice, watch);
+                self.send(now, key, &refusal, BestReply::Notice, poller);
                 if senseless >= MOST_SENSELESS {
                     return Err(Over::Improper("nothing but set-ups that make no sense"));
                 }
@@ -421,7 +422,7 @@
             kind::TEST => {
                 client.used_at = now;
                 let passed = Message::new(kind::TEST_RESULT, message.call).caused(1);
-                self.send(now, key, &passed, BestReply::Notice, watch);
+                self.send(now, key, &passed, BestReply::Notice, poller);
             }
             _ => {}
         }
@@ -436,20 +437,20 @@
         origin: Origin,
         id: u64,
         reply: Reply,
-        watch: &Watch,
+        poller: &Poller,
         calls: &mut Calls,
     ) -> bool {
-        if let Reply::Over { cut } = reply {
+        if let Reply::Ended { cut } = reply {
             let end = CallEnd { id, cut, ended_at: now };
-            self.send_end(now, origin, end, BestReply::Outcome, watch, calls);
+            self.send_end(now, origin, end, BestReply::Outcome, poller, calls);
             return true;
         }
-        let stands = matches!(reply, Reply::Stands(_));
+        let stands = matches!(reply, Reply::Established(_));
         if stands {
-            let stood = calls.stands(id);
-            let connected = self.poll_connection(now, origin, watch, calls);
+            let stood = calls.is_standing(id);
+            let connected = self.poll_connection(now, origin, poller, calls);
             // Cancelled meanwhile, and released at its server: no answer is owed.
-            if stood && !calls.stands(id) && connected {
+            if stood && !calls.is_standing(id) && connected {
                 return true;
             }
         }
@@ -458,21 +459,28 @@
             return false;
         }
         let best_reply = if stands { BestReply::Standing } else { BestReply::Outcome };
-        let sent = self.send(now, origin, &encode(id, reply), best_reply, watch);
+        let sent = self.send(now, origin, &encode(id, reply), best_reply, poller);
         // Whoever gets answers reads them: a connection for what could not be sent before.
         for end in std::mem::take(&mut self.undelivered) {
-            self.send_end(now, origin, end, best_reply, watch, calls);
+            self.send_end(now, origin, end, best_reply, poller, calls);
         }
         sent
     }
 
     /// Sends a message; returns whether it is written or waits to be.
-    fn send(&mut self, now: f64, key: Key, message: &Message, best_reply: BestReply, watch: &Watch) -> bool {
+    fn send(
+        &mut self,
+        now: f64,
+        key: Key,
+        message: &Message,
+        best_reply: BestReply,
+        poller: &Poller,
+    ) -> bool {
         let Some(client) = self.connections.get_mut(&key) else { return false };
         (client.used_at, client.best_reply) = (now, client.best_reply.max(best_reply));
         let sent = client.connection.send(message).map(drop);
         client.take_written(key, &sent);
-        client.watch(key, watch);
+        client.watch(key, poller);
         sent.is_ok()
     }
 }
@@ -510,11 +518,11 @@
         }
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let writing = self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+            poller.set_interest(key, self.connection.stream(), true, writing);
         }
     }
 }
--- a/crates/gatekeeper/src/node/clients/closing.rs
+++ b/crates/gatekeeper/src/node/clients/closing.rs
@@ -9,7 +9,7 @@
 use super::reply::encode;
 use super::{Client, Clients};
 use crate::node::delivery::{Closed, Pending};
-use crate::node::poller::{Key, Watch};
+use crate::node::poller::{Key, Poller};
 
 /// A caller that was sent nothing and waits for nothing is closed after so long, in seconds, and so is one that began a
 /// message and does not end it: it is owed a message or a close within 3 s of connecting.
@@ -73,12 +73,12 @@
 /// Whether a connection has to stay: set-ups are open on it, calls stand that came on it, as their callers wait for the end
 /// there, or it is the one that stays for others.
 fn is_needed(key: Key, reserved: Option<Key>, calls: &Calls) -> bool {
-    calls.open_from(key) > 0 || calls.standing_from(key) > 0 || Some(key) == reserved
+    calls.open_count(key) > 0 || calls.standing_count(key) > 0 || Some(key) == reserved
 }
 
 impl Clients {
     /// Closes the connections that have been of no use for too long, and drops those that were closed long enough ago.
-    pub(super) fn close_unused(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
+    pub(super) fn close_unused(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         let (keys, reserved) = (self.connections.keys().copied().collect::<Vec<Key>>(), self.reserved(calls));
         for key in keys {
             let reason = |c: &mut Client, calls: &Calls| {
@@ -90,12 +90,12 @@
                 }
             };
             if self.connections.get_mut(&key).is_some_and(|c| reason(c, calls).is_some()) {
-                self.close_if(now, key, reason, watch, calls);
+                self.close_if(now, key, reason, poller, calls);
             }
         }
         let late: Vec<Key> =
             self.closing.iter().filter(|(_, c)| c.is_expired(now)).map(|(key, _)| *key).collect();
-        late.into_iter().for_each(|key| self.drop_closing(now, key, Closed::InOrder, watch));
+        late.into_iter().for_each(|key| self.drop_closing(now, key, Closed::InOrder, poller));
     }
 
     /// Closes a connection that nothing seems to come on, if there is a reason still once it was read a last time; returns
@@ -106,20 +106,20 @@
         now: f64,
         key: Key,
         reason: impl Fn(&mut Client, &Calls) -> Option<Over>,
-        watch: &Watch,
+        poller: &Poller,
         calls: &mut Calls,
     ) -> bool {
-        self.read(now, key, watch, calls);
+        self.read(now, key, poller, calls);
         let Some(client) = self.connections.get_mut(&key) else { return false };
         let Some(reason) = reason(client, calls) else { return false };
-        self.close_if_over(now, key, Err(reason), watch, calls);
+        self.close_if_over(now, key, Err(reason), poller, calls);
         true
     }
 
     /// Closes every connection, once all that waits on it is written.
-    pub fn close_all(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
+    pub fn close_all(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         let keys: Vec<Key> = self.connections.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.close_if_over(now, key, Err(Over::Idle), watch, calls));
+        keys.into_iter().for_each(|key| self.close_if_over(now, key, Err(Over::Idle), poller, calls));
     }
 
     /// Whether connections that are closed here are not closed by their peers yet.
@@ -129,24 +129,24 @@
 
     /// Writes what is left on a connection that is closed here, then its end, and throws away what comes. On one that its caller
     /// has closed nothing can come but a reset.
-    pub(super) fn finish_closing(&mut self, now: f64, key: Key, watch: &Watch) {
+    pub(super) fn finish_closing(&mut self, now: f64, key: Key, poller: &Poller) {
         let Some(closing) = self.closing.get_mut(&key) else { return };
         if closing.side == ClosedBy::Caller {
             // One that was closed in this turn may be told ready for what came before.
             if is_reset(&closing.connection) {
-                self.end_closing(now, key, Closed::Reset, watch);
+                self.end_closing(now, key, Closed::Reset, poller);
             }
             return;
         }
         let before = closing.connection.blocked();
         let written = closing.connection.flush();
         if before && written.is_ok() && !closing.connection.blocked() {
-            watch.set(key, closing.connection.stream(), true, false);
+            poller.set_interest(key, closing.connection.stream(), true, false);
             drop(closing.connection.stream().shutdown(Shutdown::Write));
         }
         let Err(reason) = written.and_then(|()| closing.connection.pass_over()) else { return };
         let reset = matches!(reason, Over::Broken(_)) || is_reset(&closing.connection);
-        self.end_closing(now, key, if reset { Closed::Reset } else { Closed::InOrder }, watch);
+        self.end_closing(now, key, if reset { Closed::Reset } else { Closed::InOrder }, poller);
     }
 
     /// Takes a connection that its caller has closed. It stays while a reset would tell that the caller left ends unread.
@@ -157,34 +157,34 @@
         connection: Connection<TcpStream>,
         mut pending_ends: Pending<CallEnd>,
         reset_seen: bool,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         self.unread.extend(pending_ends.take_unwritten(connection.written()));
         let reset = reset_seen || is_reset(&connection);
         if !reset && !connection.blocked() && pending_ends.awaits_evidence(now, connection.written()) {
             // Nothing but errors is waited for: its end makes it readable for good.
-            watch.set(key, connection.stream(), false, false);
+            poller.set_interest(key, connection.stream(), false, false);
             let side = ClosedBy::Caller;
             self.closing.insert(key, Closing { connection, side, pending_ends, closed_at: now });
             return;
         }
-        watch.remove(connection.stream());
+        poller.remove(connection.stream());
         let closed = if reset { Closed::Reset } else { Closed::InOrder };
         self.ends_closed(now, &mut pending_ends, closed, &connection);
     }
 
     /// Drops a connection that one side has closed, and of which no reset came so far.
-    pub(super) fn drop_closing(&mut self, now: f64, key: Key, otherwise: Closed, watch: &Watch) {
+    pub(super) fn drop_closing(&mut self, now: f64, key: Key, otherwise: Closed, poller: &Poller) {
         let Some(closing) = self.closing.get(&key) else { return };
         let closed = if is_reset(&closing.connection) { Closed::Reset } else { otherwise };
-        self.end_closing(now, key, closed, watch);
+        self.end_closing(now, key, closed, poller);
     }
 
-    fn end_closing(&mut self, now: f64, key: Key, closed: Closed, watch: &Watch) {
+    fn end_closing(&mut self, now: f64, key: Key, closed: Closed, poller: &Poller) {
         let Some(mut closing) = self.closing.remove(&key) else { return };
-        watch.remove(closing.connection.stream());
+        poller.remove(closing.connection.stream());
         self.ends_closed(now, &mut closing.pending_ends, closed, &closing.connection);
-        self.resume_accepting(watch);
+        self.resume_accepting(poller);
     }
 
     /// Closes a connection that was found to be over, for this reason.
@@ -193,34 +193,34 @@
         now: f64,
         key: Key,
         end: Result<(), Over>,
-        watch: &Watch,
+        poller: &Poller,
         calls: &mut Calls,
     ) {
         let Some(client) = self.connections.get_mut(&key) else { return };
-        let Err(error) = end else { return client.watch(key, watch) };
+        let Err(error) = end else { return client.watch(key, poller) };
         log::debug!(caller = key, reason:% = error; "caller-closed");
         let Some(client) = self.connections.remove(&key) else { return };
         match error {
             Over::Closed | Over::Broken(_) => {
                 let reset = client.reset_seen || matches!(error, Over::Broken(_));
-                self.closed_by_caller(now, key, client.connection, client.pending_ends, reset, watch);
+                self.closed_by_caller(now, key, client.connection, client.pending_ends, reset, poller);
             }
             _ if client.reset_seen => {
-                self.closed_by_caller(now, key, client.connection, client.pending_ends, true, watch);
+                self.closed_by_caller(now, key, client.connection, client.pending_ends, true, poller);
             }
-            _ => self.close_in_order(now, key, client, watch, calls),
+            _ => self.close_in_order(now, key, client, poller, calls),
         }
         calls.origin_lost(now, key);
     }
 
     /// Closes a connection for what its caller sent, or as of no use. It is still owed the answers to what it sent before.
-    fn close_in_order(&mut self, now: f64, key: Key, mut client: Client, watch: &Watch, calls: &Calls) {
+    fn close_in_order(&mut self, now: f64, key: Key, mut client: Client, poller: &Poller, calls: &Calls) {
         let answered = |id: &u64| client.connection.send(&encode(*id, Reply::Failed)).is_ok();
-        let _ = calls.ids_from(key).iter().all(answered);
+        let _ = calls.open_ids(key).iter().all(answered);
         if !client.connection.blocked() {
             drop(client.connection.stream().shutdown(Shutdown::Write));
         }
-        client.watch(key, watch);
+        client.watch(key, poller);
         let Client { connection, pending_ends, .. } = client;
         let side = ClosedBy::Us;
         self.closing.insert(key, Closing { connection, side, pending_ends, closed_at: now });
--- a/crates/gatekeeper/src/node/clients/draining.rs
+++ b/crates/gatekeeper/src/node/clients/draining.rs
@@ -11,7 +11,7 @@
 use super::set_up::request_class;
 use super::{BestReply, Client, Clients};
 use crate::node::delivery::Closed;
-use crate::node::poller::{Key, Watch};
+use crate::node::poller::{Key, Poller};
 
 /// A drain that goes on.
 pub(super) struct Drain {
@@ -64,7 +64,13 @@
 
     /// While drained, closes the connections that are to be let go; returns what is to be done before others can be. With
     /// `told_elsewhere`, others tell the ends for which no caller is here.
-    pub fn drain(&mut self, now: f64, told_elsewhere: bool, watch: &Watch, calls: &mut Calls) -> DrainOrders {
+    pub fn drain(
+        &mut self,
+        now: f64,
+        told_elsewhere: bool,
+        poller: &Poller,
+        calls: &mut Calls,
+    ) -> DrainOrders {
         let Some(began) = self.drain.as_ref().map(|drain| drain.began) else { return DrainOrders::default() };
         let staying = self.staying(now, began, calls);
         let end_path = self.end_path(now, began, &staying, calls);
@@ -88,13 +94,13 @@
                 let state = client.state(key, end_path, calls);
                 (decide(&state) == Decision::Close).then_some(Over::Drained)
             };
-            self.drain_counts.closed += u64::from(self.close_if(now, key, reason, watch, calls));
+            self.drain_counts.closed += u64::from(self.close_if(now, key, reason, poller, calls));
         }
         if now - began >= drain::DROP_AFTER_S {
-            self.drop_blocked(now, watch);
+            self.drop_blocked(now, poller);
         }
         if orders.cut {
-            self.send_all_undelivered(now, watch, calls);
+            self.send_all_undelivered(now, poller, calls);
         }
         if now - began >= drain::TERM_S {
             self.log_term(now, calls);
@@ -103,17 +109,17 @@
     }
 
     /// Drops the closed connections whose peers do not read what was sent before the close.
-    fn drop_blocked(&mut self, now: f64, watch: &Watch) {
+    fn drop_blocked(&mut self, now: f64, poller: &Poller) {
         let blocked = self.closing.iter().filter(|(_, closing)| closing.is_blocked());
         let blocked: Vec<Key> = blocked.map(|(key, _)| *key).collect();
         for key in blocked {
             log::debug!(caller = key; "drain-dropped");
-            self.drop_closing(now, key, Closed::Unknown, watch);
+            self.drop_closing(now, key, Closed::Unknown, poller);
         }
     }
 
     /// Refuses a set-up that comes late in a drain; returns whether it did.
-    pub(super) fn refuse_drained(&mut self, now: f64, key: Key, message: &Message, watch: &Watch) -> bool {
+    pub(super) fn refuse_drained(&mut self, now: f64, key: Key, message: &Message, poller: &Poller) -> bool {
         let refuses = self.drain.as_ref().is_some_and(|drain| drain::refuses_set_ups(now, drain.began));
         if refuses {
             let call = format_args!("{:016x}", message.call);
@@ -121,7 +127,7 @@
             self.drain_counts.refused += 1;
             self.turned_away.push(request_class(message, &self.classes));
             let refusal = encode(message.call, Reply::Refused(self.stay_away()));
-            self.send(now, key, &refusal, BestReply::Outcome, watch);
+            self.send(now, key, &refusal, BestReply::Outcome, poller);
         }
         refuses
     }
@@ -136,7 +142,8 @@
 
     /// The connection that stays for the ends of calls whose own does not, while there are any.
     fn end_path(&self, now: f64, began: f64, staying: &BTreeSet<Key>, calls: &Calls) -> Option<Key> {
-        if self.undelivered.is_empty() && !calls.stands_elsewhere(|origin| staying.contains(&origin)) {
+        if self.undelivered.is_empty() && !calls.has_standing_call_outside(|origin| staying.contains(&origin))
+        {
             return None;
         }
         let usable = self.connections.iter().filter(|(_, client)| !client.reset_seen);
@@ -157,10 +164,11 @@
         let Some(drain) = self.drain.as_mut().filter(|drain| !drain.term_logged) else { return };
         drain.term_logged = true;
         let held = || self.connections.iter();
-        let waiting = held().filter(|(key, _)| calls.open_from(**key) > 0).count();
-        let standing = held().filter(|(key, _)| calls.standing_from(**key) > 0).count();
-        let idle =
-            held().filter(|(key, _)| calls.open_from(**key) == 0 && calls.standing_from(**key) == 0).count();
+        let waiting = held().filter(|(key, _)| calls.open_count(**key) > 0).count();
+        let standing = held().filter(|(key, _)| calls.standing_count(**key) > 0).count();
+        let idle = held()
+            .filter(|(key, _)| calls.open_count(**key) == 0 && calls.standing_count(**key) == 0)
+            .count();
         let is_in_use = |client: &Client| client.asked_at.is_some_and(|at| now - at < drain::IN_USE_S);
         let in_use = held().filter(|(_, client)| is_in_use(client)).count();
         log::info!(held = held().count(), waiting, standing, idle, in_use; "drain-term");
@@ -176,8 +184,8 @@
             told: self.best_reply != BestReply::None,
             asks_again: self.asked_again_at.is_some(),
             // An answer that came in this turn is not written yet.
-            open: calls.open_from(key) + usize::from(calls.owes_reply(key)),
-            standing: calls.standing_from(key),
+            open: calls.open_count(key) + usize::from(calls.has_pending_reply(key)),
+            standing: calls.standing_count(key),
             writing: self.connection.blocked(),
             reading: self.connection.holds_part(),
             end_path: Some(key) == end_path,
--- a/crates/gatekeeper/src/node/clients/ends.rs
+++ b/crates/gatekeeper/src/node/clients/ends.rs
@@ -3,14 +3,14 @@
 use std::io::ErrorKind;
 use std::net::TcpStream;
 
-use hollypaddle_core::calls::{Calls, Reply, NO_ORIGIN};
+use hollypaddle_core::calls::{Calls, Reply, ANY_ORIGIN};
 use hollypaddle_platform::connection::Connection;
 use hollypaddle_platform::message::Message;
 
 use super::reply::encode;
 use super::{BestReply, Client, Clients};
 use crate::node::delivery::{Closed, Pending};
-use crate::node::poller::{Key, Watch};
+use crate::node::poller::{Key, Poller};
 
 /// Ends kept for callers while none is connected.
 const MAX_UNDELIVERED: usize = 4096;
@@ -35,7 +35,7 @@
 impl CallEnd {
     /// The release that tells a caller of it.
     pub fn message(self) -> Message {
-        encode(self.id, Reply::Over { cut: self.cut })
+        encode(self.id, Reply::Ended { cut: self.cut })
     }
 }
 
@@ -62,14 +62,14 @@
         origin: Key,
         end: CallEnd,
         best_reply: BestReply,
-        watch: &Watch,
+        poller: &Poller,
         calls: &mut Calls,
     ) {
         let own = self.connections.contains_key(&origin).then_some(origin);
         let mut candidate = own.or_else(|| self.successor());
         while let Some(key) = candidate {
-            if self.poll_connection(now, key, watch, calls) {
-                return self.write_end(now, key, end, best_reply, watch);
+            if self.poll_connection(now, key, poller, calls) {
+                return self.write_end(now, key, end, best_reply, poller);
             }
             log::debug!(caller = key; "caller-left");
             candidate = self.successor();
@@ -80,21 +80,21 @@
         }
     }
 
-    fn write_end(&mut self, now: f64, key: Key, end: CallEnd, best_reply: BestReply, watch: &Watch) {
+    fn write_end(&mut self, now: f64, key: Key, end: CallEnd, best_reply: BestReply, poller: &Poller) {
         log::debug!(call:% = format_args!("{:016x}", end.id), caller = key, cut = end.cut; "end-sent");
-        self.send(now, key, &end.message(), best_reply, watch);
+        self.send(now, key, &end.message(), best_reply, poller);
         let Some(client) = self.connections.get_mut(&key) else { return };
         let (position, written) = (client.connection.queued(), client.connection.written());
         client.pending_ends.sent(now, end, position, written, end.ended_at + DELIVERY_LIMIT);
     }
 
     /// Sends the ends that were not read on connections that are over on another one.
-    pub(super) fn send_unread(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
+    pub(super) fn send_unread(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         // A connection that is found to be over meanwhile adds its own.
         while let Some(end) = self.unread.pop_front() {
             log::debug!(call:% = format_args!("{:016x}", end.id); "end-redelivered");
             self.end_counts.redelivered += 1;
-            self.send_end(now, NO_ORIGIN, end, BestReply::Outcome, watch, calls);
+            self.send_end(now, ANY_ORIGIN, end, BestReply::Outcome, poller, calls);
         }
     }
 
@@ -113,13 +113,13 @@
 
     /// Reads what a caller has sent since its connection was read; returns whether it is still there. Guards against something
     /// written to a connection that was closed meanwhile: the system takes it, and nobody reads it.
-    pub(super) fn poll_connection(&mut self, now: f64, key: Key, watch: &Watch, calls: &mut Calls) -> bool {
+    pub(super) fn poll_connection(&mut self, now: f64, key: Key, poller: &Poller, calls: &mut Calls) -> bool {
         let Some(client) = self.connections.get_mut(&key) else { return false };
         match client.connection.stream().peek(&mut [0]) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             came => {
                 client.reset_seen |= came.is_err();
-                self.read(now, key, watch, calls);
+                self.read(now, key, poller, calls);
             }
         }
         #[cfg(test)]
@@ -143,7 +143,7 @@
     /// nobody is there to receive any more, as this side has closed the last connection.
     pub(super) fn reserved(&self, calls: &Calls) -> Option<Key> {
         let newest = || self.connections.keys().next_back().copied();
-        match calls.stands_elsewhere(|origin| self.connections.contains_key(&origin)) {
+        match calls.has_standing_call_outside(|origin| self.connections.contains_key(&origin)) {
             _ if !self.undelivered.is_empty() => newest(),
             true => self.successor().or_else(newest),
             false => None,
@@ -165,26 +165,26 @@
     }
 
     /// Sends the ends that have waited long enough for a better connection on any.
-    pub(super) fn send_undelivered(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
-        self.send_undelivered_if(now, |end| now - end.ended_at >= ANY_CONNECTION_AFTER, watch, calls);
+    pub(super) fn send_undelivered(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
+        self.send_undelivered_if(now, |end| now - end.ended_at >= ANY_CONNECTION_AFTER, poller, calls);
     }
 
     /// Sends all ends that wait for a better connection on any.
-    pub(super) fn send_all_undelivered(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
-        self.send_undelivered_if(now, |_| true, watch, calls);
+    pub(super) fn send_all_undelivered(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
+        self.send_undelivered_if(now, |_| true, poller, calls);
     }
 
     fn send_undelivered_if(
         &mut self,
         now: f64,
         due: impl Fn(&mut CallEnd) -> bool,
-        watch: &Watch,
+        poller: &Poller,
         calls: &mut Calls,
     ) {
         while let Some(newest) = self.connections.keys().next_back().copied() {
             let Some(end) = self.undelivered.pop_front_if(&due) else { return };
             // Whether its caller ever has a call is not known.
-            self.send_end(now, newest, end, BestReply::Notice, watch, calls);
+            self.send_end(now, newest, end, BestReply::Notice, poller, calls);
         }
     }
 }
--- a/crates/gatekeeper/src/node/clients/reply.rs
+++ b/crates/gatekeeper/src/node/clients/reply.rs
@@ -6,8 +6,8 @@
 pub(super) fn encode(id: u64, reply: Reply) -> Message {
     let release = Message::new(kind::RELEASE, id);
     match reply {
-        Reply::Stands(None) => Message::new(kind::ANSWER, id),
-        Reply::Stands(Some(description)) => {
+        Reply::Established(None) => Message::new(kind::ANSWER, id),
+        Reply::Established(Some(description)) => {
             Message::new(kind::ANSWER, id).with(code::DESCRIPTION, description)
         }
         Reply::Refused(after) => {
@@ -19,7 +19,7 @@
             }
         }
         Reply::Failed => release.caused(cause::TEMPORARY_FAILURE),
-        Reply::Over { cut: false } => release.caused(cause::NORMAL),
-        Reply::Over { cut: true } => release.caused(cause::TEMPORARY_FAILURE),
+        Reply::Ended { cut: false } => release.caused(cause::NORMAL),
+        Reply::Ended { cut: true } => release.caused(cause::TEMPORARY_FAILURE),
     }
 }
--- a/crates/gatekeeper/src/node/clients/room.rs
+++ b/crates/gatekeeper/src/node/clients/room.rs
@@ -6,7 +6,7 @@
 use super::closing::RESET_WAIT_S;
 use super::{BestReply, Client, Clients};
 use crate::node::delivery::Closed;
-use crate::node::poller::{Key, Watch};
+use crate::node::poller::{Key, Poller};
 
 /// Connections of no use looked at to make room for one more.
 const MAX_LOOKS: usize = 8;
@@ -22,21 +22,21 @@
     /// Makes room for one more connection: drops one that is closed, or closes the one that has been of no use for longest,
     /// those that were sent nothing first. Guards against callers locked out by others that connect by hundreds and send
     /// nothing, or ask once and keep their connection for good.
-    pub(super) fn make_room(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
+    pub(super) fn make_room(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         for _ in 0..MAX_LOOKS {
             if let Some(key) = self.droppable(now) {
-                return self.drop_closing(now, key, Closed::Unknown, watch);
+                return self.drop_closing(now, key, Closed::Unknown, poller);
             }
             let Some(key) = self.least_used(now, calls) else { return };
             // What is still closing gives its place back soon; where that does not suffice, others have waited long enough.
             let short = self.short_since.is_some_and(|since| now - since >= RESET_WAIT_S);
-            if calls.standing_from(key) > 0 && !self.closing.is_empty() && !short {
+            if calls.standing_count(key) > 0 && !self.closing.is_empty() && !short {
                 return;
             }
             let reserved = self.reserved(calls);
             let reason =
                 |c: &mut Client, calls: &Calls| is_unused(now, key, c, reserved, calls).then_some(Over::Idle);
-            self.close_if(now, key, reason, watch, calls);
+            self.close_if(now, key, reason, poller, calls);
             if self.held() < self.most {
                 return;
             }
@@ -44,13 +44,13 @@
     }
 
     /// Accepts again after a pause, if there is room.
-    pub(super) fn resume_accepting(&mut self, watch: &Watch) {
+    pub(super) fn resume_accepting(&mut self, poller: &Poller) {
         if !self.paused || self.held() >= self.most {
             return;
         }
         self.paused = false;
         if let Some(listener) = &self.listener {
-            watch.set(self.listener_key, listener, true, false);
+            poller.set_interest(self.listener_key, listener, true, false);
         }
     }
 
@@ -75,8 +75,9 @@
     fn least_used(&self, now: f64, calls: &Calls) -> Option<Key> {
         let reserved = self.reserved(calls);
         let unused = self.connections.iter().filter(|(key, c)| is_unused(now, **key, c, reserved, calls));
-        let order =
-            |key: Key, c: &Client| (calls.standing_from(key) > 0, c.best_reply != BestReply::None, c.used_at);
+        let order = |key: Key, c: &Client| {
+            (calls.standing_count(key) > 0, c.best_reply != BestReply::None, c.used_at)
+        };
         let oldest = unused.min_by(|(a_key, a), (b_key, b)| {
             let (a, b) = (order(**a_key, a), order(**b_key, b));
             (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2))
@@ -88,6 +89,6 @@
 /// Whether a connection may be closed to make room for another one.
 fn is_unused(now: f64, key: Key, client: &Client, reserved: Option<Key>, calls: &Calls) -> bool {
     // An answer that came in this turn is not written yet.
-    let needed = calls.open_from(key) > 0 || calls.owes_reply(key) || Some(key) == reserved;
+    let needed = calls.open_count(key) > 0 || calls.has_pending_reply(key) || Some(key) == reserved;
     !needed && client.unused(now, UNUSED_AFTER_S, UNUSED_AFTER_S)
 }
--- a/crates/gatekeeper/src/node/clients/set_up.rs
+++ b/crates/gatekeeper/src/node/clients/set_up.rs
@@ -5,24 +5,24 @@
 use hollypaddle_core::calls::{Content, Request};
 use hollypaddle_platform::message::{cause, code, Message};
 
-use crate::node::config::LinkClass;
+use crate::node::config::ProtocolClass;
 
 /// Reads a set-up; what is wrong with it is told by the cause of its release. Guards the servers: what
 /// they can't use costs work there, and what they can't read makes them close a connection that carries
 /// others' set-ups. So every field is checked before anything goes on.
-pub(super) fn request(message: &Message, classes: &[LinkClass]) -> Result<Request, u8> {
+pub(super) fn request(message: &Message, classes: &[ProtocolClass]) -> Result<Request, u8> {
     let field = |code| message.bytes(code).ok_or(cause::MISSING_PARAMETER);
     let (class, wait) = (field(code::CLASS)?, field(code::WAIT)?);
     let (number, figures) = (field(code::NUMBER)?, field(code::FIGURES)?);
     let description = Some(field(code::DESCRIPTION)?.to_vec());
     let parsed = || {
         // The newest number of a name that takes new calls: see `hollypaddle_service::classes`.
-        let named = |(_, c): &(usize, &LinkClass)| c.live && c.name.as_bytes() == class;
+        let named = |(_, c): &(usize, &ProtocolClass)| c.accepts_calls && c.name.as_bytes() == class;
         let (index, class) = classes.iter().enumerate().rev().find(named)?;
         let wait = plain_number(wait)? / 1000.0;
         let dialled = hexadecimal(number)?;
         let first = first_choice(std::str::from_utf8(figures).ok()?, class)?;
-        let sound = message.call != 0 && !message.repeats() && wait > 0.0 && wait <= class.longest;
+        let sound = message.call != 0 && !message.repeats() && wait > 0.0 && wait <= class.max_wait;
         let content = Content { number: number.to_vec(), description };
         let id = message.call;
         sound.then_some(Request { id, class: index, wait, dialled, first_choice: first, content })
@@ -31,9 +31,9 @@
 }
 
 /// The number of a set-up's class, for the figures; one past the last where it names none.
-pub(super) fn request_class(message: &Message, classes: &[LinkClass]) -> usize {
+pub(super) fn request_class(message: &Message, classes: &[ProtocolClass]) -> usize {
     let class = message.bytes(code::CLASS).unwrap_or_default();
-    classes.iter().rposition(|c| c.live && c.name.as_bytes() == class).unwrap_or(classes.len())
+    classes.iter().rposition(|c| c.accepts_calls && c.name.as_bytes() == class).unwrap_or(classes.len())
 }
 
 /// Digits and nothing else, so that a sign, an exponent or "nan" is none.
@@ -49,7 +49,7 @@
 }
 
 /// The pool of first choice in a set-up's figures, if all of them are in range and none comes twice.
-fn first_choice(figures: &str, class: &LinkClass) -> Option<u32> {
+fn first_choice(figures: &str, class: &ProtocolClass) -> Option<u32> {
     let mut seen = BTreeMap::new();
     for figure in figures.split(';') {
         let (name, value) = figure.split_once(':')?;
--- a/crates/gatekeeper/src/node/clock.rs
+++ b/crates/gatekeeper/src/node/clock.rs
@@ -7,7 +7,7 @@
 /// The decision module runs on this clock too, so that a server's start, told in Unix milliseconds,
 /// is a time of its own even where the server started before this gatekeeper did.
 pub struct Clock {
-    /// None for a clock that stands still but for [`Clock::skip`].
+    /// None for a clock that stands still but for [`Clock::advance`].
     started: Option<Instant>,
     anchor: Duration,
 }
@@ -25,13 +25,13 @@
         Clock { started: Some(Instant::now()), anchor }
     }
 
-    /// A clock that stands at a time and moves by [`Clock::skip`] alone, for tests and measurements.
-    pub fn still(at: f64) -> Self {
+    /// A clock that stands at a time and moves by [`Clock::advance`] alone, for tests and measurements.
+    pub fn manual(at: f64) -> Self {
         Clock { started: None, anchor: Duration::from_secs_f64(at) }
     }
 
     /// Whether it moves by itself.
-    pub fn runs(&self) -> bool {
+    pub fn is_real_time(&self) -> bool {
         self.started.is_some()
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Lets time pass at once.
-    pub fn skip(&mut self, seconds: f64) {
+    pub fn advance(&mut self, seconds: f64) {
         self.anchor += Duration::from_secs_f64(seconds);
     }
 }
--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -1,9 +1,9 @@
 //! The seam between the loop and its subjects.
 //!
 //! The loop calls each subject at the same places of a turn, in one order: first, before anything that came is taken
-//! ([`Subject::begin`]); for each thing that is ready ([`Subject::heard`]); now and then ([`Subject::due`]); and last, after
-//! the decisions ([`Subject::carry_out`]). A configuration read anew is taken in two steps: all that can fail is prepared
-//! by every subject, and only then does any of it count. A further subject adds a file and a line in [`Subjects`].
+//! ([`Component::begin_iteration`]); for each thing that is ready ([`Component::handle_ready`]); now and then ([`Component::on_heartbeat`]); and last, after
+//! the decisions ([`Component::finish_iteration`]). A configuration read anew is taken in two steps: all that can fail is prepared
+//! by every subject, and only then does any of it count. A further subject adds a file and a line in [`Components`].
 
 use std::io;
 
@@ -16,20 +16,20 @@
 use serde_json::{json, Value};
 
 use super::clients::Clients;
-use super::control::{Control, Question};
+use super::control::{ControlSocket, Query};
 use super::fleet::Fleet;
 use super::gates::Gates;
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 use super::resolver::Resolver;
 use super::servers::Servers;
-use super::tier::InTier;
+use super::tier::TierComponent;
 
 /// What a subject may reach in a step.
-pub struct Room<'a> {
+pub struct ComponentContext<'a> {
     /// The time.
     pub now: f64,
     /// The poller.
-    pub watch: &'a mut Watch,
+    pub poller: &'a mut Poller,
     /// The calls.
     pub calls: &'a mut Calls,
     /// The session servers.
@@ -51,192 +51,197 @@
 }
 
 /// A part of the gatekeeper beside callers, servers and resolver. What it does not need it leaves out.
-pub trait Subject {
+pub trait Component {
     /// Opens what a configuration needs that is read anew; may fail, and then nothing of that file counts.
-    fn prepare(&mut self, _room: &mut Room, _old: &Conf, _new: &Conf) -> io::Result<()> {
+    fn prepare(&mut self, _ctx: &mut ComponentContext, _old: &Conf, _new: &Conf) -> io::Result<()> {
         Ok(())
     }
 
     /// Closes what was prepared, as another subject could not be.
-    fn abandon(&mut self, _room: &mut Room) {}
+    fn abandon(&mut self, _ctx: &mut ComponentContext) {}
 
     /// Takes the configuration that was prepared; tells in a word what changed.
-    fn commit(&mut self, _room: &mut Room, _old: &Conf, _new: &Conf) -> Option<String> {
+    fn commit(&mut self, _ctx: &mut ComponentContext, _old: &Conf, _new: &Conf) -> Option<String> {
         None
     }
 
     /// What time brings, before anything that came is taken.
-    fn begin(&mut self, _room: &mut Room) {}
+    fn begin_iteration(&mut self, _ctx: &mut ComponentContext) {}
 
     /// Something is ready; it may be another's.
-    fn heard(&mut self, _room: &mut Room, _ready: Ready) {}
+    fn handle_ready(&mut self, _ctx: &mut ComponentContext, _ready: Ready) {}
 
     /// Looks after things. Called now and then.
-    fn due(&mut self, _room: &mut Room, _own: &Conf) {}
+    fn on_heartbeat(&mut self, _ctx: &mut ComponentContext, _own: &Conf) {}
 
     /// Carries out what was decided in this turn.
-    fn carry_out(&mut self, _room: &mut Room) {}
+    fn finish_iteration(&mut self, _ctx: &mut ComponentContext) {}
 
     /// The program ends.
-    fn end(&mut self, _room: &mut Room) {}
+    fn shut_down(&mut self, _ctx: &mut ComponentContext) {}
 
     /// When the next turn is wanted at the latest.
-    fn wants_turn_at(&self) -> Option<f64> {
+    fn next_iteration_at(&self) -> Option<f64> {
         None
     }
 
     /// Why the gatekeeper is not ready yet, in a word.
-    fn not_ready(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         None
     }
 
     /// The answer to a question of the control socket, where it is this subject's.
-    fn answer(&mut self, _room: &mut Room, _question: &Question) -> Option<Value> {
+    fn answer(&mut self, _ctx: &mut ComponentContext, _question: &Query) -> Option<Value> {
         None
     }
 }
 
 /// All subjects, in the order in which they are called.
 #[derive(Default)]
-pub struct Subjects {
+pub struct Components {
     /// The control socket.
-    pub control: ControlRoom,
+    pub control: ControlComponent,
     /// The account of what crosses districts.
-    pub account: Account,
+    pub crossing: CrossingComponent,
     /// The other gatekeepers.
-    pub fellows: Fellows,
+    pub fleet: FleetComponent,
     /// The tier of relays.
-    pub tier: InTier,
+    pub tier: TierComponent,
 }
 
-impl Subjects {
+impl Components {
     /// Each, in order.
-    pub fn all(&mut self) -> [&mut dyn Subject; 4] {
-        [&mut self.control, &mut self.account, &mut self.fellows, &mut self.tier]
+    pub fn all_mut(&mut self) -> [&mut dyn Component; 4] {
+        [&mut self.control, &mut self.crossing, &mut self.fleet, &mut self.tier]
     }
 
     /// The same, to be looked at.
-    fn each(&self) -> [&dyn Subject; 4] {
-        [&self.control, &self.account, &self.fellows, &self.tier]
+    fn all(&self) -> [&dyn Component; 4] {
+        [&self.control, &self.crossing, &self.fleet, &self.tier]
     }
 
     /// The lines of a list, with what others know.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
-        if let Some(fleet) = &self.fellows.fleet {
+        if let Some(fleet) = &self.fleet.joined {
             fleet.overlay(entries, list_at);
         }
         self.tier.overlay(entries, list_at);
     }
 
     /// Takes a configuration read anew, all of it or nothing; returns what changed, in words.
-    pub fn take(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> io::Result<Vec<String>> {
+    pub fn apply_config(
+        &mut self,
+        ctx: &mut ComponentContext,
+        old: &Conf,
+        new: &Conf,
+    ) -> io::Result<Vec<String>> {
         let mut failed = None;
-        for subject in self.all() {
-            if let Err(error) = subject.prepare(room, old, new) {
+        for component in self.all_mut() {
+            if let Err(error) = component.prepare(ctx, old, new) {
                 failed = Some(error);
                 break;
             }
         }
         if let Some(error) = failed {
-            self.all().into_iter().for_each(|subject| subject.abandon(room));
+            self.all_mut().into_iter().for_each(|component| component.abandon(ctx));
             return Err(error);
         }
-        Ok(self.all().into_iter().filter_map(|subject| subject.commit(room, old, new)).collect())
+        Ok(self.all_mut().into_iter().filter_map(|component| component.commit(ctx, old, new)).collect())
     }
 
     /// When the next turn is wanted at the latest.
-    pub fn wants_turn_at(&self) -> Option<f64> {
-        self.each().into_iter().filter_map(Subject::wants_turn_at).min_by(f64::total_cmp)
+    pub fn next_iteration_at(&self) -> Option<f64> {
+        self.all().into_iter().filter_map(Component::next_iteration_at).min_by(f64::total_cmp)
     }
 
     /// Why the gatekeeper is not ready yet.
-    pub fn not_ready(&self) -> Option<&'static str> {
-        self.each().into_iter().find_map(Subject::not_ready)
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
+        self.all().into_iter().find_map(Component::not_ready_reason)
     }
 }
 
 /// The control socket, where it is configured, and what was asked on it.
 #[derive(Default)]
-pub struct ControlRoom {
-    control: Option<Control>,
+pub struct ControlComponent {
+    control: Option<ControlSocket>,
     /// One that was opened and does not count yet.
-    fresh: Option<Control>,
+    fresh: Option<ControlSocket>,
     /// Questions that wait for their answers.
-    pub asked: Vec<(Key, Question)>,
+    pub asked: Vec<(Key, Query)>,
 }
 
-impl ControlRoom {
+impl ControlComponent {
     /// Answers a question.
-    pub fn reply(&mut self, key: Key, told: &Value, watch: &Watch) {
+    pub fn reply(&mut self, key: Key, told: &Value, poller: &Poller) {
         if let Some(control) = &mut self.control {
-            control.reply(key, told, watch);
+            control.reply(key, told, poller);
         }
     }
 }
 
-impl Subject for ControlRoom {
-    fn prepare(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> io::Result<()> {
+impl Component for ControlComponent {
+    fn prepare(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> io::Result<()> {
         if new.control != old.control {
             if let Some(path) = &new.control {
                 let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
-                self.fresh = Some(Control::listen(path, room.watch).map_err(named)?);
+                self.fresh = Some(ControlSocket::listen(path, ctx.poller).map_err(named)?);
             }
         }
         Ok(())
     }
 
-    fn abandon(&mut self, room: &mut Room) {
+    fn abandon(&mut self, ctx: &mut ComponentContext) {
         if let Some(fresh) = self.fresh.take() {
-            fresh.close(room.watch);
+            fresh.close(ctx.poller);
         }
     }
 
-    fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
+    fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
         if new.control == old.control {
             return None;
         }
         if let Some(old) = std::mem::replace(&mut self.control, self.fresh.take()) {
-            old.close(room.watch);
+            old.close(ctx.poller);
         }
         Some("control".into())
     }
 
-    fn heard(&mut self, room: &mut Room, ready: Ready) {
+    fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
         if let Some(control) = &mut self.control {
-            self.asked.extend(control.ready(room.now, ready, room.watch));
+            self.asked.extend(control.ready(ctx.now, ready, ctx.poller));
         }
     }
 
-    fn due(&mut self, room: &mut Room, _: &Conf) {
+    fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         if let Some(control) = &mut self.control {
-            control.beat(room.now, room.watch);
+            control.beat(ctx.now, ctx.poller);
         }
     }
 
-    fn end(&mut self, room: &mut Room) {
+    fn shut_down(&mut self, ctx: &mut ComponentContext) {
         if let Some(control) = self.control.take() {
-            control.close(room.watch);
+            control.close(ctx.poller);
         }
     }
 }
 
 /// The account of what crosses districts: its configuration, its line in the log, its report. The account itself is a gate.
 #[derive(Default)]
-pub struct Account {
+pub struct CrossingComponent {
     /// When it was last logged; none before the first look.
     logged_at: Option<f64>,
 }
 
-impl Account {
+impl CrossingComponent {
     /// Writes the account to the log where that is configured and due: a line a cell, of which there are no more than
     /// classes times districts.
-    fn log(&mut self, room: &mut Room, own: &Conf) {
-        let since = *self.logged_at.get_or_insert(room.now);
+    fn log(&mut self, ctx: &mut ComponentContext, own: &Conf) {
+        let since = *self.logged_at.get_or_insert(ctx.now);
         let every = own.crossings.as_ref().and_then(|c| c.log_every);
-        let Some(_) = every.filter(|every| room.now - since >= *every) else { return };
-        self.logged_at = Some(room.now);
-        let Some(crossing) = &mut room.gates.crossing else { return };
-        let report = crossing.report(room.now, Span::Total);
+        let Some(_) = every.filter(|every| ctx.now - since >= *every) else { return };
+        self.logged_at = Some(ctx.now);
+        let Some(crossing) = &mut ctx.gates.crossing else { return };
+        let report = crossing.report(ctx.now, Span::Total);
         for row in report.rows.iter().filter(|r| r.class != "all" && r.to != "all" && r.to != "abroad") {
             let (class, from, to, c) = (row.class.as_str(), row.from.as_str(), row.to.as_str(), &row.counts);
             log::info!(
@@ -249,11 +254,11 @@
     }
 }
 
-impl Subject for Account {
-    fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
+impl Component for CrossingComponent {
+    fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         // The platform's names are those of the start, and a file read since may have others. Guards against
         // budgets that are dropped without a word.
-        let missing = new.crossings.as_ref().map_or(Vec::new(), |c| c.missing(room.platform));
+        let missing = new.crossings.as_ref().map_or(Vec::new(), |c| c.missing(ctx.platform));
         match missing.is_empty() {
             true => Ok(()),
             false => {
@@ -263,21 +268,21 @@
         }
     }
 
-    fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
-        let gate = &mut room.gates.crossing;
+    fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
+        let gate = &mut ctx.gates.crossing;
         if new.crossings == old.crossings && new.crossings.is_some() == gate.is_some() {
             return None;
         }
         let word = match (gate.as_mut(), &new.crossings) {
             (Some(crossing), Some(conf)) => {
-                crossing.change(conf.settings(room.platform), room.now);
+                crossing.change(conf.settings(ctx.platform), ctx.now);
                 "changed"
             }
             (None, Some(conf)) => {
-                let mut crossing = Crossing::new(conf.settings(room.platform), room.now);
+                let mut crossing = Crossing::new(conf.settings(ctx.platform), ctx.now);
                 // It was not there when the list came.
-                let entries = room.servers.entries();
-                crossing.hear(room.now, &Event::List { kind: ListKind::Full, entries });
+                let entries = ctx.servers.entries();
+                crossing.hear(ctx.now, &Event::List { kind: ListKind::Full, entries });
                 *gate = Some(crossing);
                 "on"
             }
@@ -294,16 +299,16 @@
         Some(format!("crossings-{word}-{budgets}-budgets"))
     }
 
-    fn due(&mut self, room: &mut Room, own: &Conf) {
-        self.log(room, own);
+    fn on_heartbeat(&mut self, ctx: &mut ComponentContext, own: &Conf) {
+        self.log(ctx, own);
     }
 
-    fn answer(&mut self, room: &mut Room, question: &Question) -> Option<Value> {
-        let Question::Crossings { span } = question else { return None };
-        Some(match (Span::named(span), &mut room.gates.crossing) {
+    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
+        let Query::Crossings { span } = question else { return None };
+        Some(match (Span::named(span), &mut ctx.gates.crossing) {
             (None, _) => json!({"error": format!("no span {span:?}: total, 10s, 1min or 10min")}),
             (_, None) => json!({"error": "no account: the block `crossings` is not configured"}),
-            (Some(span), Some(crossing)) => json!({"ok": crossing.report(room.now, span)}),
+            (Some(span), Some(crossing)) => json!({"ok": crossing.report(ctx.now, span)}),
         })
     }
 }
@@ -315,132 +320,132 @@
 
 /// The other gatekeepers, where the own configuration names them, and what may be used of the fleet's budgets.
 #[derive(Default)]
-pub struct Fellows {
+pub struct FleetComponent {
     /// The links and what is known by them.
-    pub fleet: Option<Fleet>,
+    pub joined: Option<Fleet>,
     /// What may be used, and what was lent. It outlives the fleet.
     shares: Option<Shares>,
     /// A fleet that was joined and does not count yet.
     fresh: Option<Fleet>,
 }
 
-impl Subject for Fellows {
+impl Component for FleetComponent {
     /// Joins a fleet where the file names another one than before, or another name or address of the own member's.
-    fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
+    fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some(conf) = meshed(new) else { return Ok(()) };
-        let name = &room.platform.name;
-        if conf.own(name).is_none() || !self.fleet.as_ref().is_some_and(|f| f.stays(conf, name)) {
-            self.fresh = Some(Fleet::join(room.now, conf, name, room.seed, room.calls, room.watch)?);
+        let name = &ctx.platform.name;
+        if conf.own(name).is_none() || !self.joined.as_ref().is_some_and(|f| f.stays(conf, name)) {
+            self.fresh = Some(Fleet::join(ctx.now, conf, name, ctx.seed, ctx.calls, ctx.poller)?);
         }
         Ok(())
     }
 
-    fn abandon(&mut self, room: &mut Room) {
+    fn abandon(&mut self, ctx: &mut ComponentContext) {
         if let Some(fresh) = self.fresh.take() {
-            fresh.undo(room.now, room.watch);
+            fresh.undo(ctx.now, ctx.poller);
             // The one that stays goes on noting.
-            if self.fleet.is_none() {
-                room.calls.note_changes(false);
+            if self.joined.is_none() {
+                ctx.calls.record_changes(false);
             }
         }
     }
 
-    fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
+    fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
         if new.fleet == old.fleet || meshed(old).or(meshed(new)).is_none() {
             return None;
         }
-        let word = match (&mut self.fleet, self.fresh.take(), meshed(new)) {
+        let word = match (&mut self.joined, self.fresh.take(), meshed(new)) {
             (old, Some(fresh), _) => {
                 if let Some(old) = old.replace(fresh) {
-                    old.leave(room.now, room.calls, room.watch);
-                    room.calls.note_changes(true);
+                    old.leave(ctx.now, ctx.calls, ctx.poller);
+                    ctx.calls.record_changes(true);
                 }
                 "joined"
             }
             (Some(fleet), None, Some(conf)) => {
-                fleet.change(room.now, conf, room.watch);
+                fleet.change(ctx.now, conf, ctx.poller);
                 "changed"
             }
             (old, None, _) => {
                 if let Some(old) = old.take() {
-                    old.leave(room.now, room.calls, room.watch);
+                    old.leave(ctx.now, ctx.calls, ctx.poller);
                 }
                 "left"
             }
         };
-        room.gates.fleet = self.fleet.as_ref().map(|_| Guard::default());
-        if let Some(fleet) = &mut self.fleet {
-            fleet.set_classes(room.class_names);
+        ctx.gates.fleet = self.joined.as_ref().map(|_| Guard::default());
+        if let Some(fleet) = &mut self.joined {
+            fleet.set_classes(ctx.class_names);
         }
         if let Some(conf) = meshed(new) {
-            self.shares.get_or_insert_with(|| Shares::new(room.now, conf.lend)).change(conf.lend);
+            self.shares.get_or_insert_with(|| Shares::new(ctx.now, conf.lend)).change(conf.lend);
         }
         Some(format!("fleet-{word}"))
     }
 
-    fn begin(&mut self, room: &mut Room) {
-        if let (Some(fleet), Some(guard)) = (&mut self.fleet, &mut room.gates.fleet) {
-            if fleet.tick(room.now, guard) {
+    fn begin_iteration(&mut self, ctx: &mut ComponentContext) {
+        if let (Some(fleet), Some(guard)) = (&mut self.joined, &mut ctx.gates.fleet) {
+            if fleet.tick(ctx.now, guard) {
                 // What waits at the socket was said before or while this process was paused.
-                room.resolver.forget_asked();
-                room.resolver.ask();
+                ctx.resolver.forget_asked();
+                ctx.resolver.ask();
             }
         }
     }
 
-    fn heard(&mut self, room: &mut Room, ready: Ready) {
-        if let Some(fleet) = &mut self.fleet {
-            fleet.heard(room.now, ready, room.watch);
+    fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
+        if let Some(fleet) = &mut self.joined {
+            fleet.heard(ctx.now, ready, ctx.poller);
         }
     }
 
     /// What others know, for the gate and for the lines of the list, and what may be used of the fleet's budgets.
-    fn due(&mut self, room: &mut Room, _: &Conf) {
-        let member = self.fleet.as_mut().map(Fleet::member);
-        let crossing = room.gates.crossing.as_mut();
-        if self.shares.as_mut().is_some_and(|shares| !shares.beat(room.now, member, crossing)) {
+    fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
+        let member = self.joined.as_mut().map(Fleet::member);
+        let crossing = ctx.gates.crossing.as_mut();
+        if self.shares.as_mut().is_some_and(|shares| !shares.beat(ctx.now, member, crossing)) {
             self.shares = None;
         }
-        let (Some(fleet), Some(guard)) = (&mut self.fleet, &mut room.gates.fleet) else { return };
-        let entries = fleet.beat(room.now, room.list_at, room.servers, room.calls, guard, room.watch);
-        fleet.hand_over(room.now, room.clients);
+        let (Some(fleet), Some(guard)) = (&mut self.joined, &mut ctx.gates.fleet) else { return };
+        let entries = fleet.beat(ctx.now, ctx.list_at, ctx.servers, ctx.calls, guard, ctx.poller);
+        fleet.hand_over(ctx.now, ctx.clients);
         if !entries.is_empty() {
-            room.calls.events.push(Event::List { kind: ListKind::Changes, entries });
+            ctx.calls.events.push(Event::List { kind: ListKind::Changes, entries });
         }
     }
 
-    fn carry_out(&mut self, room: &mut Room) {
-        if let Some(fleet) = &mut self.fleet {
-            fleet.carry_out(room.now, room.calls, room.watch);
+    fn finish_iteration(&mut self, ctx: &mut ComponentContext) {
+        if let Some(fleet) = &mut self.joined {
+            fleet.carry_out(ctx.now, ctx.calls, ctx.poller);
         }
     }
 
-    fn end(&mut self, room: &mut Room) {
-        if let Some(fleet) = self.fleet.take() {
-            fleet.leave(room.now, room.calls, room.watch);
+    fn shut_down(&mut self, ctx: &mut ComponentContext) {
+        if let Some(fleet) = self.joined.take() {
+            fleet.leave(ctx.now, ctx.calls, ctx.poller);
         }
     }
 
     /// One that catches up gets a piece a turn, and more turns; what came since the last word follows soon.
-    fn wants_turn_at(&self) -> Option<f64> {
-        self.fleet.as_ref().and_then(Fleet::gives_at)
+    fn next_iteration_at(&self) -> Option<f64> {
+        self.joined.as_ref().and_then(Fleet::gives_at)
     }
 
-    fn not_ready(&self) -> Option<&'static str> {
-        self.fleet.as_ref().filter(|fleet| !fleet.ready()).map(|_| "catching-up")
+    fn not_ready_reason(&self) -> Option<&'static str> {
+        self.joined.as_ref().filter(|fleet| !fleet.ready()).map(|_| "catching-up")
     }
 
-    fn answer(&mut self, room: &mut Room, question: &Question) -> Option<Value> {
+    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
         let members = match question {
-            Question::Members {} => true,
-            Question::Replica {} => false,
+            Query::Members {} => true,
+            Query::Replica {} => false,
             _ => return None,
         };
         // Without one the tier answers.
-        let fleet = self.fleet.as_ref()?;
+        let fleet = self.joined.as_ref()?;
         Some(match members {
-            true => json!({"ok": fleet.report_members(room.now)}),
-            false => json!({"ok": fleet.report_replica(room.calls)}),
+            true => json!({"ok": fleet.report_members(ctx.now)}),
+            false => json!({"ok": fleet.report_replica(ctx.calls)}),
         })
     }
 }
--- a/crates/gatekeeper/src/node/config.rs
+++ b/crates/gatekeeper/src/node/config.rs
@@ -32,40 +32,40 @@
     /// The resolver.
     pub dns: SocketAddr,
     /// Descriptors that it may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Bytes of memory that it may use.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Seed of all random draws.
     pub seed: u64,
     /// The pool list as known at the start.
-    pub known: Snapshot,
+    pub initial_list: Snapshot,
     /// What the decision module is told.
     pub settings: Settings,
     /// The names in load reports.
     pub telemetry: Telemetry,
     /// What the sockets need of the settings.
-    pub link: Link,
+    pub protocol: ProtocolSettings,
     /// What the own configuration file builds on.
     pub platform: Platform,
     /// What the own configuration file says.
-    pub own: Conf,
+    pub own_conf: Conf,
     /// The file itself, for the fleet's settings to be read with it.
     pub own_file: OwnFile,
 }
 
 /// What the sockets need of the settings.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct ProtocolSettings {
     /// The classes, in the order of their numbers.
-    pub classes: Vec<LinkClass>,
+    pub classes: Vec<ProtocolClass>,
     /// A connection not up within so many seconds has failed.
     pub connect_timeout: f64,
     /// Nothing new may reach a server so many seconds after its drain was told.
     pub drain_grace: f64,
     /// Servers tell their state unasked.
-    pub states: bool,
+    pub servers_report_state: bool,
     /// The shortest goal time of a class, in seconds.
-    pub goal: f64,
+    pub min_goal_time: f64,
     /// The districts.
     pub districts: Vec<String>,
     /// Connections that each server may have.
@@ -74,23 +74,23 @@
 
 /// What a set-up of a class may say.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LinkClass {
+pub struct ProtocolClass {
     /// The class's name.
     pub name: String,
     /// The longest that a caller waits, in seconds.
-    pub longest: f64,
+    pub max_wait: f64,
     /// Numbers of the pools that it may go to; empty means any.
     pub pools: Vec<u32>,
     /// How many circuits a call takes, if told.
     pub width: Option<f64>,
     /// Whether new calls may take it: a class dropped at a reload keeps its number for the calls open.
-    pub live: bool,
+    pub accepts_calls: bool,
 }
 
-impl Link {
+impl ProtocolSettings {
     /// The longest that any caller waits, in seconds.
-    pub fn longest(&self) -> f64 {
-        self.classes.iter().map(|c| c.longest).fold(0.0, f64::max)
+    pub fn max_wait(&self) -> f64 {
+        self.classes.iter().map(|c| c.max_wait).fold(0.0, f64::max)
     }
 }
 
@@ -111,10 +111,10 @@
     Own(Vec<Problem>),
     /// A variable or a field of the file has a value of no use.
     #[error("{0} cannot be {1:?}")]
-    Field(&'static str, String),
+    InvalidValue(&'static str, String),
     /// A figure of the file is out of all reason.
     #[error("{field} cannot be \"{value}\": expected {expected}")]
-    Figure {
+    OutOfRange {
         /// Where it stands.
         field: String,
         /// What it is.
@@ -221,12 +221,12 @@
 fn sound(settings: &Settings, link: &LinkSettings, limits: &Limits) -> Result<(), ConfigError> {
     let check = |field: String, value: f64, (expected, least, most): (&'static str, f64, f64)| match value {
         value if value >= least && value <= most => Ok(()),
-        value => Err(ConfigError::Figure { field, value, expected }),
+        value => Err(ConfigError::OutOfRange { field, value, expected }),
     };
     let classes = settings.classes.len();
     if classes == 0 || classes > hollypaddle_service::classes::MOST {
         let expected = "a list of 1 to 256 classes";
-        return Err(ConfigError::Figure {
+        return Err(ConfigError::OutOfRange {
             field: "settings.requestClasses".into(),
             value: classes as f64,
             expected,
@@ -234,7 +234,7 @@
     }
     for (n, (class, named)) in settings.classes.iter().zip(&link.request_classes).enumerate() {
         if named.name.is_empty() || link.request_classes[..n].iter().any(|c| c.name == named.name) {
-            return Err(ConfigError::Field("settings.requestClasses[].name", named.name.clone()));
+            return Err(ConfigError::InvalidValue("settings.requestClasses[].name", named.name.clone()));
         }
         let field = |name: &str| format!("settings.requestClasses[{n}].{name}");
         check(field("hardLimit"), class.hard_limit, TIME)?;
@@ -271,23 +271,24 @@
         let (name, listen) = (variable("PROXY_NAME")?, variable("PROXY_LISTEN")?);
         let path = PathBuf::from(variable("PROXY_CONFIG")?);
         let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::File(path, error))?;
-        let mut config = Config::read(name, &listen, &text)?;
+        let mut config = Config::parse(name, &listen, &text)?;
         // The variable wins over the file, as the platform gives both.
         if let Some(control) = std::env::var("PROXY_CONTROL").ok().filter(|c| !c.trim().is_empty()) {
-            let parsed = control.trim().parse().map_err(|_| ConfigError::Field("PROXY_CONTROL", control));
+            let parsed =
+                control.trim().parse().map_err(|_| ConfigError::InvalidValue("PROXY_CONTROL", control));
             config.control = Some(parsed?);
         }
         match own {
-            Some(own) => config.with_own(own),
+            Some(own) => config.with_own_file(own),
             None => Ok(config),
         }
     }
 
     /// Reads the own configuration file and checks it against the platform's names.
-    pub fn with_own(mut self, path: &Path) -> Result<Config, ConfigError> {
+    pub fn with_own_file(mut self, path: &Path) -> Result<Config, ConfigError> {
         let names = self.names();
         self.own_file = OwnFile::read(path, &names).map_err(ConfigError::Own)?;
-        self.own = self.own_file.with(&[], &names).map_err(ConfigError::Own)?;
+        self.own_conf = self.own_file.with(&[], &names).map_err(ConfigError::Own)?;
         Ok(self)
     }
 
@@ -299,29 +300,29 @@
     }
 
     /// The names in the settings of a file's text, which need not be whole otherwise.
-    pub fn names_in(text: &str) -> Result<Names, ConfigError> {
+    pub fn names_from_text(text: &str) -> Result<Names, ConfigError> {
         let file: NamesFile = serde_json::from_str(text)?;
         let classes = file.settings.request_classes.into_iter().map(|c| c.name).collect();
         Ok(Names { districts: Some(file.settings.zones), classes: Some(classes) })
     }
 
     /// Reads the file's text.
-    pub fn read(name: String, listen: &str, text: &str) -> Result<Config, ConfigError> {
+    pub fn parse(name: String, listen: &str, text: &str) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let address = |field, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| ConfigError::Field(field, text.to_string()))
+            text.parse::<SocketAddr>().map_err(|_| ConfigError::InvalidValue(field, text.to_string()))
         };
         let (mut settings, telemetry) = settings::read(file.settings.to_string().as_bytes())?;
         let link: LinkSettings = serde_json::from_value(file.settings)?;
         sound(&settings, &link, &file.limits)?;
         settings.try_limit = settings.try_limit.min(MOST_ATTEMPTS);
         let family = link.family_info;
-        let class = |(n, class): (usize, Class)| LinkClass {
+        let class = |(n, class): (usize, Class)| ProtocolClass {
             name: class.name,
-            longest: class.hard_limit,
+            max_wait: class.hard_limit,
             pools: family.pools_by_class.get(n).cloned().unwrap_or_default(),
             width: family.widths.get(n).copied(),
-            live: true,
+            accepts_calls: true,
         };
         let seed = u64::from_str_radix(&file.seed, 16);
         let names = link.request_classes.iter().map(|c| c.name.clone());
@@ -332,28 +333,28 @@
             classes: names.zip(settings.classes.iter().map(|c| c.goal_time)).collect(),
             fronts: settings.fronts,
         };
-        let states = telemetry.any();
-        let goal = settings.classes.iter().map(|c| c.goal_time).fold(LONGEST_GOAL, f64::min);
+        let servers_report_state = telemetry.any();
+        let min_goal_time = settings.classes.iter().map(|c| c.goal_time).fold(LONGEST_GOAL, f64::min);
         Ok(Config {
             name,
             platform,
-            own: Conf::default(),
+            own_conf: Conf::default(),
             own_file: OwnFile::default(),
             listen: address("PROXY_LISTEN", listen)?,
             control: file.control.as_deref().map(|c| address("control", c)).transpose()?,
             dns: address("dns", &file.dns)?,
-            memory: (file.limits.memory_mb.unwrap_or(MEMORY_MB) * 1048576.0) as usize,
-            sockets: file.limits.sockets.unwrap_or(SOCKETS),
-            seed: seed.map_err(|_| ConfigError::Field("seed", file.seed.clone()))?,
-            known: Snapshot::replay(file.known.pos, &file.known.entries, &link.zones),
+            memory_bytes: (file.limits.memory_mb.unwrap_or(MEMORY_MB) * 1048576.0) as usize,
+            max_sockets: file.limits.sockets.unwrap_or(SOCKETS),
+            seed: seed.map_err(|_| ConfigError::InvalidValue("seed", file.seed.clone()))?,
+            initial_list: Snapshot::replay(file.known.pos, &file.known.entries, &link.zones),
             settings,
             telemetry,
-            link: Link {
+            protocol: ProtocolSettings {
                 classes: link.request_classes.into_iter().enumerate().map(class).collect(),
                 connect_timeout: link.limits.connect_timeout,
                 drain_grace: link.safety.drain_grace,
-                states,
-                goal,
+                servers_report_state,
+                min_goal_time,
                 districts: link.zones,
                 connections: 1,
             },
--- a/crates/gatekeeper/src/node/config/tests.rs
+++ b/crates/gatekeeper/src/node/config/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn what_is_wrong_is_told_in_plain_words() {
     let read =
-        |listen: &str, text: &str| Config::read("n0".into(), listen, text).err().map(|e| e.to_string());
+        |listen: &str, text: &str| Config::parse("n0".into(), listen, text).err().map(|e| e.to_string());
     let file = |dns: &str, seed: &str| {
         format!(
             r#"{{"dns":"{dns}","seed":"{seed}","settings":{{"peersTotal":1,"period":0.005,
--- a/crates/gatekeeper/src/node/control.rs
+++ b/crates/gatekeeper/src/node/control.rs
@@ -14,18 +14,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 
 /// Connections at once; the rest wait until one is over.
-const MOST_CONNECTIONS: usize = 4;
+const MAX_CONNECTIONS: usize = 4;
 /// Longest question, and how long a connection may last, in seconds.
-const MOST_QUESTION: usize = 4096;
-const LASTS: f64 = 5.0;
+const MAX_QUERY_BYTES: usize = 4096;
+const MAX_CONNECTION_S: f64 = 5.0;
 
 /// What may be asked.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "ask", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Question {
+pub enum Query {
     /// What the gatekeeper is, and holds.
     Status {},
     /// The account of what crosses districts.
@@ -48,7 +48,7 @@
 }
 
 /// The socket and who is connected.
-pub struct Control {
+pub struct ControlSocket {
     listener: UnixListener,
     listener_key: Key,
     paused: bool,
@@ -56,10 +56,10 @@
     clients: BTreeMap<Key, Client>,
 }
 
-impl Control {
+impl ControlSocket {
     /// Listens at a path, for its owner alone. A socket that nobody listens on any more is replaced; one that
     /// answers, and any other file, stays and is an error.
-    pub fn listen(path: &Path, watch: &mut Watch) -> io::Result<Control> {
+    pub fn listen(path: &Path, poller: &mut Poller) -> io::Result<ControlSocket> {
         match fs::symlink_metadata(path) {
             Ok(meta) if !meta.file_type().is_socket() => {
                 return Err(io::Error::new(ErrorKind::AlreadyExists, "another file is there"));
@@ -82,9 +82,9 @@
             let _ = fs::remove_file(&new);
             return Err(error);
         }
-        let listener_key = watch.add(&listener, false)?;
+        let listener_key = poller.add(&listener, false)?;
         let (path, clients) = (path.to_path_buf(), BTreeMap::new());
-        Ok(Control { listener, listener_key, paused: false, path, clients })
+        Ok(ControlSocket { listener, listener_key, paused: false, path, clients })
     }
 
     /// Where it listens.
@@ -93,55 +93,55 @@
     }
 
     /// Stops, and takes its file away.
-    pub fn close(self, watch: &Watch) {
-        watch.remove(&self.listener);
-        self.clients.values().for_each(|c| watch.remove(&c.stream));
+    pub fn close(self, poller: &Poller) {
+        poller.remove(&self.listener);
+        self.clients.values().for_each(|c| poller.remove(&c.stream));
         let _ = fs::remove_file(&self.path);
     }
 
     /// Takes what is ready, if it is the control socket's. A whole question is returned, with the connection
-    /// that waits for [`Control::reply`].
-    pub fn ready(&mut self, now: f64, ready: Ready, watch: &mut Watch) -> Option<(Key, Question)> {
+    /// that waits for [`ControlSocket::reply`].
+    pub fn ready(&mut self, now: f64, ready: Ready, poller: &mut Poller) -> Option<(Key, Query)> {
         if ready.key == self.listener_key {
-            self.accept(now, watch);
+            self.accept(now, poller);
             return None;
         }
         let client = self.clients.get_mut(&ready.key)?;
         if client.output.is_some() {
-            self.write(ready.key, watch);
+            self.write(ready.key, poller);
             return None;
         }
         match client.read() {
             Ok(None) => {}
             Ok(Some(Ok(question))) => return Some((ready.key, question)),
-            Ok(Some(Err(told))) => self.reply(ready.key, &json!({ "error": told }), watch),
-            Err(_) => self.drop_client(ready.key, watch),
+            Ok(Some(Err(told))) => self.reply(ready.key, &json!({ "error": told }), poller),
+            Err(_) => self.drop_client(ready.key, poller),
         }
         None
     }
 
     /// Answers a question.
-    pub fn reply(&mut self, key: Key, told: &Value, watch: &Watch) {
+    pub fn reply(&mut self, key: Key, told: &Value, poller: &Poller) {
         if let Some(client) = self.clients.get_mut(&key) {
             client.output = Some((format!("{told}\n").into_bytes(), 0));
-            self.write(key, watch);
+            self.write(key, poller);
         }
     }
 
-    fn write(&mut self, key: Key, watch: &Watch) {
+    fn write(&mut self, key: Key, poller: &Poller) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.write() {
             // What it still sends is nobody's business, and would make it ready again and again.
-            Ok(false) => watch.set(key, &client.stream, false, true),
-            Ok(true) | Err(_) => self.drop_client(key, watch),
+            Ok(false) => poller.set_interest(key, &client.stream, false, true),
+            Ok(true) | Err(_) => self.drop_client(key, poller),
         }
     }
 
-    fn accept(&mut self, now: f64, watch: &mut Watch) {
-        while self.clients.len() < MOST_CONNECTIONS {
+    fn accept(&mut self, now: f64, poller: &mut Poller) {
+        while self.clients.len() < MAX_CONNECTIONS {
             let accepted = self.listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => {
@@ -154,32 +154,32 @@
             }
         }
         self.paused = true;
-        watch.set(self.listener_key, &self.listener, false, false);
+        poller.set_interest(self.listener_key, &self.listener, false, false);
     }
 
-    fn drop_client(&mut self, key: Key, watch: &Watch) {
+    fn drop_client(&mut self, key: Key, poller: &Poller) {
         if let Some(client) = self.clients.remove(&key) {
-            watch.remove(&client.stream);
+            poller.remove(&client.stream);
         }
     }
 
     /// Ends connections that last too long, and carries on after a pause. Called now and then.
-    pub fn beat(&mut self, now: f64, watch: &Watch) {
-        let old = self.clients.iter().filter(|(_, c)| now - c.since >= LASTS);
+    pub fn beat(&mut self, now: f64, poller: &Poller) {
+        let old = self.clients.iter().filter(|(_, c)| now - c.since >= MAX_CONNECTION_S);
         for key in old.map(|(key, _)| *key).collect::<Vec<_>>() {
-            self.drop_client(key, watch);
+            self.drop_client(key, poller);
         }
-        if self.paused && self.clients.len() < MOST_CONNECTIONS {
+        if self.paused && self.clients.len() < MAX_CONNECTIONS {
             self.paused = false;
-            watch.set(self.listener_key, &self.listener, true, false);
+            poller.set_interest(self.listener_key, &self.listener, true, false);
         }
     }
 }
 
 impl Client {
     /// Reads on, to a question or what is wrong with it; an error ends the connection.
-    fn read(&mut self) -> io::Result<Option<Result<Question, String>>> {
-        let mut chunk = [0; MOST_QUESTION];
+    fn read(&mut self) -> io::Result<Option<Result<Query, String>>> {
+        let mut chunk = [0; MAX_QUERY_BYTES];
         let ended = match self.stream.read(&mut chunk) {
             Ok(n) => {
                 self.input.extend(&chunk[..n]);
@@ -192,17 +192,17 @@
         if line.is_none() && ended {
             return Err(ErrorKind::UnexpectedEof.into());
         }
-        if line.is_none() && self.input.len() < MOST_QUESTION {
+        if line.is_none() && self.input.len() < MAX_QUERY_BYTES {
             return Ok(None);
         }
         let Some(line) = line else { return Ok(Some(Err("a question of 4096 bytes and more".into()))) };
-        let question = serde_json::from_slice::<Question>(&self.input[..line]);
+        let question = serde_json::from_slice::<Query>(&self.input[..line]);
         Ok(Some(question.map_err(|error| format!("no question: {error}"))))
     }
 
     /// Writes on; returns whether all is written.
     fn write(&mut self) -> io::Result<bool> {
         let Some((bytes, done)) = &mut self.output else { return Ok(false) };
-        super::output::write_on(&mut self.stream, bytes, done)
+        super::output::write_remaining(&mut self.stream, bytes, done)
     }
 }
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -13,16 +13,16 @@
 use self::stopping::{KILL_AFTER, KILL_RESERVE, LONGEST_WAIT};
 use super::clients::Clients;
 use super::clock::Clock;
-use super::components::{Room, Subjects};
-use super::config::{Config, LinkClass};
+use super::components::{ComponentContext, Components};
+use super::config::{Config, ProtocolClass};
 use super::gates::Gates;
-use super::http::Http;
-use super::poller::{Key, Watch};
+use super::http::HttpServer;
+use super::poller::{Key, Poller};
 use super::resolver::Resolver;
-use super::servers::{Servers, Turn};
+use super::servers::{Context, Servers};
 use hollypaddle_core::calls::Reply;
-use hollypaddle_core::calls::{Calls, Effect, Order};
-use hollypaddle_core::wheel::Wheel;
+use hollypaddle_core::calls::{Calls, Command, Effect};
+use hollypaddle_core::wheel::TimerWheel;
 use hollypaddle_policy::ClassSettings;
 use hollypaddle_service::classes::Table;
 use hollypaddle_service::descriptors::{self, Descriptors};
@@ -49,11 +49,11 @@
 const WAITING_SHARE: usize = 4;
 
 /// What a subject may reach, of a gatekeeper whose subjects are borrowed beside it.
-macro_rules! room {
+macro_rules! component_context {
     ($node:expr, $now:expr) => {
-        Room {
+        ComponentContext {
             now: $now,
-            watch: &mut $node.watch,
+            poller: &mut $node.poller,
             calls: &mut $node.calls,
             servers: &mut $node.servers,
             clients: &mut $node.clients,
@@ -73,7 +73,7 @@
 mod stopping;
 
 /// Whether set-ups of a class may be sent again, by its number.
-fn repeatable(classes: &Table<(ClassSettings, LinkClass)>) -> impl Fn(usize) -> bool + '_ {
+fn repeatable(classes: &Table<(ClassSettings, ProtocolClass)>) -> impl Fn(usize) -> bool + '_ {
     |class| classes.entries().get(class).is_some_and(|entry| entry.settings.0.repeatable)
 }
 
@@ -88,8 +88,8 @@
 /// One gatekeeper.
 pub struct Gatekeeper {
     clock: Clock,
-    watch: Watch,
-    wheel: Wheel<Timer>,
+    poller: Poller,
+    wheel: TimerWheel<Timer>,
     controller: Controller<Gates>,
     calls: Calls,
     clients: Clients,
@@ -107,18 +107,18 @@
     names: Names,
     fleet_entries: Vec<(String, String)>,
     /// What takes part beside callers, servers and resolver.
-    subjects: Subjects,
+    components: Components,
     seed: u64,
     /// When the resolver last told the whole list, or the file did.
     list_at: f64,
     /// The control address, readiness and lameduck, and the figures that it reports.
-    http: Option<Http>,
+    http: Option<HttpServer>,
     life: Lifecycle,
     figures: Figures,
     /// The names of the classes, by number.
     class_names: Vec<String>,
     /// The classes by number, since the start.
-    classes: Table<(ClassSettings, LinkClass)>,
+    classes: Table<(ClassSettings, ProtocolClass)>,
     started: f64,
     /// Calls of this turn whose caller could not be told that they stand.
     untold: Vec<u64>,
@@ -136,56 +136,60 @@
 impl Gatekeeper {
     /// Opens the sockets.
     pub fn new(config: Config) -> io::Result<Gatekeeper> {
-        Gatekeeper::on_clock(config, Clock::new())
+        Gatekeeper::with_clock(config, Clock::new())
     }
 
     /// Opens the sockets, with a clock of the caller's. On one that stands still no turn waits.
-    pub fn on_clock(config: Config, clock: Clock) -> io::Result<Gatekeeper> {
+    pub fn with_clock(config: Config, clock: Clock) -> io::Result<Gatekeeper> {
         let now = clock.now();
-        let mut watch = Watch::new()?;
-        let resolver =
-            Resolver::new(config.dns, config.known.position, config.seed, config.link.districts.clone())?;
-        let resolver_key = watch.add(resolver.socket(), false)?;
+        let mut poller = Poller::new()?;
+        let resolver = Resolver::new(
+            config.dns,
+            config.initial_list.position,
+            config.seed,
+            config.protocol.districts.clone(),
+        )?;
+        let resolver_key = poller.add(resolver.socket(), false)?;
         // The links to other gatekeepers come off what callers share with the rest, and so does the control address.
         let links =
-            config.own.fleet.as_ref().map_or(0, |fleet| super::tier::descriptors(fleet, &config.name));
-        let control = config.control.map_or(0, |_| super::http::MOST_CONNECTIONS + 1);
+            config.own_conf.fleet.as_ref().map_or(0, |fleet| super::tier::descriptors(fleet, &config.name));
+        let control = config.control.map_or(0, |_| super::http::MAX_CONNECTIONS + 1);
         let fixed = descriptors::FIXED + control;
-        let descriptors = Descriptors { all: config.sockets.saturating_sub(links), fixed };
-        let listed = config.known.servers.len();
+        let descriptors = Descriptors { all: config.max_sockets.saturating_sub(links), fixed };
+        let listed = config.initial_list.servers.len();
         if !descriptors.suffice(listed) {
-            log::warn!(sockets = config.sockets, servers = listed; "descriptors-short");
+            log::warn!(sockets = config.max_sockets, servers = listed; "descriptors-short");
         }
         let most = descriptors.divided(listed).callers;
         let clients = Clients::listen(
             config.listen,
             most,
-            config.memory / WAITING_SHARE,
-            config.link.classes.clone(),
-            &mut watch,
+            config.memory_bytes / WAITING_SHARE,
+            config.protocol.classes.clone(),
+            &mut poller,
         )?;
         let http = match config.control {
-            Some(address) => Some(Http::listen(address, &mut watch)?),
+            Some(address) => Some(HttpServer::listen(address, &mut poller)?),
             None => None,
         };
-        let class_names: Vec<String> = config.link.classes.iter().map(|c| c.name.clone()).collect();
-        let both = config.settings.classes.iter().cloned().zip(config.link.classes.iter().cloned());
+        let class_names: Vec<String> = config.protocol.classes.iter().map(|c| c.name.clone()).collect();
+        let both = config.settings.classes.iter().cloned().zip(config.protocol.classes.iter().cloned());
         let classes = Table::new(class_names.iter().cloned().zip(both));
         let figures = Figures::new(class_names.iter().map(String::as_str));
         let names = config.names();
         let given = config.settings;
         let mut settings = given.clone();
         settings.release += SOCKET_SLACK;
-        let ask_every = (config.link.drain_grace * ASK_PART).clamp(ASK_LEAST, ASK_MOST);
-        let last = config.link.longest().min(LONGEST_WAIT) + KILL_AFTER - KILL_RESERVE;
+        let ask_every = (config.protocol.drain_grace * ASK_PART).clamp(ASK_LEAST, ASK_MOST);
+        let last = config.protocol.max_wait().min(LONGEST_WAIT) + KILL_AFTER - KILL_RESERVE;
         let mut node = Gatekeeper {
             clock,
-            watch,
-            wheel: Wheel::new(now, TICK),
+            poller,
+            wheel: TimerWheel::new(now, TICK),
             controller: Controller::gated(settings, config.seed, Gates::default()),
-            calls: Calls::new(now, config.memory / HELD_SHARE),
+            calls: Calls::new(now, config.memory_bytes / HELD_SHARE),
             clients,
-            servers: Servers::new(config.link, config.telemetry, descriptors, config.seed),
+            servers: Servers::new(config.protocol, config.telemetry, descriptors, config.seed),
             resolver,
             resolver_key,
             settings: given,
@@ -194,7 +198,7 @@
             fleet_entries: Vec::new(),
             platform: config.platform,
             own: Conf::default(),
-            subjects: Subjects::default(),
+            components: Components::default(),
             seed: config.seed,
             list_at: now,
             http,
@@ -210,14 +214,14 @@
             #[cfg(test)]
             before_writing: None,
         };
-        node.calls.calls_last(node.settings.hold);
+        node.calls.set_mean_call_duration(node.settings.hold);
         node.clients.set_stay_away(node.settings.retry_after);
-        node.take_own(now, config.own)?;
-        let mut turn = Turn { now, watch: &mut node.watch, calls: &mut node.calls };
-        node.servers.list(&config.known, ListKind::Cached, &mut turn);
-        node.servers.beat(&mut turn);
-        node.wheel.set(now, Timer::Beat);
-        node.wheel.set(now, Timer::Ask);
+        node.take_own(now, config.own_conf)?;
+        let mut ctx = Context { now, poller: &mut node.poller, calls: &mut node.calls };
+        node.servers.list(&config.initial_list, ListKind::Cached, &mut ctx);
+        node.servers.beat(&mut ctx);
+        node.wheel.schedule(now, Timer::Beat);
+        node.wheel.schedule(now, Timer::Ask);
         node.decide(now);
         Ok(node)
     }
@@ -268,23 +272,23 @@
 
     /// Calls this between the next look at a caller's connection and what is written on it.
     #[cfg(test)]
-    pub fn after_next_look(&mut self, hook: impl FnOnce() + 'static) {
+    pub fn after_next_poll(&mut self, hook: impl FnOnce() + 'static) {
         self.clients.after_poll = Some(Box::new(hook));
     }
 
     /// Lets time pass at once.
-    pub fn skip(&mut self, seconds: f64) {
-        self.clock.skip(seconds);
+    pub fn advance_clock(&mut self, seconds: f64) {
+        self.clock.advance(seconds);
     }
 
     /// Whether it says that it takes clients.
     pub fn ready(&self) -> bool {
-        self.life.ready() && self.subjects.not_ready().is_none()
+        self.life.ready() && self.components.not_ready_reason().is_none()
     }
 
     /// The reports on members and on what is held of them, where a fleet is configured.
     pub fn fleet_reports(&self) -> Option<(Value, Value)> {
-        let fleet = self.subjects.fellows.fleet.as_ref()?;
+        let fleet = self.components.fleet.joined.as_ref()?;
         Some((fleet.report_members(self.clock.now()), fleet.report_replica(&self.calls)))
     }
 
@@ -295,76 +299,85 @@
     }
 
     /// One turn: waits, gathers, decides.
-    pub fn turn(&mut self) -> io::Result<()> {
-        let wait = match self.clock.runs() {
+    pub fn run_once(&mut self) -> io::Result<()> {
+        let wait = match self.clock.is_real_time() {
             true => {
                 let now = self.clock.now();
-                let wait = self.wheel.next_in(now).unwrap_or(BEAT).min(BEAT);
+                let wait = self.wheel.time_to_next(now).unwrap_or(BEAT).min(BEAT);
                 let wait = self.servers.release_due().map_or(wait, |at| wait.min((at - now).max(0.0)));
-                self.subjects.wants_turn_at().map_or(wait, |at| wait.min((at - now).max(GIVES)))
+                self.components.next_iteration_at().map_or(wait, |at| wait.min((at - now).max(GIVES)))
             }
             false => 0.0,
         };
-        let all = self.watch.wait(wait)?;
+        let all = self.poller.wait(wait)?;
         let now = self.clock.now();
-        let mut room = room!(self, now);
-        self.subjects.all().into_iter().for_each(|subject| subject.begin(&mut room));
+        let mut component_ctx = component_context!(self, now);
+        self.components
+            .all_mut()
+            .into_iter()
+            .for_each(|component| component.begin_iteration(&mut component_ctx));
         for ready in all {
-            let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
+            let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
             if ready.key == self.resolver_key {
                 if let Some(list) = self.resolver.read() {
-                    self.servers.list(&list, ListKind::Full, &mut turn);
+                    self.servers.list(&list, ListKind::Full, &mut ctx);
                     self.clients.set_most(self.servers.left_to_callers());
                 }
                 if self.resolver.confirmed() {
                     self.list_at = now;
                 }
             } else {
-                self.servers.ready(ready, &mut turn);
-                let mut room = room!(self, now);
-                self.subjects.all().into_iter().for_each(|subject| subject.heard(&mut room, ready));
-                self.clients.ready(now, ready, &mut self.watch, &mut self.calls);
+                self.servers.ready(ready, &mut ctx);
+                let mut component_ctx = component_context!(self, now);
+                self.components
+                    .all_mut()
+                    .into_iter()
+                    .for_each(|component| component.handle_ready(&mut component_ctx, ready));
+                self.clients.ready(now, ready, &mut self.poller, &mut self.calls);
                 for class in std::mem::take(&mut self.clients.turned_away) {
                     self.count(class, Outcome::Declined);
                 }
-                let called = self.http.as_mut().and_then(|h| h.ready(now, ready, &mut self.watch));
+                let called = self.http.as_mut().and_then(|h| h.ready(now, ready, &mut self.poller));
                 if let Some((key, call)) = called {
                     let bytes = self.call(now, call);
                     if let Some(http) = &mut self.http {
-                        http.reply(key, bytes, &self.watch);
+                        http.reply(key, bytes, &self.poller);
                     }
                 }
-                for (key, question) in std::mem::take(&mut self.subjects.control.asked) {
+                for (key, question) in std::mem::take(&mut self.components.control.asked) {
                     let told = self.answer(now, question);
-                    self.subjects.control.reply(key, &told, &self.watch);
+                    self.components.control.reply(key, &told, &self.poller);
                 }
             }
         }
-        self.servers.release_held(&mut Turn { now, watch: &mut self.watch, calls: &mut self.calls });
+        self.servers.release_held(&mut Context { now, poller: &mut self.poller, calls: &mut self.calls });
         let mut beat = false;
         for timer in self.wheel.advance(now) {
             match timer {
                 Timer::Module(token) => self.calls.events.push(Event::Timer { token }),
-                Timer::Deadline(call) => self.calls.deadline(now, call),
-                Timer::Limit(call, attempt) => self.calls.limit(call, attempt),
+                Timer::Deadline(call) => self.calls.deadline_passed(now, call),
+                Timer::Limit(call, attempt) => self.calls.attempt_timed_out(call, attempt),
                 Timer::Beat => {
-                    let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                    self.servers.beat(&mut turn);
-                    let mut room = room!(self, now);
-                    self.subjects.all().into_iter().for_each(|subject| subject.due(&mut room, &self.own));
+                    let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+                    self.servers.beat(&mut ctx);
+                    let mut component_ctx = component_context!(self, now);
+                    self.components
+                        .all_mut()
+                        .into_iter()
+                        .for_each(|component| component.on_heartbeat(&mut component_ctx, &self.own));
                     if let Some(http) = &mut self.http {
-                        http.beat(now, &self.watch);
+                        http.beat(now, &self.poller);
                     }
                     beat = true;
-                    self.wheel.set(now + BEAT, Timer::Beat);
+                    self.wheel.schedule(now + BEAT, Timer::Beat);
                 }
                 Timer::Ask => {
                     self.resolver.ask();
-                    self.wheel.set(now + self.ask_every, Timer::Ask);
+                    self.wheel.schedule(now + self.ask_every, Timer::Ask);
                 }
             }
         }
-        if let Some(set) = self.subjects.tier.offered() {
+        if let Some(set) = self.components.tier.offered() {
             self.take_settings(now, &set);
         }
         #[cfg(test)]
@@ -375,15 +388,18 @@
         if beat {
             // Only now is all said that this turn brought. Guards against a connection closed as idle while the end of the
             // call that kept it is on its way there.
-            self.clients.beat(now, &self.watch, &mut self.calls);
+            self.clients.beat(now, &self.poller, &mut self.calls);
             self.listen_as_told(now);
         }
         if beat || self.clients.drains_firmly(now) {
             self.drain(now);
             self.decide(now);
         }
-        let mut room = room!(self, now);
-        self.subjects.all().into_iter().for_each(|subject| subject.carry_out(&mut room));
+        let mut component_ctx = component_context!(self, now);
+        self.components
+            .all_mut()
+            .into_iter()
+            .for_each(|component| component.finish_iteration(&mut component_ctx));
         Ok(())
     }
 
@@ -392,29 +408,29 @@
     fn decide(&mut self, now: f64) {
         let mut actions = Vec::new();
         // Set-ups that waited for a connection, with nothing new in this turn.
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        if turn.calls.effects.is_empty() {
-            self.servers.send_waiting(&mut turn);
+        let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+        if ctx.calls.effects.is_empty() {
+            self.servers.send_waiting(&mut ctx);
         }
         while !(self.calls.events.is_empty() && self.calls.effects.is_empty()) {
             for effect in std::mem::take(&mut self.calls.effects) {
                 self.effect(now, effect);
             }
-            let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-            self.servers.send_waiting(&mut turn);
+            let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+            self.servers.send_waiting(&mut ctx);
             for mut event in std::mem::take(&mut self.calls.events) {
                 if let Event::List { entries, .. } = &mut event {
-                    self.subjects.overlay(entries, self.list_at);
+                    self.components.overlay(entries, self.list_at);
                 }
                 self.controller.handle(now, event, &mut actions);
             }
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { call, pool, limit } => self.calls.send(now, call, pool, limit),
+                    Action::Send { call, pool, limit } => self.calls.start_attempt(now, call, pool, limit),
                     Action::Refuse { call, retry_after } => self.calls.refuse(call, retry_after),
                     Action::Fail { call } => self.calls.fail(call),
                     Action::Cancel { call, attempt } => self.calls.cancel(call, attempt),
-                    Action::Timer { at, token } => self.wheel.set(at, Timer::Module(token)),
+                    Action::Timer { at, token } => self.wheel.schedule(at, Timer::Module(token)),
                     // Pools that shut and open again under load would fill the log with the traffic.
                     Action::Log(text) => log::debug!(text = text.as_str(); "module"),
                     // The list is asked for all the time.
@@ -427,51 +443,58 @@
 
     fn effect(&mut self, now: f64, effect: Effect) {
         match effect {
-            Effect::Caller { origin, id, class, reply } => {
+            Effect::Reply { origin, id, class, reply } => {
                 match reply {
-                    Reply::Stands(_) => self.count(class, Outcome::Succeeded),
+                    Reply::Established(_) => self.count(class, Outcome::Succeeded),
                     Reply::Refused(_) => self.count(class, Outcome::Declined),
                     Reply::Failed => self.count(class, Outcome::Aborted),
                     // The end of a call that stood, which had its final answer then.
-                    Reply::Over { .. } => {}
+                    Reply::Ended { .. } => {}
                 }
-                let stands = matches!(reply, Reply::Stands(_));
-                if matches!(reply, Reply::Over { .. }) && self.untold.contains(&id) {
+                let stands = matches!(reply, Reply::Established(_));
+                if matches!(reply, Reply::Ended { .. }) && self.untold.contains(&id) {
                     return;
                 }
-                if !self.clients.reply(now, origin, id, reply, &self.watch, &mut self.calls) && stands {
+                if !self.clients.reply(now, origin, id, reply, &self.poller, &mut self.calls) && stands {
                     // Its caller left together with the answer, and knows nothing of it: it must not stand on, and if its
                     // end came with the answer too, that is no news to anybody else.
                     self.untold.push(id);
                     self.calls.caller_release(now, id);
                 }
             }
-            Effect::Server { pool, id, order } => {
-                let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                self.servers.order(pool, id, order, &mut turn);
+            Effect::Command { pool, id, command } => {
+                let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+                self.servers.order(pool, id, command, &mut ctx);
             }
-            Effect::Stray { id } => self.servers.release_anywhere(now, id, &self.watch),
-            Effect::EndOfUnknown { id, cut, earlier, .. } => {
+            Effect::ReleaseEverywhere { id } => self.servers.release_anywhere(now, id, &self.poller),
+            Effect::UnknownCallEnded { id, cut, may_predate_start, .. } => {
                 // Of a call that another gatekeeper took: whoever hears of its end tells its caller.
-                if self.subjects.fellows.fleet.as_mut().is_some_and(|fleet| fleet.end(now, id, cut, earlier))
+                if self
+                    .components
+                    .fleet
+                    .joined
+                    .as_mut()
+                    .is_some_and(|fleet| fleet.end(now, id, cut, may_predate_start))
                 {
-                    self.calls.tell_end(id, cut);
+                    self.calls.report_end(id, cut);
                 }
             }
-            Effect::ReleaseOfUnknown { id, stray } => {
-                let Some(fleet) = &self.subjects.fellows.fleet else { return };
+            Effect::UnknownCallReleased { id, release_everywhere } => {
+                let Some(fleet) = &self.components.fleet.joined else { return };
                 match fleet.call(id).and_then(|call| fleet.pool(call.fact.server)) {
                     Some(pool) => {
                         self.calls.released_elsewhere(id);
-                        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                        self.servers.order(pool, id, Order::Release, &mut turn);
+                        let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+                        self.servers.order(pool, id, Command::Release, &mut ctx);
                     }
-                    None if stray => self.servers.release_anywhere(now, id, &self.watch),
+                    None if release_everywhere => self.servers.release_anywhere(now, id, &self.poller),
                     None => {}
                 }
             }
-            Effect::Deadline { call, at } => self.wheel.set(at, Timer::Deadline(call)),
-            Effect::Limit { call, attempt, at } => self.wheel.set(at, Timer::Limit(call, attempt)),
+            Effect::DeadlineTimer { call, at } => self.wheel.schedule(at, Timer::Deadline(call)),
+            Effect::AttemptTimer { call, attempt, at } => {
+                self.wheel.schedule(at, Timer::Limit(call, attempt))
+            }
         }
     }
 }
@@ -481,11 +504,11 @@
     /// close while callers wait for a place, an address that cannot be listened at.
     fn listen_as_told(&mut self, now: f64) {
         let (listening, may_listen) = (self.clients.listening(), self.life.listens(now));
-        if listening && !may_listen && self.clients.stop_listening(now, &mut self.watch, &mut self.calls) {
+        if listening && !may_listen && self.clients.stop_listening(now, &mut self.poller, &mut self.calls) {
             log::info!("listener-closed");
         }
         if !listening && self.life.phase() == Phase::Serving {
-            match self.clients.listen_again(&mut self.watch) {
+            match self.clients.listen_again(&mut self.poller) {
                 Ok(()) => log::info!("listener-open"),
                 Err(error) => log::warn!(error:%; "listener-failed"),
             }
--- a/crates/gatekeeper/src/node/event_loop/control.rs
+++ b/crates/gatekeeper/src/node/event_loop/control.rs
@@ -1,8 +1,8 @@
 //! What the control socket and the control address ask.
 
 use super::Gatekeeper;
-use crate::node::components::Room;
-use crate::node::control::Question;
+use crate::node::components::ComponentContext;
+use crate::node::control::Query;
 use hollypaddle_service::figures::Gauges;
 use hollypaddle_service::http::{self as control_http, Call};
 use hollypaddle_service::lifecycle::Phase;
@@ -10,9 +10,9 @@
 
 impl Gatekeeper {
     /// Answers a question of the control socket.
-    pub(super) fn answer(&mut self, now: f64, question: Question) -> Value {
+    pub(super) fn answer(&mut self, now: f64, question: Query) -> Value {
         match question {
-            Question::Status {} => {
+            Query::Status {} => {
                 let (open, standing) = self.calls.count();
                 let districts = &self.platform.districts;
                 let servers: Vec<Value> = (self.servers.status())
@@ -26,8 +26,12 @@
                     "standing": standing, "servers": servers}})
             }
             question => {
-                let mut room = room!(self, now);
-                let told = self.subjects.all().into_iter().find_map(|s| s.answer(&mut room, &question));
+                let mut component_ctx = component_context!(self, now);
+                let told = self
+                    .components
+                    .all_mut()
+                    .into_iter()
+                    .find_map(|s| s.answer(&mut component_ctx, &question));
                 told.unwrap_or_else(|| json!({"error": "nobody here answers that"}))
             }
         }
@@ -38,7 +42,7 @@
         let changed = match call {
             Call::Ready => {
                 return match self.life.phase() {
-                    Phase::Serving => match self.subjects.not_ready() {
+                    Phase::Serving => match self.components.not_ready_reason() {
                         Some(why) => control_http::answer(503, "text/plain", &format!("{why}\n")),
                         None => control_http::answer(200, "text/plain", "ready\n"),
                     },
@@ -91,7 +95,7 @@
         });
         // Written where the servers' sockets are, and counted there.
         report.forwards += self.calls.forwards;
-        report.fleet = self.subjects.fellows.fleet.as_ref().map(|fleet| fleet.figures(&self.calls));
+        report.fleet = self.components.fleet.joined.as_ref().map(|fleet| fleet.figures(&self.calls));
         report
     }
 }
--- a/crates/gatekeeper/src/node/event_loop/draining.rs
+++ b/crates/gatekeeper/src/node/event_loop/draining.rs
@@ -15,14 +15,14 @@
     /// While drained, lets connections go, and ends the calls that keep those which must not stay.
     pub(super) fn drain(&mut self, now: f64) {
         // Members of a fleet tell the ends that cannot be told here.
-        let fleet = self.subjects.fellows.fleet.as_ref();
+        let fleet = self.components.fleet.joined.as_ref();
         let told_elsewhere = fleet.is_some_and(|fleet| fleet.others_have_callers());
-        let orders = self.clients.drain(now, told_elsewhere, &self.watch, &mut self.calls);
+        let orders = self.clients.drain(now, told_elsewhere, &self.poller, &mut self.calls);
         for origin in orders.answer {
-            let open = self.calls.open_from(origin);
+            let open = self.calls.open_count(origin);
             log::info!(caller = origin, open; "drain-set-ups-answered");
             self.drained_calls.answered += open as u64;
-            self.calls.answer_from(origin, repeatable(&self.classes), self.clients.stay_away());
+            self.calls.answer_origin(origin, repeatable(&self.classes), self.clients.stay_away());
         }
         if orders.cut {
             let cut = self.calls.cut_standing(|origin| !orders.staying.contains(&origin));
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -1,10 +1,10 @@
 //! Settings and configurations that are read anew.
 
 use super::{Gatekeeper, SOCKET_SLACK};
-use crate::node::components::Room;
-use crate::node::config::{Config, ConfigError, LinkClass};
+use crate::node::components::ComponentContext;
+use crate::node::config::{Config, ConfigError, ProtocolClass};
 use crate::node::resolver;
-use crate::node::servers::Turn;
+use crate::node::servers::Context;
 use hollypaddle_config::{Conf, Problem};
 use hollypaddle_policy::{ClassSettings, ListKind, Settings};
 use hollypaddle_relay::settings::Set;
@@ -35,7 +35,7 @@
             }
         };
         // The fleet's settings stay in force beside the own file, as long as that has a tier.
-        let mut own = new.own.clone();
+        let mut own = new.own_conf.clone();
         let kept = own.fleet.as_ref().is_some_and(|fleet| fleet.tier.is_some());
         if kept && !self.fleet_entries.is_empty() {
             match new.own_file.with(&self.fleet_entries, &new.names()) {
@@ -44,7 +44,8 @@
             }
         }
         // What can fail comes first, so that all of the new configuration counts or nothing.
-        let opened = resolver::open(new.dns).and_then(|socket| Ok((self.watch.add(&socket, false)?, socket)));
+        let opened =
+            resolver::open(new.dns).and_then(|socket| Ok((self.poller.add(&socket, false)?, socket)));
         let (key, socket) = match opened {
             Ok(opened) => opened,
             Err(error) => {
@@ -52,11 +53,12 @@
                 return log::error!(resolver:% = new.dns, error:%; "resolver-failed");
             }
         };
-        let both = new.settings.classes.iter().cloned().zip(new.link.classes.iter().cloned());
-        let table = match self.classes.retuned(new.link.classes.iter().map(|c| c.name.clone()).zip(both)) {
+        let both = new.settings.classes.iter().cloned().zip(new.protocol.classes.iter().cloned());
+        let table = match self.classes.retuned(new.protocol.classes.iter().map(|c| c.name.clone()).zip(both))
+        {
             Ok(table) => table,
             Err(full) => {
-                self.watch.remove(&socket);
+                self.poller.remove(&socket);
                 self.figures.reloaded(false);
                 return log::warn!(error:% = full; "configuration-rejected");
             }
@@ -65,7 +67,7 @@
         let changes = match self.take_own(now, own) {
             Ok(changes) => changes,
             Err(error) => {
-                self.watch.remove(&socket);
+                self.poller.remove(&socket);
                 self.figures.reloaded(false);
                 return log::warn!(error:%; "configuration-rejected");
             }
@@ -74,11 +76,11 @@
         if !kept {
             self.fleet_entries.clear();
         }
-        self.watch.remove(&self.resolver.move_to(socket));
+        self.poller.remove(&self.resolver.move_to(socket));
         self.resolver_key = key;
-        if self.resolver.accept(new.known.position) {
-            let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-            self.servers.list(&new.known, ListKind::Full, &mut turn);
+        if self.resolver.accept(new.initial_list.position) {
+            let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+            self.servers.list(&new.initial_list, ListKind::Full, &mut ctx);
             self.clients.set_most(self.servers.left_to_callers());
         }
         let classes = table.changes(&self.classes);
@@ -93,7 +95,7 @@
             log::warn!("platform-changed");
         }
         // What did not fit the file as it was may fit it now.
-        if let Some(set) = self.subjects.tier.turned_down() {
+        if let Some(set) = self.components.tier.turned_down() {
             self.take_settings(now, &set);
         }
     }
@@ -129,34 +131,34 @@
                 log::warn!(version, reason = reason.as_str(); "fleet-settings-not-taken");
             }
         }
-        self.subjects.tier.verdict(version, taken.map(drop));
+        self.components.tier.verdict(version, taken.map(drop));
     }
 
     /// Takes what the own configuration file says now, all of it or nothing; returns what has changed in a word.
     pub(super) fn take_own(&mut self, now: f64, new: Conf) -> io::Result<String> {
-        let changes = self.subjects.take(&mut room!(self, now), &self.own, &new)?;
+        let changes = self.components.apply_config(&mut component_context!(self, now), &self.own, &new)?;
         self.own = new;
         Ok(if changes.is_empty() { "none".into() } else { changes.join(",") })
     }
 
     /// Takes settings read anew: the module gets them with every class number since the start, so that open
     /// calls keep the rules they came with; the sockets and the figures get the names.
-    fn retune(&mut self, mut settings: Settings, table: Table<(ClassSettings, LinkClass)>) {
+    fn retune(&mut self, mut settings: Settings, table: Table<(ClassSettings, ProtocolClass)>) {
         let entries = table.entries();
         settings.classes = entries.iter().map(|e| e.settings.0.clone()).collect();
         settings.release += SOCKET_SLACK;
-        self.calls.calls_last(settings.hold);
+        self.calls.set_mean_call_duration(settings.hold);
         self.clients.set_stay_away(settings.retry_after);
         self.controller.retune(settings);
-        let link = |e: &hollypaddle_service::classes::Entry<(ClassSettings, LinkClass)>| LinkClass {
-            live: e.live,
+        let link = |e: &hollypaddle_service::classes::Entry<(ClassSettings, ProtocolClass)>| ProtocolClass {
+            accepts_calls: e.live,
             ..e.settings.1.clone()
         };
-        let links: Vec<LinkClass> = entries.iter().map(link).collect();
+        let links: Vec<ProtocolClass> = entries.iter().map(link).collect();
         self.clients.set_classes(links.clone());
         self.servers.set_classes(links);
         self.class_names = entries.iter().map(|e| e.name.clone()).collect();
-        if let Some(fleet) = &mut self.subjects.fellows.fleet {
+        if let Some(fleet) = &mut self.components.fleet.joined {
             fleet.set_classes(&self.class_names);
         }
         self.figures.name(entries.iter().filter(|e| e.live).map(|e| e.name.as_str()));
--- a/crates/gatekeeper/src/node/event_loop/stopping.rs
+++ b/crates/gatekeeper/src/node/event_loop/stopping.rs
@@ -1,9 +1,9 @@
 //! The run of the program to its end: signals, and what is seen to after SIGTERM.
 
 use super::{repeatable, Gatekeeper, TICK};
-use crate::node::components::Room;
+use crate::node::components::ComponentContext;
 use crate::node::config::{Config, ConfigError};
-use crate::node::servers::Turn;
+use crate::node::servers::Context;
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -48,7 +48,7 @@
         let (mut stopping, mut closed): (Option<Stopping>, Option<f64>) = (None, None);
         let mut not_stopped_at = self.clock.now();
         loop {
-            self.turn()?;
+            self.run_once()?;
             let now = self.clock.now();
             if signals.reload.swap(false, Ordering::Relaxed) {
                 self.reload(load());
@@ -60,7 +60,7 @@
             not_stopped_at = now;
             if let Some(Stopping { seen_at, sent_after }) = stopping {
                 if now - seen_at >= LAST_REQUESTS {
-                    if closed.is_none() && self.clients.stop_listening(now, &mut self.watch, &mut self.calls)
+                    if closed.is_none() && self.clients.stop_listening(now, &mut self.poller, &mut self.calls)
                     {
                         closed = Some(now);
                     }
@@ -86,26 +86,30 @@
     pub(in crate::node) fn finish(&mut self, now: f64) -> io::Result<()> {
         let (open, standing) = self.calls.count();
         self.answer_rest(now);
-        let mut room = room!(self, now);
-        self.subjects.all().into_iter().rev().for_each(|subject| subject.end(&mut room));
+        let mut component_ctx = component_context!(self, now);
+        self.components
+            .all_mut()
+            .into_iter()
+            .rev()
+            .for_each(|component| component.shut_down(&mut component_ctx));
         if let Some(http) = self.http.take() {
-            http.close(&self.watch);
+            http.close(&self.poller);
         }
         // A process that ends with something unread resets its connections, and what is still to be written to one that takes
         // nothing now would be lost with it.
-        self.clients.close_all(now, &self.watch, &mut self.calls);
+        self.clients.close_all(now, &self.poller, &mut self.calls);
         let until = now + LAST_WORDS;
         while (self.clients.closing() || self.clients.listening()) && self.clock.now() < until {
-            let wait = if self.clock.runs() { (until - self.clock.now()).max(0.0) } else { 0.0 };
-            let all = self.watch.wait(wait)?;
-            if all.is_empty() && !self.clock.runs() {
-                self.clock.skip(TICK);
+            let wait = if self.clock.is_real_time() { (until - self.clock.now()).max(0.0) } else { 0.0 };
+            let all = self.poller.wait(wait)?;
+            if all.is_empty() && !self.clock.is_real_time() {
+                self.clock.advance(TICK);
             }
             for ready in all {
-                self.clients.ready(self.clock.now(), ready, &mut self.watch, &mut self.calls);
+                self.clients.ready(self.clock.now(), ready, &mut self.poller, &mut self.calls);
                 // What servers and the resolver still say is read away: what is ready would be so again at once.
-                let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                self.servers.ready(ready, &mut turn);
+                let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+                self.servers.ready(ready, &mut ctx);
                 if ready.key == self.resolver_key {
                     self.resolver.read();
                 }
@@ -113,7 +117,7 @@
             // Connections that were closed have left their descriptors to callers that still wait.
             if self.clients.listening() {
                 self.answer_rest(now);
-                self.clients.close_all(now, &self.watch, &mut self.calls);
+                self.clients.close_all(now, &self.poller, &mut self.calls);
             }
         }
         log::info!(refused = open, standing; "stopped");
@@ -123,8 +127,8 @@
     /// Answers all that has come by now, at the end of the program: a connection that ends with a set-up unread in it, or
     /// that is not accepted, has lost that.
     fn answer_rest(&mut self, now: f64) {
-        self.clients.take_last(now, &mut self.watch, &mut self.calls);
-        self.clients.read_all(now, &self.watch, &mut self.calls);
+        self.clients.take_last(now, &mut self.poller, &mut self.calls);
+        self.clients.read_all(now, &self.poller, &mut self.calls);
         self.answer_open(now);
         // What was read on the way to telling these.
         if self.calls.count().0 > 0 {
--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 use hollypaddle_config::Fleet as Conf;
-use hollypaddle_core::calls::{Calls, Change};
+use hollypaddle_core::calls::{CallChange, Calls};
 use hollypaddle_membership::{Life, MemberId};
 use hollypaddle_policy::{PoolEntry, PoolId};
 use hollypaddle_replica::adoption::Adopted;
@@ -22,7 +22,7 @@
 use super::events::{log_member_event, Lines};
 use super::hearsay::{Hearsay, Told};
 use super::peers::Peers;
-use super::poller::{Ready, Watch};
+use super::poller::{Poller, Ready};
 use super::servers::Servers;
 use hollypaddle_membership::view::{Change as Seen, State};
 
@@ -58,7 +58,7 @@
         name: &str,
         seed: u64,
         calls: &mut Calls,
-        watch: &mut Watch,
+        poller: &mut Poller,
     ) -> io::Result<Fleet> {
         let Some(own) = conf.own(name) else {
             let what = format!("{name:?} is no member of the block `fleet`");
@@ -68,9 +68,9 @@
         let life = new_life(now, seed);
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         let mut member = Member::new(now, id, life, conf.settings, members);
-        let mut peers = Peers::listen(id, conf.listen.unwrap_or(own.address), watch)?;
-        peers.members(now, named(conf), &mut member, watch);
-        calls.note_changes(true);
+        let mut peers = Peers::listen(id, conf.listen.unwrap_or(own.address), poller)?;
+        peers.members(now, named(conf), &mut member, poller);
+        calls.record_changes(true);
         log::info!(name = own.name.as_str(), listen:% = peers.address(), members = conf.members.len(), life:%; "fleet-joined");
         Ok(Fleet {
             conf: conf.clone(),
@@ -93,10 +93,10 @@
     }
 
     /// Takes members and settings read anew.
-    pub fn change(&mut self, now: f64, conf: &Conf, watch: &Watch) {
+    pub fn change(&mut self, now: f64, conf: &Conf, poller: &Poller) {
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         self.member.change(conf.settings, &members);
-        self.peers.members(now, named(conf), &mut self.member, watch);
+        self.peers.members(now, named(conf), &mut self.member, poller);
         self.conf = conf.clone();
     }
 
@@ -106,18 +106,18 @@
     }
 
     /// Leaves: says so, closes all links, and notes no more.
-    pub fn leave(mut self, now: f64, calls: &mut Calls, watch: &Watch) {
+    pub fn leave(mut self, now: f64, calls: &mut Calls, poller: &Poller) {
         self.tell(now, calls);
-        self.peers.say(now, &mut self.member, watch);
-        self.peers.leave(watch);
-        self.peers.shut(now, &mut self.member, watch);
-        calls.note_changes(false);
+        self.peers.say(now, &mut self.member, poller);
+        self.peers.leave(poller);
+        self.peers.shut(now, &mut self.member, poller);
+        calls.record_changes(false);
     }
 
     /// One that was joined and is not to count after all: closes its sockets, and touches nothing else.
-    pub fn undo(mut self, now: f64, watch: &Watch) {
-        self.peers.leave(watch);
-        self.peers.shut(now, &mut self.member, watch);
+    pub fn undo(mut self, now: f64, poller: &Poller) {
+        self.peers.leave(poller);
+        self.peers.shut(now, &mut self.member, poller);
     }
 
     /// Whether it may be said to be ready.
@@ -157,7 +157,7 @@
         let ready = self.member.ready();
         while let Some((_, id, cut)) = self.kept.pop_front_if(|(at, ..)| ready || now - *at >= KEPT_FOR) {
             if !self.member.store().told(id) {
-                calls.tell_end(id, cut);
+                calls.report_end(id, cut);
             }
         }
     }
@@ -189,8 +189,8 @@
     // ---- The three places of a turn
 
     /// Takes what is ready, if it is a link's.
-    pub fn heard(&mut self, now: f64, ready: Ready, watch: &mut Watch) {
-        self.peers.ready(now, ready, &mut self.member, watch);
+    pub fn heard(&mut self, now: f64, ready: Ready, poller: &mut Poller) {
+        self.peers.ready(now, ready, &mut self.member, poller);
     }
 
     /// What time brings, before anything that came is taken: after a pause nothing may be sent by what was believed.
@@ -211,11 +211,11 @@
         servers: &Servers,
         calls: &mut Calls,
         guard: &mut Guard,
-        watch: &mut Watch,
+        poller: &mut Poller,
     ) -> Vec<PoolEntry> {
-        self.peers.beat(now, &mut self.member, watch);
+        self.peers.beat(now, &mut self.member, poller);
         if self.member.view().superseded() {
-            self.peers.shut(now, &mut self.member, watch);
+            self.peers.shut(now, &mut self.member, poller);
         }
         self.told.tell(now, servers, &mut self.member);
         self.acts(now, calls);
@@ -226,24 +226,24 @@
     }
 
     /// Carries out: tells what has become of calls, and says what is due on every link that has room.
-    pub fn carry_out(&mut self, now: f64, calls: &mut Calls, watch: &Watch) {
+    pub fn carry_out(&mut self, now: f64, calls: &mut Calls, poller: &Poller) {
         self.tell(now, calls);
         self.acts(now, calls);
-        self.peers.say(now, &mut self.member, watch);
+        self.peers.say(now, &mut self.member, poller);
     }
 
     // ---- What is told
 
     fn tell(&mut self, now: f64, calls: &mut Calls) {
-        for change in calls.changes() {
+        for change in calls.take_changes() {
             match change {
-                Change::Stands { id, class, pool, since } => {
+                CallChange::Established { id, class, pool, since } => {
                     if let Some(server) = self.told.server(pool) {
                         let fact = CallFact { server, class: self.classes.get(class).copied().unwrap_or(0) };
                         self.member.stands(since, id, fact);
                     }
                 }
-                Change::Over { id } => {
+                CallChange::Ended { id } => {
                     self.unplaced.remove(&id);
                     self.member.ended(now, id);
                 }
@@ -267,10 +267,10 @@
                 },
                 Act::Yield(id) => {
                     self.unplaced.remove(&id);
-                    calls.yield_call(id);
+                    calls.drop_adopted(id);
                 }
                 Act::EndedElsewhere(id) => calls.ended_elsewhere(id),
-                Act::Tell(id, cut) => calls.tell_end(id, cut),
+                Act::Tell(id, cut) => calls.report_end(id, cut),
             }
         }
     }
@@ -285,7 +285,7 @@
                     placed.push(*id);
                 }
                 None if now - since >= self.conf.settings.lists_late => {
-                    calls.tell_end(*id, true);
+                    calls.report_end(*id, true);
                     placed.push(*id);
                 }
                 None => {}
@@ -319,7 +319,7 @@
             members_suspected: states(|s| matches!(s, State::Suspected(_))),
             members_gone: states(|s| matches!(s, State::Gone(_))),
             records: self.member.store().streams().map(|(_, s)| s.len() as u64).sum(),
-            calls_adopted_now: calls.adopted() as u64,
+            calls_adopted_now: calls.adopted_count() as u64,
             calls_adopted: counts.adopted,
             conflicts: counts.conflicts,
             copies_differed: counts.differed,
@@ -368,7 +368,7 @@
         json!({
             "streams": self.member.snapshot().iter().map(row).collect::<Vec<_>>(),
             "counts": self.member.counts, "links": self.peers.counts, "records_said": records, "given": given, "taken": taken,
-            "fetching": fetching, "adopted": calls.adopted(), "unplaced": self.unplaced.len(),
+            "fetching": fetching, "adopted": calls.adopted_count(), "unplaced": self.unplaced.len(),
         })
     }
 }
--- a/crates/gatekeeper/src/node/output.rs
+++ b/crates/gatekeeper/src/node/output.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind, Write};
 
 /// Writes on from `done`; returns whether all is written. A peer that takes nothing more for now is no error.
-pub fn write_on(stream: &mut impl Write, bytes: &[u8], done: &mut usize) -> io::Result<bool> {
+pub fn write_remaining(stream: &mut impl Write, bytes: &[u8], done: &mut usize) -> io::Result<bool> {
     while *done < bytes.len() {
         match stream.write(&bytes[*done..]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -19,7 +19,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::write_on;
+    use super::write_remaining;
     use std::io::{self, Write};
 
     /// Takes two bytes a call, and then nothing.
@@ -44,10 +44,10 @@
     fn what_is_not_taken_now_is_written_later() {
         let mut peer = Narrow(Vec::new(), 2);
         let mut done = 0;
-        assert!(!write_on(&mut peer, b"hello", &mut done).unwrap());
+        assert!(!write_remaining(&mut peer, b"hello", &mut done).unwrap());
         assert_eq!(done, 4);
         peer.1 = 5;
-        assert!(write_on(&mut peer, b"hello", &mut done).unwrap());
+        assert!(write_remaining(&mut peer, b"hello", &mut done).unwrap());
         assert_eq!(peer.0, b"hello");
     }
 }
