--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -20,7 +20,7 @@
 use postcard::ser_flavors::Size;
 
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 use super::servers::dial;
 
 /// Longest frame, with its length. The longest word is a piece of a stream, of some 15 KiB.
@@ -221,10 +221,10 @@
 
 impl Peers {
     /// Listens.
-    pub fn listen(own: MemberId, address: SocketAddr, watch: &mut Watch) -> io::Result<Peers> {
+    pub fn listen(own: MemberId, address: SocketAddr, poller: &mut Poller) -> io::Result<Peers> {
         let listener = bind(address, BACKLOG)?;
         let address = listener.local_addr()?;
-        let key = watch.add(&listener, false)?;
+        let key = poller.add(&listener, false)?;
         Ok(Peers {
             own,
             listener: Some((listener, key)),
@@ -248,7 +248,7 @@
         now: f64,
         all: impl Iterator<Item = (MemberId, String, SocketAddr)>,
         member: &mut Member,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         let others = all.filter(|(id, ..)| *id != self.own);
         let old = std::mem::take(&mut self.members);
@@ -264,7 +264,7 @@
             .filter(|(_, link)| link.member.is_some_and(|m| moved(&m) && old.contains_key(&m)))
             .map(|(key, _)| *key)
             .collect();
-        gone.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        gone.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
     }
 
     /// A member's name.
@@ -273,37 +273,37 @@
     }
 
     /// Takes no more links and closes those there are.
-    pub fn shut(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn shut(&mut self, now: f64, member: &mut Member, poller: &Poller) {
         if let Some((listener, _)) = self.listener.take() {
-            watch.remove(&listener);
+            poller.remove(&listener);
         }
         let keys: Vec<Key> = self.links.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        keys.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
         self.members.values_mut().for_each(|n| n.next_dial = f64::INFINITY);
     }
 
     /// Says that this member ends, to all.
-    pub fn leave(&mut self, watch: &Watch) {
+    pub fn leave(&mut self, poller: &Poller) {
         for (key, link) in self.links.iter_mut().filter(|(_, link)| link.greeted) {
-            link.say(*key, Word::Leave, watch, &mut self.counts);
+            link.say(*key, Word::Leave, poller, &mut self.counts);
         }
     }
 
     // ---- What happens on the sockets
 
     /// Takes what is ready, if it is a link's.
-    pub fn ready(&mut self, now: f64, ready: Ready, member: &mut Member, watch: &mut Watch) {
+    pub fn ready(&mut self, now: f64, ready: Ready, member: &mut Member, poller: &mut Poller) {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
-            return self.accept(now, watch, member);
+            return self.accept(now, poller, member);
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if !link.up {
-            return self.connected(now, ready.key, member, watch);
+            return self.connected(now, ready.key, member, poller);
         }
         if ready.writable && link.connection.flush().is_err() {
-            return self.drop_link(now, ready.key, member, watch);
+            return self.drop_link(now, ready.key, member, poller);
         }
-        link.watch(ready.key, watch);
+        link.watch(ready.key, poller);
         if !ready.readable {
             return;
         }
@@ -317,16 +317,16 @@
                 return;
             }
             self.counts.heard += 1;
-            if let Err(reason) = self.heard(now, ready.key, &word, member, watch) {
-                return self.refuse(now, ready.key, &reason, member, watch);
+            if let Err(reason) = self.heard(now, ready.key, &word, member, poller) {
+                return self.refuse(now, ready.key, &reason, member, poller);
             }
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, poller),
             Err(reason) => {
                 let error = LinkError::Unreadable(reason.to_string());
-                self.refuse(now, ready.key, &error, member, watch)
+                self.refuse(now, ready.key, &error, member, poller)
             }
         }
     }
@@ -337,7 +337,7 @@
         key: Key,
         word: &Word,
         member: &mut Member,
-        watch: &Watch,
+        poller: &Poller,
     ) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
         if let (true, Some(from)) = (link.greeted, link.member) {
@@ -358,7 +358,7 @@
         // Whoever makes the link says hello first, and hears which life of it is known here also if it is refused.
         if let (false, Word::Hello { from, .. }) = (link.dialed, word) {
             if self.members.contains_key(from) {
-                link.say(key, member.hello(now, *from), watch, &mut self.counts);
+                link.say(key, member.hello(now, *from), poller, &mut self.counts);
             }
         }
         let from = greeted?;
@@ -372,24 +372,24 @@
         // The end of an earlier one was not heard.
         if let Some(old) = self.by_member.insert(from, key).filter(|old| *old != key) {
             if let Some(link) = self.links.remove(&old) {
-                watch.remove(link.connection.stream());
+                poller.remove(link.connection.stream());
             }
         }
         Ok(())
     }
 
     /// Closes a link for what came on it.
-    fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, watch: &Watch) {
+    fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, poller: &Poller) {
         self.counts.refused += 1;
         let name = self.links.get(&key).and_then(|l| l.member).map(|m| self.name(m));
         let reason = error.name();
         log::debug!(member = name.as_deref().unwrap_or("-"), reason, error:%; "fleet-link-refused");
-        self.drop_link(now, key, member, watch);
+        self.drop_link(now, key, member, poller);
     }
 
-    fn drop_link(&mut self, now: f64, key: Key, member: &mut Member, watch: &Watch) {
+    fn drop_link(&mut self, now: f64, key: Key, member: &mut Member, poller: &Poller) {
         let Some(link) = self.links.remove(&key) else { return };
-        watch.remove(link.connection.stream());
+        poller.remove(link.connection.stream());
         let Some(of) = link.member else { return };
         if self.by_member.get(&of) == Some(&key) {
             self.by_member.remove(&of);
@@ -400,20 +400,20 @@
         }
     }
 
-    fn accept(&mut self, now: f64, watch: &mut Watch, member: &mut Member) {
+    fn accept(&mut self, now: f64, poller: &mut Poller, member: &mut Member) {
         loop {
             let strangers = self.links.iter().filter(|(_, l)| !l.greeted && !l.dialed);
             let oldest =
                 strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| *key);
             if let Some(oldest) = oldest.filter(|_| strangers.count() >= MOST_STRANGERS) {
                 self.counts.refused += 1;
-                self.drop_link(now, oldest, member, watch);
+                self.drop_link(now, oldest, member, poller);
             }
             let Some((listener, listener_key)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, None))),
@@ -426,13 +426,13 @@
                 // Descriptors are short: those who wait are taken at the next beat.
                 Err(_) => {
                     self.paused = true;
-                    return watch.set(*listener_key, listener, false, false);
+                    return poller.set_interest(*listener_key, listener, false, false);
                 }
             }
         }
     }
 
-    fn connected(&mut self, now: f64, key: Key, member: &mut Member, watch: &Watch) {
+    fn connected(&mut self, now: f64, key: Key, member: &mut Member, poller: &Poller) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let stream = link.connection.stream();
         let result = match stream.take_error() {
@@ -441,16 +441,16 @@
         };
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
-            Err(error) => self.failed(now, key, &error, member, watch),
+            Err(error) => self.failed(now, key, &error, member, poller),
             Ok(()) => {
                 let Some(to) = link.member else { return };
                 (link.up, link.since) = (true, now);
-                link.say(key, member.hello(now, to), watch, &mut self.counts);
+                link.say(key, member.hello(now, to), poller, &mut self.counts);
             }
         }
     }
 
-    fn failed(&mut self, now: f64, key: Key, error: &io::Error, member: &mut Member, watch: &Watch) {
+    fn failed(&mut self, now: f64, key: Key, error: &io::Error, member: &mut Member, poller: &Poller) {
         let Some(of) = self.links.get(&key).and_then(|link| link.member) else { return };
         let refused = error.kind() == ErrorKind::ConnectionRefused;
         if refused {
@@ -459,20 +459,20 @@
         if let Some(named) = self.members.get_mut(&of) {
             named.pause = if refused { DIAL } else { (named.pause * 2.0).min(DIAL_MOST) };
         }
-        self.drop_link(now, key, member, watch);
+        self.drop_link(now, key, member, poller);
     }
 
     /// Makes links that are lacking and closes those that come to nothing. Called now and then.
-    pub fn beat(&mut self, now: f64, member: &mut Member, watch: &mut Watch) {
+    pub fn beat(&mut self, now: f64, member: &mut Member, poller: &mut Poller) {
         if let (true, Some((listener, key))) = (self.paused, &self.listener) {
             self.paused = false;
-            watch.set(*key, listener, true, false);
+            poller.set_interest(*key, listener, true, false);
         }
         let late = |l: &Link| !l.greeted && now - l.since >= GREETING;
         let late: Vec<Key> = self.links.iter().filter(|(_, l)| late(l)).map(|(key, _)| *key).collect();
         for key in late {
-            self.failed(now, key, &ErrorKind::TimedOut.into(), member, watch);
-            self.drop_link(now, key, member, watch);
+            self.failed(now, key, &ErrorKind::TimedOut.into(), member, poller);
+            self.drop_link(now, key, member, poller);
         }
         if member.view().superseded() || self.listener.is_none() {
             return;
@@ -490,7 +490,7 @@
             if let Some(named) = self.members.get_mut(&id) {
                 named.next_dial = now + named.pause;
             }
-            match dial(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
+            match dial(address).and_then(|stream| Ok((poller.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.refused(now, id),
                 // A want of descriptors, or a way that is not there: it tells nothing of the member.
@@ -500,7 +500,7 @@
     }
 
     /// Says what is due on every link that has room.
-    pub fn say(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn say(&mut self, now: f64, member: &mut Member, poller: &Poller) {
         let mut stuck = Vec::new();
         for (&key, link) in self.links.iter_mut().filter(|(_, link)| link.greeted) {
             let Some(to) = link.member else { continue };
@@ -509,13 +509,13 @@
                     break;
                 }
                 let Some(word) = member.say(now, to) else { break };
-                if !link.say(key, word, watch, &mut self.counts) {
+                if !link.say(key, word, poller, &mut self.counts) {
                     stuck.push(key);
                     break;
                 }
             }
         }
-        stuck.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        stuck.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
     }
 }
 
@@ -536,7 +536,7 @@
     }
 
     /// Says a word; returns whether the link still is of use.
-    fn say(&mut self, key: Key, word: Word, watch: &Watch, counts: &mut Counts) -> bool {
+    fn say(&mut self, key: Key, word: Word, poller: &Poller, counts: &mut Counts) -> bool {
         let before = self.connection.queued();
         let framed = Framed(word);
         let sent = self.connection.send(&framed);
@@ -544,15 +544,15 @@
         counts.said += 1;
         counts.bytes += bytes;
         counts.split.count(&framed.0, bytes);
-        self.watch(key, watch);
+        self.watch(key, poller);
         sent.is_ok()
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let writing = !self.up || self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+            poller.set_interest(key, self.connection.stream(), true, writing);
         }
     }
 }
--- a/crates/gatekeeper/src/node/poller.rs
+++ b/crates/gatekeeper/src/node/poller.rs
@@ -4,7 +4,7 @@
 use std::os::fd::{AsFd, AsRawFd};
 use std::time::Duration;
 
-use polling::{Event, Events, PollMode, Poller};
+use polling::{Event, Events, PollMode, Poller as OsPoller};
 
 /// Names a watched source. Keys are never used again, so news of a closed source finds nobody.
 pub type Key = usize;
@@ -21,16 +21,16 @@
 }
 
 /// Watches sources.
-pub struct Watch {
-    poller: Poller,
+pub struct Poller {
+    poller: OsPoller,
     events: Events,
     next: Key,
 }
 
-impl Watch {
+impl Poller {
     /// Watches nothing yet.
-    pub fn new() -> io::Result<Watch> {
-        Ok(Watch { poller: Poller::new()?, events: Events::new(), next: 0 })
+    pub fn new() -> io::Result<Poller> {
+        Ok(Poller { poller: OsPoller::new()?, events: Events::new(), next: 0 })
     }
 
     /// Starts to watch a source for reading, and for writing if asked.
@@ -46,7 +46,7 @@
     }
 
     /// Changes what a source is watched for.
-    pub fn set(&self, key: Key, source: &impl AsFd, reading: bool, writing: bool) {
+    pub fn set_interest(&self, key: Key, source: &impl AsFd, reading: bool, writing: bool) {
         let interest = Event::new(key, reading, writing);
         if let Err(error) = self.poller.modify_with_mode(source, interest, PollMode::Level) {
             log::error!(error:%; "poller-failed");
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -19,7 +19,7 @@
 use socket2::SockRef;
 
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 use super::servers::dial;
 
 /// Bytes of a message that may wait for a link to take them.
@@ -156,12 +156,12 @@
 
 impl Links {
     /// Opens the listener, where there is one, for so many links at once.
-    pub fn open(listen: Option<SocketAddr>, most: usize, watch: &mut Watch) -> io::Result<Links> {
+    pub fn open(listen: Option<SocketAddr>, most: usize, poller: &mut Poller) -> io::Result<Links> {
         let (mut listener, mut address) = (None, None);
         if let Some(listen) = listen {
             let opened = bind(listen, BACKLOG)?;
             address = Some(opened.local_addr()?);
-            let key = watch.add(&opened, false)?;
+            let key = poller.add(&opened, false)?;
             listener = Some((opened, key));
         }
         Ok(Links {
@@ -188,13 +188,13 @@
         most: usize,
         addresses: BTreeMap<MemberId, SocketAddr>,
         node: &mut dyn Node,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         self.most = most;
         let moved = |link: &Link| link.to.is_some_and(|to| self.addresses.get(&to) != addresses.get(&to));
         let keys: Vec<Key> = self.links.iter().filter(|(_, l)| moved(l)).map(|(key, _)| *key).collect();
         self.addresses = addresses;
-        keys.into_iter().for_each(|key| self.lose(now, key, false, node, watch));
+        keys.into_iter().for_each(|key| self.lose(now, key, false, node, poller));
     }
 
     /// How many links there are.
@@ -218,14 +218,14 @@
     }
 
     /// Closes all sockets, with what can be written of what was said.
-    pub fn shut(mut self, watch: &Watch) {
+    pub fn shut(mut self, poller: &Poller) {
         if let Some((listener, _)) = self.listener.take() {
-            watch.remove(&listener);
+            poller.remove(&listener);
         }
         for link in self.links.values_mut() {
             // Where it takes no more now, the peer finds its link closed.
             let _ = link.connection.flush();
-            watch.remove(link.connection.stream());
+            poller.remove(link.connection.stream());
         }
     }
 
@@ -237,41 +237,41 @@
     }
 
     /// Takes what is ready, if it is a link's or the listener; returns whether it is.
-    pub fn ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &mut Watch) -> bool {
+    pub fn ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, poller: &mut Poller) -> bool {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
-            self.accept(now, node, watch);
+            self.accept(now, node, poller);
             return true;
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return false };
         if link.closing.is_some() {
             // The peer's end comes, or an error; what it still says is nobody's business.
             if link.connection.flush().is_err() || link.connection.pass_over().is_err() {
-                self.drop_link(ready.key, watch);
+                self.drop_link(ready.key, poller);
             } else {
-                link.watch(ready.key, watch);
+                link.watch(ready.key, poller);
                 self.finish(ready.key);
             }
         } else if !link.up {
-            self.connected(now, ready.key, node, watch);
+            self.connected(now, ready.key, node, poller);
         } else {
-            self.read_and_write(now, ready, node, watch);
+            self.read_and_write(now, ready, node, poller);
         }
         true
     }
 
-    fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &Watch) {
+    fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, poller: &Poller) {
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if ready.writable {
             let waited = link.connection.blocked();
             if link.connection.flush().is_err() {
-                return self.lose(now, ready.key, false, node, watch);
+                return self.lose(now, ready.key, false, node, poller);
             }
             link.progress(now);
             if waited && !link.connection.blocked() {
                 node.writable(now, link.id);
             }
         }
-        link.watch(ready.key, watch);
+        link.watch(ready.key, poller);
         if !ready.readable {
             return;
         }
@@ -282,7 +282,7 @@
             self.counts.bytes_heard += length;
             self.counts.unknown += u64::from(matches!(message, Message::Unknown(_)));
             if let Err(error) = node.hear(now, id, &message) {
-                return self.refuse(now, ready.key, &error.into(), node, watch);
+                return self.refuse(now, ready.key, &error.into(), node, poller);
             }
             if let Some(link) = self.links.get_mut(&ready.key) {
                 link.known = true;
@@ -290,34 +290,34 @@
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.lose(now, ready.key, false, node, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.lose(now, ready.key, false, node, poller),
             Err(reason) => {
                 let error = RelayLinkError::Unreadable(reason.to_string());
-                self.refuse(now, ready.key, &error, node, watch);
+                self.refuse(now, ready.key, &error, node, poller);
             }
         }
     }
 
-    fn accept(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    fn accept(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         loop {
             let strangers = self.links.iter().filter(|(_, l)| l.stranger());
             let oldest = strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since));
             let oldest = oldest.map(|(key, link)| (*key, link.since));
             if strangers.count() >= MOST_STRANGERS {
                 match oldest.filter(|(_, since)| now - since >= STRANGER) {
-                    Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, watch),
-                    None => return self.pause(watch),
+                    Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, poller),
+                    None => return self.pause(poller),
                 }
             }
             if self.links.len() >= self.most {
-                return self.pause(watch);
+                return self.pause(poller);
             }
             let Some((listener, _)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => {
@@ -331,16 +331,16 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset
                     ) => {}
                 // Descriptors are short.
-                Err(_) => return self.pause(watch),
+                Err(_) => return self.pause(poller),
             }
         }
     }
 
     /// Those who wait are taken at the next beat.
-    fn pause(&mut self, watch: &Watch) {
+    fn pause(&mut self, poller: &Poller) {
         if let Some((listener, key)) = &self.listener {
             self.paused = true;
-            watch.set(*key, listener, false, false);
+            poller.set_interest(*key, listener, false, false);
         }
     }
 
@@ -349,7 +349,7 @@
         self.links.insert(key, link);
     }
 
-    fn connected(&mut self, now: f64, key: Key, node: &mut dyn Node, watch: &Watch) {
+    fn connected(&mut self, now: f64, key: Key, node: &mut dyn Node, poller: &Poller) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let stream = link.connection.stream();
         let result = match stream.take_error() {
@@ -358,10 +358,10 @@
         };
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
-            Err(error) => self.lose(now, key, error.kind() == ErrorKind::ConnectionRefused, node, watch),
+            Err(error) => self.lose(now, key, error.kind() == ErrorKind::ConnectionRefused, node, poller),
             Ok(()) => {
                 (link.up, link.since) = (true, now);
-                link.watch(key, watch);
+                link.watch(key, poller);
                 node.up(now, link.id);
             }
         }
@@ -370,7 +370,7 @@
     // ---- The end of a link
 
     /// Closes a link for what came on it or did not, and tells its node.
-    fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, watch: &Watch) {
+    fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, poller: &Poller) {
         self.counts.refused += 1;
         self.counts.stuck += u64::from(matches!(error, RelayLinkError::Stuck));
         let link = self.links.get(&key);
@@ -379,7 +379,7 @@
         log::debug!(peer, reason, error:%; "relay-link-refused");
         let taken = matches!(error, RelayLinkError::Node(_));
         let Some(link) = self.links.get_mut(&key).filter(|l| taken && l.up && l.closing.is_none()) else {
-            return self.lose(now, key, false, node, watch);
+            return self.lose(now, key, false, node, poller);
         };
         // A node may answer what it refuses: another relay hears which life of it is known here.
         for _ in 0..MOST_SAID {
@@ -391,21 +391,21 @@
         }
         let id = link.id;
         node.down(now, id, false);
-        self.close(now, id, watch);
+        self.close(now, id, poller);
     }
 
     /// A link is down.
-    fn lose(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, watch: &Watch) {
+    fn lose(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, poller: &Poller) {
         let live = self.links.get(&key).filter(|link| link.closing.is_none()).map(|link| link.id);
-        self.drop_link(key, watch);
+        self.drop_link(key, poller);
         if let Some(id) = live {
             node.down(now, id, refused);
         }
     }
 
-    fn drop_link(&mut self, key: Key, watch: &Watch) {
+    fn drop_link(&mut self, key: Key, poller: &Poller) {
         if let Some(link) = self.links.remove(&key) {
-            watch.remove(link.connection.stream());
+            poller.remove(link.connection.stream());
             if self.by_id.get(&link.id) == Some(&key) {
                 self.by_id.remove(&link.id);
             }
@@ -414,11 +414,11 @@
 
     /// The node wants no more of a link: it is closed once what was said on it is written and the peer has closed it too,
     /// so that the last message is not lost with what was not read here.
-    fn close(&mut self, now: f64, id: LinkId, watch: &Watch) {
+    fn close(&mut self, now: f64, id: LinkId, poller: &Poller) {
         let Some(key) = self.by_id.remove(&id) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
         match link.up {
-            false => self.drop_link(key, watch),
+            false => self.drop_link(key, poller),
             true => {
                 link.closing = Some(now);
                 self.finish(key);
@@ -437,14 +437,14 @@
     // ---- The two places of a turn
 
     /// Looks after links that come to nothing. Called now and then.
-    pub fn beat(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn beat(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         let keys: Vec<Key> = self.links.keys().copied().collect();
         for key in keys {
             let Some(link) = self.links.get_mut(&key) else { continue };
             link.progress(now);
             let error = match () {
                 () if link.closing.is_some_and(|since| now - since >= CLOSING) => {
-                    self.drop_link(key, watch);
+                    self.drop_link(key, poller);
                     continue;
                 }
                 () if link.closing.is_some() => continue,
@@ -453,18 +453,18 @@
                 () if now - link.written.1 >= STUCK => RelayLinkError::Stuck,
                 () => continue,
             };
-            self.refuse(now, key, &error, node, watch);
+            self.refuse(now, key, &error, node, poller);
         }
         if std::mem::take(&mut self.paused) {
             if let Some((listener, key)) = &self.listener {
-                watch.set(*key, listener, true, false);
+                poller.set_interest(*key, listener, true, false);
             }
-            self.accept(now, node, watch);
+            self.accept(now, node, poller);
         }
     }
 
     /// Closes, makes and says what the node wants. Called at the end of a turn.
-    pub fn carry_out(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn carry_out(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         for (id, to) in node.dials(now) {
             let dialed = match self.addresses.get(&to) {
                 Some(address) => dial(*address),
@@ -472,7 +472,7 @@
             };
             let made = dialed.and_then(|stream| {
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER)?;
-                Ok((watch.add(&stream, true)?, stream))
+                Ok((poller.add(&stream, true)?, stream))
             });
             match made {
                 Ok((key, stream)) => self.insert(key, Link::new(now, id, Some(to), stream)),
@@ -509,11 +509,11 @@
                 }
             }
             link.progress(now);
-            link.watch(key, watch);
+            link.watch(key, poller);
         }
-        broken.into_iter().for_each(|key| self.lose(now, key, false, node, watch));
+        broken.into_iter().for_each(|key| self.lose(now, key, false, node, poller));
         for id in node.closes() {
-            self.close(now, id, watch);
+            self.close(now, id, poller);
         }
     }
 }
@@ -547,11 +547,11 @@
         }
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let writing = !self.up || self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+            poller.set_interest(key, self.connection.stream(), true, writing);
         }
     }
 }
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -96,7 +96,7 @@
 
 /// A node with its links, and the time.
 struct Front {
-    watch: Watch,
+    poller: Poller,
     links: Links,
     node: Noted,
     begun: Instant,
@@ -106,10 +106,10 @@
 
 impl Front {
     fn new(listens: bool, most: usize) -> Front {
-        let mut watch = Watch::new().unwrap();
+        let mut poller = Poller::new().unwrap();
         let listen = listens.then(|| (Ipv4Addr::LOCALHOST, 0).into());
-        let links = Links::open(listen, most, &mut watch).unwrap();
-        Front { watch, links, node: Noted::default(), begun: Instant::now(), skipped: 0.0 }
+        let links = Links::open(listen, most, &mut poller).unwrap();
+        Front { poller, links, node: Noted::default(), begun: Instant::now(), skipped: 0.0 }
     }
 
     fn now(&self) -> f64 {
@@ -118,11 +118,11 @@
 
     fn turn(&mut self) {
         let now = self.now();
-        for ready in self.watch.wait(0.002).unwrap() {
-            self.links.ready(now, ready, &mut self.node, &mut self.watch);
+        for ready in self.poller.wait(0.002).unwrap() {
+            self.links.ready(now, ready, &mut self.node, &mut self.poller);
         }
-        self.links.beat(now, &mut self.node, &mut self.watch);
-        self.links.carry_out(now, &mut self.node, &mut self.watch);
+        self.links.beat(now, &mut self.node, &mut self.poller);
+        self.links.carry_out(now, &mut self.node, &mut self.poller);
     }
 
     /// Turns until something holds; fails where it does not in time.
@@ -143,7 +143,7 @@
     fn knows(&mut self, member: MemberId, address: SocketAddr) {
         let addresses = BTreeMap::from([(member, address)]);
         let now = self.now();
-        self.links.change(now, 100, addresses, &mut self.node, &self.watch);
+        self.links.change(now, 100, addresses, &mut self.node, &self.poller);
     }
 }
 
--- a/crates/gatekeeper/src/node/servers/channel.rs
+++ b/crates/gatekeeper/src/node/servers/channel.rs
@@ -10,9 +10,9 @@
 use socket2::{Domain, Socket, Type};
 
 use super::release::Release;
-use super::Turn;
+use super::Context;
 use crate::node::delivery::Pending;
-use crate::node::poller::{Key, Watch};
+use crate::node::poller::{Key, Poller};
 
 /// What Linux says of a connection that is on its way.
 const EINPROGRESS: i32 = 115;
@@ -47,7 +47,7 @@
 impl Channel {
     /// Sends a message; returns where it ends in the stream. A broken connection is found ready with its
     /// end, in its turn.
-    pub(super) fn send(&mut self, key: Key, message: &Message, watch: &Watch) -> Option<u64> {
+    pub(super) fn send(&mut self, key: Key, message: &Message, poller: &Poller) -> Option<u64> {
         let end = match self.connection.send(message) {
             Ok(end) => Some(end),
             Err(error) => {
@@ -58,7 +58,7 @@
                 None
             }
         };
-        self.watch(key, watch);
+        self.watch(key, poller);
         end
     }
 
@@ -69,19 +69,19 @@
     }
 
     /// Reports the give-ups that are out.
-    pub(super) fn report_give_ups(&mut self, pool: PoolId, key: Key, turn: &mut Turn) {
+    pub(super) fn report_give_ups(&mut self, pool: PoolId, key: Key, ctx: &mut Context) {
         let written = self.connection.written();
         while let Some((_, id)) = self.give_ups.pop_front_if(|(end, _)| *end <= written) {
-            turn.calls.gave_up(pool, id);
+            ctx.calls.give_up_written(pool, id);
         }
-        self.watch(key, turn.watch);
+        self.watch(key, ctx.poller);
     }
 
-    pub(super) fn watch(&mut self, key: Key, watch: &Watch) {
+    pub(super) fn watch(&mut self, key: Key, poller: &Poller) {
         let writing = !self.up || self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+            poller.set_interest(key, self.connection.stream(), true, writing);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/releases.rs
+++ b/crates/gatekeeper/src/node/servers/releases.rs
@@ -15,8 +15,8 @@
 
 use super::channel::{last_heard, Channel};
 use super::release::Release;
-use super::{Server, Turn};
-use crate::node::poller::{Key, Watch};
+use super::{Context, Server};
+use crate::node::poller::{Key, Poller};
 
 /// Releases kept for a server that could not be sent.
 const MAX_UNSENT: usize = 4096;
@@ -69,28 +69,28 @@
 
 impl Server {
     /// Releases a call, or keeps its release for the next connection, which is due.
-    pub(super) fn release(&mut self, now: f64, id: u64, watch: &Watch) {
+    pub(super) fn release(&mut self, now: f64, id: u64, poller: &Poller) {
         let release = Release::new(now, id);
-        if !self.send_release(now, release, watch) {
+        if !self.send_release(now, release, poller) {
             self.keep_unsent(release);
         }
     }
 
     /// Sends the releases that are kept, where a connection is up.
-    pub(super) fn send_kept_releases(&mut self, turn: &mut Turn) {
+    pub(super) fn send_kept_releases(&mut self, ctx: &mut Context) {
         if last_heard(&mut self.channels).is_none() {
             return;
         }
         for release in std::mem::take(&mut self.releases.unsent) {
-            if !self.send_release(turn.now, release, turn.watch) {
+            if !self.send_release(ctx.now, release, ctx.poller) {
                 self.keep_unsent(release);
             }
         }
-        for release in self.releases.take_due(turn.now, turn.calls) {
+        for release in self.releases.take_due(ctx.now, ctx.calls) {
             let call = format_args!("{:016x}", release.id);
             log::debug!(server = self.name.as_str(), call:%; "release-resent");
             // Kept as it is, it brings no connection that would not come without it.
-            if !self.send_release(turn.now, release, turn.watch) {
+            if !self.send_release(ctx.now, release, ctx.poller) {
                 self.releases.keep_unconfirmed([release]);
             }
         }
@@ -109,9 +109,9 @@
         self.channels.values_mut().for_each(|channel| channel.releases.confirm(|release| release.id == id));
     }
 
-    fn send_release(&mut self, now: f64, release: Release, watch: &Watch) -> bool {
+    fn send_release(&mut self, now: f64, release: Release, poller: &Poller) -> bool {
         let sent = last_heard(&mut self.channels)
-            .and_then(|(key, channel)| channel.send_release(now, key, release, watch));
+            .and_then(|(key, channel)| channel.send_release(now, key, release, poller));
         sent.is_some()
     }
 
@@ -131,9 +131,9 @@
         now: f64,
         key: Key,
         release: Release,
-        watch: &Watch,
+        poller: &Poller,
     ) -> Option<u64> {
-        let end = self.send(key, &release.message(), watch)?;
+        let end = self.send(key, &release.message(), poller)?;
         self.releases.sent(now, release, end, self.connection.written(), release.expires_at());
         Some(end)
     }
--- a/crates/gatekeeper/src/node/servers/tests.rs
+++ b/crates/gatekeeper/src/node/servers/tests.rs
@@ -10,7 +10,7 @@
 
 /// One server, listed, that this gatekeeper and others connect to.
 struct World {
-    watch: Watch,
+    poller: Poller,
     calls: Calls,
     servers: Servers,
     address: SocketAddr,
@@ -18,12 +18,12 @@
 
 impl World {
     fn new(address: SocketAddr, seed: u64) -> World {
-        let link = Link {
+        let link = ProtocolSettings {
             classes: Vec::new(),
             connect_timeout: 0.5,
             drain_grace: 0.25,
-            states: true,
-            goal: 1.0,
+            servers_report_state: true,
+            min_goal_time: 1.0,
             connections: 3,
             districts: Vec::new(),
         };
@@ -33,22 +33,22 @@
         )
         .unwrap();
         let servers = Servers::new(link, telemetry, Descriptors { all: 64, fixed: 16 }, seed);
-        World { watch: Watch::new().unwrap(), calls: Calls::new(0.0, 0), servers, address }
+        World { poller: Poller::new().unwrap(), calls: Calls::new(0.0, 0), servers, address }
     }
 
     fn list(&mut self, now: f64, position: u32, name: &str, started: f64) {
         let (readiness, district) = (Readiness::Ready, None);
         let listed = Listed { address: self.address, number: 0, readiness, started, district };
         let list = Snapshot { position: position.into(), servers: [(name.to_owned(), listed)].into() };
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        self.servers.list(&list, ListKind::Full, &mut turn);
+        let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+        self.servers.list(&list, ListKind::Full, &mut ctx);
     }
 
     fn beat(&mut self, now: f64) {
-        let ready = self.watch.wait(0.0).unwrap();
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        ready.into_iter().for_each(|ready| self.servers.ready(ready, &mut turn));
-        self.servers.beat(&mut turn);
+        let ready = self.poller.wait(0.0).unwrap();
+        let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+        ready.into_iter().for_each(|ready| self.servers.ready(ready, &mut ctx));
+        self.servers.beat(&mut ctx);
     }
 
     /// The times at which a connection was tried, of those at which one might have been.
--- a/crates/gatekeeper/src/node/servers/tests/give_ups.rs
+++ b/crates/gatekeeper/src/node/servers/tests/give_ups.rs
@@ -32,8 +32,8 @@
 }
 
 impl World {
-    pub(super) fn turn(&mut self, now: f64) -> (&mut Servers, Turn<'_>) {
-        (&mut self.servers, Turn { now, watch: &mut self.watch, calls: &mut self.calls })
+    pub(super) fn turn(&mut self, now: f64) -> (&mut Servers, Context<'_>) {
+        (&mut self.servers, Context { now, poller: &mut self.poller, calls: &mut self.calls })
     }
 
     /// An attempt of this call is given to the server. Returns the call's number here.
@@ -46,7 +46,7 @@
             _ => None,
         };
         let call = self.calls.events.iter().find_map(offered).unwrap();
-        self.calls.send(now, call, POOL, 0.0);
+        self.calls.start_attempt(now, call, POOL, 0.0);
         self.carry_out(now);
         self.send_waiting(now);
         call
@@ -55,15 +55,15 @@
     /// Gives the server what the calls order.
     pub(super) fn carry_out(&mut self, now: f64) {
         for effect in std::mem::take(&mut self.calls.effects) {
-            let Effect::Server { pool, id, order } = effect else { continue };
-            let (servers, mut turn) = self.turn(now);
-            servers.order(pool, id, order, &mut turn);
+            let Effect::Command { pool, id, command } = effect else { continue };
+            let (servers, mut ctx) = self.turn(now);
+            servers.order(pool, id, command, &mut ctx);
         }
     }
 
     pub(super) fn send_waiting(&mut self, now: f64) {
-        let (servers, mut turn) = self.turn(now);
-        servers.send_waiting(&mut turn);
+        let (servers, mut ctx) = self.turn(now);
+        servers.send_waiting(&mut ctx);
     }
 }
 
--- a/crates/gatekeeper/src/node/servers/tests/releases.rs
+++ b/crates/gatekeeper/src/node/servers/tests/releases.rs
@@ -18,8 +18,8 @@
 impl World {
     fn release(&mut self, now: f64, ids: impl IntoIterator<Item = u64>) {
         for id in ids {
-            let (servers, mut turn) = self.turn(now);
-            servers.order(POOL, id, Order::Release, &mut turn);
+            let (servers, mut ctx) = self.turn(now);
+            servers.order(POOL, id, Command::Release, &mut ctx);
         }
     }
 
@@ -58,8 +58,8 @@
     }
 
     fn connect(&mut self, now: f64) {
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        self.servers.servers.get_mut(&POOL).unwrap().connect(POOL, &self.servers.link, &mut turn);
+        let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
+        self.servers.servers.get_mut(&POOL).unwrap().connect(POOL, &self.servers.link, &mut ctx);
         self.beat(now);
     }
 }
@@ -183,7 +183,7 @@
     w.release(0.6, [1]);
     w.attempt(0.6, 2);
     first.send(&answer(2)).unwrap();
-    w.until(0.7, "the answer", |w| w.calls.stands(2));
+    w.until(0.7, "the answer", |w| w.calls.is_standing(2));
     drop(second);
     let mut messages = Vec::new();
     w.until(0.8, "the release", |_| {
@@ -222,12 +222,12 @@
             false => w.connect(0.4),
         }
         w.beat(0.5);
-        w.calls.send(2.0, call, POOL, 0.0);
+        w.calls.start_attempt(2.0, call, POOL, 0.0);
         w.carry_out(2.0);
         let (came, mut peers) = w.hear_open(2.0, 1.0, &listener);
         assert_eq!(came.iter().map(|m| m.kind).collect::<Vec<u8>>(), [kind::SET_UP], "{came:?}");
         peers[0].send(&answer(1)).unwrap();
-        w.until(3.0, "the answer", |w| w.calls.stands(1));
+        w.until(3.0, "the answer", |w| w.calls.is_standing(1));
         drop((first, peers));
         let came = releases(&w.hear(3.1, 5.0, &listener));
         assert!(came.is_empty(), "kept: {kept}, {came:?}");
--- a/crates/gatekeeper/src/node/steering.rs
+++ b/crates/gatekeeper/src/node/steering.rs
@@ -38,7 +38,7 @@
     }
 
     /// Takes note that a connection was accepted here all the same.
-    pub fn accepted(&mut self, now: f64, listener: &impl AsFd) {
+    pub fn connection_accepted(&mut self, now: f64, listener: &impl AsFd) {
         if now - self.since < HANDSHAKE {
             return;
         }
@@ -49,7 +49,7 @@
 }
 
 /// Lets the hash spread new connections over all listeners again, whatever a process that ended has left attached.
-pub fn spread(listener: &impl AsFd) {
+pub fn reset_to_hash(listener: &impl AsFd) {
     choose(listener, NOWHERE);
 }
 
--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -47,7 +47,7 @@
 }
 
 fn config(listeners: &[TcpListener], dns: &UdpSocket) -> Config {
-    Config::read("n0".into(), "127.0.0.1:0", &config_text(listeners, dns)).unwrap()
+    Config::parse("n0".into(), "127.0.0.1:0", &config_text(listeners, dns)).unwrap()
 }
 
 fn config_text(listeners: &[TcpListener], dns: &UdpSocket) -> String {
@@ -116,7 +116,7 @@
     }
 
     fn turn(&mut self) {
-        self.node.turn().unwrap();
+        self.node.run_once().unwrap();
         let _ = self.caller.read(&mut self.heard);
         for listener in &self.listeners {
             match listener.accept() {
@@ -219,7 +219,7 @@
     fn pass(&mut self, seconds: f64) {
         let steps = (seconds / 0.1) as usize;
         for _ in 0..steps {
-            self.node.skip(0.1);
+            self.node.advance_clock(0.1);
             self.turn();
         }
     }
@@ -247,7 +247,7 @@
     let mut w = World::new(1);
     w.caller.send(&set_up(1, 700)).unwrap();
     w.at_servers(1, kind::SET_UP);
-    w.node.skip(0.72);
+    w.node.advance_clock(0.72);
     let refusal = w.heard(1, kind::RELEASE, Some(cause::CONGESTION));
     assert!(refusal.text(code::RETRY_AFTER).unwrap().parse::<u32>().unwrap() > 0);
     assert_eq!(w.at_servers(1, kind::RELEASE).cause(), Some(cause::NORMAL));
@@ -636,7 +636,7 @@
     let dns = UdpSocket::bind("127.0.0.1:0").unwrap();
     dns.set_nonblocking(true).unwrap();
     let old = std::mem::replace(&mut w.dns, dns);
-    w.node.reload(Config::read("n0".into(), "127.0.0.1:0", "{\"dns\":"));
+    w.node.reload(Config::parse("n0".into(), "127.0.0.1:0", "{\"dns\":"));
     w.node.reload(Ok(config(&w.listeners, &w.dns)));
     let mut data = [0; 512];
     while old.recv_from(&mut data).is_ok() {}
@@ -671,7 +671,7 @@
                 3 => w.servers_say(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
                 4 => w.servers_say(&release(id, cause::NORMAL)),
                 5 if gone.insert(id) => drop(w.caller.send(&release(id, cause::NORMAL))),
-                _ => w.node.skip(0.05),
+                _ => w.node.advance_clock(0.05),
             }
             w.turn();
         }
--- a/crates/gatekeeper/src/node/tests/connections.rs
+++ b/crates/gatekeeper/src/node/tests/connections.rs
@@ -9,7 +9,7 @@
     /// On a clock that moves only when the test says so.
     pub(super) fn still(servers: usize) -> World {
         let mut w = World::new(servers);
-        w.node = Gatekeeper::on_clock(config(&w.listeners, &w.dns), Clock::still(1e9)).unwrap();
+        w.node = Gatekeeper::with_clock(config(&w.listeners, &w.dns), Clock::manual(1e9)).unwrap();
         w.servers.clear();
         w.until("a connection to each server", |w| w.servers.len() >= servers);
         w.caller = peer(TcpStream::connect(w.node.address()).unwrap());
@@ -22,7 +22,7 @@
         let (mut since, mut came) = (vec![self.node.now(); self.servers.len()], 0);
         let (end, mut without, mut longest) = (self.node.now() + seconds, self.node.now(), 0.0_f64);
         while self.node.now() < end {
-            self.node.skip(0.02);
+            self.node.advance_clock(0.02);
             self.turn();
             came += self.servers.len() - since.len();
             let now = self.node.now();
--- a/crates/gatekeeper/src/node/tests/crowds.rs
+++ b/crates/gatekeeper/src/node/tests/crowds.rs
@@ -58,7 +58,7 @@
     let mut w = World::still(1);
     let leaving = with_a_call(&mut w);
     w.end_unread(1);
-    w.node.skip(0.3);
+    w.node.advance_clock(0.3);
     let _crowd = w.crowd();
     drop(leaving);
     w.pass(1.0);
@@ -73,7 +73,7 @@
     w.stand(9);
     let stand = |id| {
         // A server that has just started is sent a few at a time.
-        w.node.skip(0.2);
+        w.node.advance_clock(0.2);
         with_a_call_of(&mut w, id)
     };
     let leaving: Vec<Peer> = (100..100 + PLACES / 2).map(stand).collect();
@@ -94,7 +94,7 @@
     let mut w = World::still(1);
     let _leaving = with_a_call(&mut w);
     w.end_unread(1);
-    w.node.skip(0.3);
+    w.node.advance_clock(0.3);
     let _crowd = w.crowd();
     w.servers_say(&release(9, cause::NORMAL));
     w.heard(9, kind::RELEASE, Some(cause::NORMAL));
@@ -123,7 +123,7 @@
     let second = with_a_call_of(&mut w, 2);
     (1..=2).for_each(|id| w.end_unread(id));
     first.stream().shutdown(Shutdown::Write).unwrap();
-    w.node.skip(0.2);
+    w.node.advance_clock(0.2);
     (0..2).for_each(|_| w.turn());
     let _crowd = w.crowd();
     second.stream().shutdown(Shutdown::Write).unwrap();
--- a/crates/gatekeeper/src/node/tests/cut_messages.rs
+++ b/crates/gatekeeper/src/node/tests/cut_messages.rs
@@ -169,7 +169,7 @@
         let (mut w, carrying) = three_open_in(World::still(1));
         write_then_turn(&mut w, &carrying, &whole[..cut], 3);
         write_then_turn(&mut w, &carrying, &whole[cut..], 1);
-        w.node.skip(0.005);
+        w.node.advance_clock(0.005);
         for _ in 0..3 {
             w.turn();
         }
--- a/crates/gatekeeper/src/node/tests/ends.rs
+++ b/crates/gatekeeper/src/node/tests/ends.rs
@@ -63,7 +63,7 @@
     let leaving = with_a_call(&mut w);
     let closing = leaving.stream().try_clone().unwrap();
     w.servers_say(&release(1, cause::NORMAL));
-    w.node.after_next_look(move || closing.shutdown(Shutdown::Write).unwrap());
+    w.node.after_next_poll(move || closing.shutdown(Shutdown::Write).unwrap());
     (0..2).for_each(|_| w.turn());
     assert_eq!(ends_told(&w, 1), 0);
     drop(leaving);
@@ -176,7 +176,7 @@
     let mut w = World::new(1);
     let leaving = with_a_call(&mut w);
     w.servers_say(&release(1, cause::NORMAL));
-    w.node.after_next_look(move || drop(leaving));
+    w.node.after_next_poll(move || drop(leaving));
     w.pass(1.0);
     assert_eq!(ends_told(&w, 1), 1, "{:?}", w.heard);
 }
@@ -234,7 +234,7 @@
     let leaving = with_an_unread_answer(&mut w, 1);
     let closing = leaving.stream().try_clone().unwrap();
     w.servers_say(&release(1, cause::NORMAL));
-    w.node.after_next_look(move || closing.shutdown(Shutdown::Both).unwrap());
+    w.node.after_next_poll(move || closing.shutdown(Shutdown::Both).unwrap());
     (0..2).for_each(|_| w.turn());
     drop(leaving);
     w.pass(1.0);
--- a/crates/gatekeeper/src/node/tests/rare.rs
+++ b/crates/gatekeeper/src/node/tests/rare.rs
@@ -23,7 +23,7 @@
 
     /// A turn in which the servers' sides are not read.
     fn blind_turn(&mut self) {
-        self.node.turn().unwrap();
+        self.node.run_once().unwrap();
         let _ = self.caller.read(&mut self.heard);
     }
 
@@ -32,9 +32,9 @@
         let mut w = World::new(1);
         socket2::SockRef::from(&w.listeners[0]).set_recv_buffer_size(4096).unwrap();
         let mut config = config(&w.listeners, &w.dns);
-        (config.sockets, config.memory) = (sockets, 512 << 20);
+        (config.max_sockets, config.memory_bytes) = (sockets, 512 << 20);
         // Time stands still, so that the server is not silent.
-        w.node = Gatekeeper::on_clock(config, Clock::still(1e9)).unwrap();
+        w.node = Gatekeeper::with_clock(config, Clock::manual(1e9)).unwrap();
         w.servers.clear();
         w.until("another connection", |w| !w.servers.is_empty());
         w.caller = w.caller();
@@ -168,7 +168,7 @@
     w.blind_turn();
     let asked = w.node.now();
     while w.heard.is_empty() && w.node.now() - asked < 9.0 {
-        w.node.skip(0.05);
+        w.node.advance_clock(0.05);
         w.blind_turn();
     }
     let took = w.node.now() - asked;
@@ -184,7 +184,7 @@
     w.at_servers(1, kind::SET_UP);
     let mut others: Vec<Peer> = (0..43).map(|_| w.caller()).collect();
     (0..4).for_each(|_| w.turn());
-    w.node.skip(0.3);
+    w.node.advance_clock(0.3);
     w.turn();
     let _one_more = w.caller();
     let asked = others.first_mut().unwrap();
@@ -275,7 +275,7 @@
     for (effect, why) in [("read_like", cause::CONGESTION), ("non_idempotent", cause::TEMPORARY_FAILURE)] {
         let mut w = World::with(1, |_| {});
         let text = config_text(&w.listeners, &w.dns).replace("read_like", effect);
-        w.node = Gatekeeper::new(Config::read("n0".into(), "127.0.0.1:0", &text).unwrap()).unwrap();
+        w.node = Gatekeeper::new(Config::parse("n0".into(), "127.0.0.1:0", &text).unwrap()).unwrap();
         w.servers.clear();
         w.caller = w.caller();
         w.until("its connection", |w| !w.servers.is_empty());
@@ -296,13 +296,13 @@
         let text = config_text(&w.listeners, &w.dns)
             .replace("\"retryAfter\":true", &format!("\"retryAfter\":{allowed}"))
             .replace("\"maxRetryAfter\":2.0", &format!("\"maxRetryAfter\":{most}"));
-        w.node = Gatekeeper::new(Config::read("n0".into(), "127.0.0.1:0", &text).unwrap()).unwrap();
+        w.node = Gatekeeper::new(Config::parse("n0".into(), "127.0.0.1:0", &text).unwrap()).unwrap();
         w.caller = w.caller();
         w.caller.send(&set_up(1, 300)).unwrap();
         w.turn();
         w.caller.send(&set_up(2, 3000)).unwrap();
         w.turn();
-        w.node.skip(0.35);
+        w.node.advance_clock(0.35);
         w.heard(1, kind::RELEASE, Some(cause::CONGESTION));
         let now = w.node.now();
         w.node.finish(now).unwrap();
@@ -320,7 +320,7 @@
 #[test]
 fn a_set_up_whose_time_is_over_is_not_sent() {
     let mut w = World::new(1);
-    w.node = Gatekeeper::on_clock(config(&w.listeners, &w.dns), Clock::still(1e9)).unwrap();
+    w.node = Gatekeeper::with_clock(config(&w.listeners, &w.dns), Clock::manual(1e9)).unwrap();
     w.servers.clear();
     w.until("its connection", |w| !w.servers.is_empty());
     w.caller = w.caller();
@@ -328,7 +328,7 @@
     w.servers.clear();
     w.caller.send(&set_up(1, 298)).unwrap();
     w.blind_turn();
-    w.node.skip(0.299);
+    w.node.advance_clock(0.299);
     (0..2).for_each(|_| w.turn());
     w.pass(0.5);
     assert_eq!(w.begun(1), 0, "{:?}", w.at_servers);
@@ -366,10 +366,10 @@
         w.caller.send(&set_up(id, wait)).unwrap();
         w.at_servers(id, kind::SET_UP);
         let past = |w: &World, time: f64| begun + time - w.node.now();
-        w.node.skip(past(&w, early));
+        w.node.advance_clock(past(&w, early));
         (0..20).for_each(|_| w.turn());
         assert!(!w.heard.iter().any(|m| m.call == id), "refused long before the end of {wait} ms");
-        w.node.skip(past(&w, due));
+        w.node.advance_clock(past(&w, due));
         (0..20).for_each(|_| w.turn());
         assert!(w.heard.iter().any(|m| m.call == id), "no answer while its caller waits {wait} ms");
         w.heard(id, kind::RELEASE, Some(cause::CONGESTION));
@@ -397,7 +397,7 @@
         (&server).write_all(&bytes).unwrap();
     }));
     // The answer comes before the look at the queue, which is due, and both are read in the next turn.
-    w.node.skip(0.06);
+    w.node.advance_clock(0.06);
     w.turn();
     w.heard(1, kind::ANSWER, None);
 }
--- a/crates/gatekeeper/src/node/tests/service.rs
+++ b/crates/gatekeeper/src/node/tests/service.rs
@@ -73,7 +73,7 @@
 fn trickling_peers_do_not_lock_the_front_out() {
     let mut w = World::controlled(1);
     let address = w.node.control_address().unwrap();
-    let mut slow: Vec<TcpStream> = (0..crate::node::http::MOST_CONNECTIONS + 8)
+    let mut slow: Vec<TcpStream> = (0..crate::node::http::MAX_CONNECTIONS + 8)
         .map(|_| {
             let mut s = TcpStream::connect(address).unwrap();
             s.write_all(b"GET /_rea").unwrap();
@@ -152,7 +152,7 @@
     let text = config_text(&w.listeners, &dns);
     let old = r#"{"name":"meter-read","effect":"read_like","goalTime":1.5,"hardLimit":9.0,"value":1.0}"#;
     let new = r#"{"name":"valve-set-r2","effect":"write_like","goalTime":1.0,"hardLimit":4.0,"value":2.0}"#;
-    let read = |text: &str| Config::read("n0".into(), "127.0.0.1:0", text);
+    let read = |text: &str| Config::parse("n0".into(), "127.0.0.1:0", text);
     // Broken files: each is turned down and counted.
     w.node.reload(read(""));
     w.node.reload(read(&text.replace(r#""tryLimit":6"#, r#""tryLimit":0"#)));
--- a/crates/gatekeeper/src/node/tests/unread_ends.rs
+++ b/crates/gatekeeper/src/node/tests/unread_ends.rs
@@ -27,7 +27,7 @@
     let mut w = World::new(1);
     let leaving = with_an_unread_answer(&mut w, 1);
     w.servers_say(&release(1, cause::NORMAL));
-    w.node.after_next_look(move || drop(leaving));
+    w.node.after_next_poll(move || drop(leaving));
     w.pass(1.0);
     assert_told_once(&w, 1);
 }
--- a/crates/gatekeeper/src/node/tests/unread_releases.rs
+++ b/crates/gatekeeper/src/node/tests/unread_releases.rs
@@ -44,7 +44,7 @@
     reset_before_the_release(&mut w, 1, 0);
     let mut left = Vec::new();
     for _ in 0..20 {
-        w.node.turn().unwrap();
+        w.node.run_once().unwrap();
         let _ = w.servers[0].read(&mut left);
     }
     assert_eq!(releases(&left, 1), 1, "{left:?}");
@@ -56,7 +56,7 @@
     let mut w = World::new(1);
     w.stand(1);
     w.caller.send(&release(1, cause::NORMAL)).unwrap();
-    (0..2).for_each(|_| w.node.turn().unwrap());
+    (0..2).for_each(|_| w.node.run_once().unwrap());
     w.servers.clear();
     w.pass(1.0);
     assert_eq!(releases(&w.at_servers, 1), 1, "{:?}", w.at_servers);
@@ -70,7 +70,7 @@
     for id in 1..=3 {
         w.caller.send(&release(id, cause::NORMAL)).unwrap();
     }
-    (0..2).for_each(|_| w.node.turn().unwrap());
+    (0..2).for_each(|_| w.node.run_once().unwrap());
     w.servers.clear();
     w.pass(1.0);
     let sent = [1, 2, 3].map(|id| releases(&w.at_servers, id));
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -20,8 +20,8 @@
 use hollypaddle_replica::record::{ServerKey, Topic};
 use serde_json::{json, Value};
 
-use super::components::{Room, Subject};
-use super::control::Question;
+use super::components::{Component, ComponentContext};
+use super::control::Query;
 use super::events::{log_member_event, Lines};
 use super::fleet::new_life;
 use super::hearsay::{Hearsay, Told};
@@ -154,11 +154,11 @@
 }
 
 impl Joined {
-    fn join(room: &mut Room, conf: &FleetConf, tier: &TierConf) -> io::Result<Joined> {
-        let now = room.now;
-        let identity = Identity::of(conf, tier, room.platform);
+    fn join(ctx: &mut ComponentContext, conf: &FleetConf, tier: &TierConf) -> io::Result<Joined> {
+        let now = ctx.now;
+        let identity = Identity::of(conf, tier, ctx.platform);
         let own = MemberId::of(&identity.name);
-        let life = new_life(now, room.seed);
+        let life = new_life(now, ctx.seed);
         let relays = places(tier);
         let mut role = match tier.relay(&identity.name) {
             Some(_) => {
@@ -173,8 +173,8 @@
             }
         };
         let most = links(tier, &identity.name);
-        let mut links = Links::open(identity.listen, most, room.watch)?;
-        links.change(now, most, addresses(tier), role.node(), room.watch);
+        let mut links = Links::open(identity.listen, most, ctx.poller)?;
+        links.change(now, most, addresses(tier), role.node(), ctx.poller);
         let name = identity.name.as_str();
         match links.address() {
             Some(listen) => log::info!(name, listen:%, relays = tier.relays.len(), life:%; "relay-joined"),
@@ -200,8 +200,8 @@
     }
 
     /// Takes relays, times and bounds read anew.
-    fn change(&mut self, room: &mut Room, conf: &FleetConf, tier: &TierConf) {
-        let now = room.now;
+    fn change(&mut self, ctx: &mut ComponentContext, conf: &FleetConf, tier: &TierConf) {
+        let now = ctx.now;
         match &mut self.role {
             Role::Leaf(leaf) => leaf.change(now, places(tier), timing(tier)),
             Role::Relay(relay) => {
@@ -211,21 +211,21 @@
             }
         }
         let most = links(tier, &self.identity.name);
-        self.links.change(now, most, addresses(tier), self.role.node(), room.watch);
+        self.links.change(now, most, addresses(tier), self.role.node(), ctx.poller);
         self.names = names(tier, &self.identity.name);
         (self.conf, self.tier) = (conf.clone(), tier.clone());
     }
 
     /// Says that it ends, and closes all links.
-    fn leave(mut self, room: &mut Room) {
+    fn leave(mut self, ctx: &mut ComponentContext) {
         match &mut self.role {
             Role::Leaf(_) => self.links.say_to_all(&Message::Leave),
             Role::Relay(relay) => {
-                relay.end(room.now);
-                self.links.carry_out(room.now, self.role.node(), room.watch);
+                relay.end(ctx.now);
+                self.links.carry_out(ctx.now, self.role.node(), ctx.poller);
             }
         }
-        self.links.shut(room.watch);
+        self.links.shut(ctx.poller);
     }
 
     fn name(&self, member: MemberId) -> String {
@@ -292,12 +292,12 @@
         woke
     }
 
-    fn due(&mut self, room: &mut Room) -> Vec<PoolEntry> {
-        let now = room.now;
-        self.links.beat(now, self.role.node(), room.watch);
+    fn due(&mut self, ctx: &mut ComponentContext) -> Vec<PoolEntry> {
+        let now = ctx.now;
+        self.links.beat(now, self.role.node(), ctx.poller);
         self.propose(now);
         let Role::Leaf(leaf) = &mut self.role else { return Vec::new() };
-        for server in self.told.tell(now, room.servers, leaf.as_mut()) {
+        for server in self.told.tell(now, ctx.servers, leaf.as_mut()) {
             self.gone.push_back((now, server));
         }
         let forget = self.conf.settings.forget;
@@ -308,9 +308,9 @@
                 leaf.server(now, server, None);
             }
         }
-        let Some(guard) = &mut room.gates.fleet else { return Vec::new() };
+        let Some(guard) = &mut ctx.gates.fleet else { return Vec::new() };
         let late = self.conf.settings.lists_late;
-        self.hearsay.listen(now, &leaf.hearsay(now), (room.list_at, late), room.servers, guard)
+        self.hearsay.listen(now, &leaf.hearsay(now), (ctx.list_at, late), ctx.servers, guard)
     }
 
     /// Settings that came and were not offered before.
@@ -526,13 +526,13 @@
 
 /// This gatekeeper in a tier, where the own configuration has one.
 #[derive(Default)]
-pub struct InTier {
+pub struct TierComponent {
     joined: Option<Joined>,
     /// One that was joined and does not count yet.
     fresh: Option<Joined>,
 }
 
-impl InTier {
+impl TierComponent {
     /// The lines of a list, with what others know.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(joined) = &self.joined {
@@ -565,109 +565,109 @@
     Some((fleet, fleet.tier.as_ref()?))
 }
 
-impl Subject for InTier {
-    fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
+impl Component for TierComponent {
+    fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some((conf, tier)) = of(new) else { return Ok(()) };
-        let identity = Identity::of(conf, tier, room.platform);
+        let identity = Identity::of(conf, tier, ctx.platform);
         if self.joined.as_ref().is_none_or(|joined| joined.identity != identity) {
-            self.fresh = Some(Joined::join(room, conf, tier)?);
+            self.fresh = Some(Joined::join(ctx, conf, tier)?);
         }
         Ok(())
     }
 
-    fn abandon(&mut self, room: &mut Room) {
+    fn abandon(&mut self, ctx: &mut ComponentContext) {
         if let Some(fresh) = self.fresh.take() {
-            fresh.links.shut(room.watch);
+            fresh.links.shut(ctx.poller);
         }
     }
 
-    fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
+    fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
         let (fresh, at_start) = (self.fresh.take(), self.joined.is_none());
         let word = match (&mut self.joined, fresh, of(new)) {
             (old, Some(fresh), _) => {
                 if let Some(old) = old.replace(fresh) {
-                    old.leave(room);
+                    old.leave(ctx);
                 }
                 Some("joined")
             }
             (Some(joined), None, Some((conf, tier))) if new.fleet != old.fleet => {
-                joined.change(room, conf, tier);
+                joined.change(ctx, conf, tier);
                 Some("changed")
             }
             (Some(_), None, Some(_)) | (None, None, _) => None,
             (old, None, None) => {
                 if let Some(old) = old.take() {
-                    old.leave(room);
+                    old.leave(ctx);
                 }
                 Some("left")
             }
         };
         if let Some(joined) = &mut self.joined {
             if word.is_some() {
-                room.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
+                ctx.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
             }
             // Every reading of the configuration at a relay reads the fleet's settings, too.
             if let (Role::Relay(_), Some(path)) = (&joined.role, joined.tier.settings.clone()) {
-                joined.read_settings(room.now, &path, at_start);
+                joined.read_settings(ctx.now, &path, at_start);
             }
         }
         word.map(|word| format!("tier-{word}"))
     }
 
-    fn begin(&mut self, room: &mut Room) {
+    fn begin_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = &mut self.joined {
-            if joined.tick(room.now) {
+            if joined.tick(ctx.now) {
                 // What waits at the socket was said before or while this process was paused.
-                room.resolver.forget_asked();
-                room.resolver.ask();
+                ctx.resolver.forget_asked();
+                ctx.resolver.ask();
             }
         }
     }
 
-    fn heard(&mut self, room: &mut Room, ready: Ready) {
+    fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
         if let Some(joined) = &mut self.joined {
-            joined.links.ready(room.now, ready, joined.role.node(), room.watch);
+            joined.links.ready(ctx.now, ready, joined.role.node(), ctx.poller);
         }
     }
 
-    fn due(&mut self, room: &mut Room, _: &Conf) {
+    fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         let Some(joined) = &mut self.joined else { return };
-        let entries = joined.due(room);
+        let entries = joined.due(ctx);
         if !entries.is_empty() {
-            room.calls.events.push(ModuleEvent::List { kind: ListKind::Changes, entries });
+            ctx.calls.events.push(ModuleEvent::List { kind: ListKind::Changes, entries });
         }
     }
 
-    fn carry_out(&mut self, room: &mut Room) {
+    fn finish_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = &mut self.joined {
-            joined.links.carry_out(room.now, joined.role.node(), room.watch);
+            joined.links.carry_out(ctx.now, joined.role.node(), ctx.poller);
         }
     }
 
-    fn end(&mut self, room: &mut Room) {
+    fn shut_down(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = self.joined.take() {
-            joined.leave(room);
+            joined.leave(ctx);
         }
     }
 
-    fn wants_turn_at(&self) -> Option<f64> {
+    fn next_iteration_at(&self) -> Option<f64> {
         self.joined.as_ref().map(|joined| match &joined.role {
             Role::Leaf(leaf) => leaf.next_at(),
             Role::Relay(relay) => relay.next_at(),
         })
     }
 
-    fn not_ready(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         self.joined.as_ref().filter(|joined| !joined.ready(joined.ticked)).map(|_| "catching-up")
     }
 
-    fn answer(&mut self, room: &mut Room, question: &Question) -> Option<Value> {
+    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
         Some(match (question, &self.joined) {
-            (Question::Members {}, Some(joined)) => json!({"ok": joined.report(room.now)}),
-            (Question::Replica {}, Some(_)) => {
+            (Query::Members {}, Some(joined)) => json!({"ok": joined.report(ctx.now)}),
+            (Query::Replica {}, Some(_)) => {
                 json!({"error": "no copies of other members are held in a tier of relays: ask `members`"})
             }
-            (Question::Members {} | Question::Replica {}, None) => {
+            (Query::Members {} | Query::Replica {}, None) => {
                 json!({"error": "no fleet: the block `fleet` is not configured"})
             }
             _ => return None,
--- a/crates/gatekeeper/tests/crossing.rs
+++ b/crates/gatekeeper/tests/crossing.rs
@@ -31,7 +31,7 @@
         let mut fleet_nodes = Vec::new();
         for front in 0..world.plan.fronts.len() {
             let config = read(&folder, &world, front, conf);
-            fleet_nodes.push(Gatekeeper::on_clock(config, Clock::still(BEGIN)).unwrap());
+            fleet_nodes.push(Gatekeeper::with_clock(config, Clock::manual(BEGIN)).unwrap());
         }
         let addresses: Vec<_> = fleet_nodes.iter().map(Gatekeeper::address).collect();
         world.connect(&addresses);
@@ -44,8 +44,8 @@
         self.now += STEP;
         self.world.turn(self.now);
         for node in &mut self.nodes {
-            node.skip(STEP);
-            node.turn().unwrap();
+            node.advance_clock(STEP);
+            node.run_once().unwrap();
         }
     }
 
@@ -163,8 +163,8 @@
     let path: PathBuf = folder.path().join("hollypaddle.conf");
     std::fs::write(&path, conf).unwrap();
     let text = world.config(front).unwrap();
-    let config = Config::read(format!("n{front}"), "127.0.0.1:0", &text).unwrap();
-    config.with_own(&path).map_err(|e| e.to_string()).unwrap()
+    let config = Config::parse(format!("n{front}"), "127.0.0.1:0", &text).unwrap();
+    config.with_own_file(&path).map_err(|e| e.to_string()).unwrap()
 }
 
 /// Half the calls are urgent, so that a short test sees enough of them.
@@ -427,14 +427,14 @@
     let path = fleet.folder.path().join("bad.conf");
     std::fs::write(&path, "crossings {\n budgett all {\n }\n").unwrap();
     let text = fleet.world.config(0).unwrap();
-    let bad = Config::read("n0".into(), "127.0.0.1:0", &text).unwrap().with_own(&path);
+    let bad = Config::parse("n0".into(), "127.0.0.1:0", &text).unwrap().with_own_file(&path);
     assert!(bad.is_err());
     fleet.nodes[0].reload(bad);
     assert_eq!(fleet.report(0).budgets.len(), before);
     // Nor does one that is sound by a platform's file read since, whose names are those of the next start.
     std::fs::write(&path, "crossings {\n budget class gauge-read {\n  rate 1/s\n }\n}\n").unwrap();
     let renamed = text.replace("meter-read", "gauge-read");
-    let other = Config::read("n0".into(), "127.0.0.1:0", &renamed).unwrap().with_own(&path);
+    let other = Config::parse("n0".into(), "127.0.0.1:0", &renamed).unwrap().with_own_file(&path);
     assert!(other.is_ok());
     fleet.nodes[0].reload(other);
     assert_eq!(fleet.report(0).budgets.len(), before);
--- a/crates/gatekeeper/tests/relays.rs
+++ b/crates/gatekeeper/tests/relays.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hollypaddle::ctl;
-use hollypaddle::node::control::Question;
+use hollypaddle::node::control::Query;
 use hollypaddle_standin::free_addresses;
 use hollypaddle_standin::program::{unix_time, Program};
 use hollypaddle_standin::server::What;
@@ -97,7 +97,7 @@
 
     /// What `ctl` tells; nothing where it is not reached.
     fn members(&self, n: usize) -> Value {
-        ctl::ask(&self.socket(n), &Question::Members {}).unwrap_or(Value::Null)
+        ctl::query(&self.socket(n), &Query::Members {}).unwrap_or(Value::Null)
     }
 
     fn relay(&self, leaf: usize) -> String {
@@ -177,8 +177,8 @@
     let took = g.until("the settings everywhere", |g| all(g, version));
     assert!(took <= IN_FORCE, "in force everywhere after {took:.2} s");
     for leaf in 0..LEAVES {
-        let span = Question::Crossings { span: "total".into() };
-        let report = ctl::ask(&g.socket(leaf), &span).unwrap();
+        let span = Query::Crossings { span: "total".into() };
+        let report = ctl::query(&g.socket(leaf), &span).unwrap();
         assert_eq!(report["budgets"].as_array().map(Vec::len), Some(1), "{report}");
     }
 
--- a/crates/hollow/src/leaves.rs
+++ b/crates/hollow/src/leaves.rs
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 
 use hollypaddle::node::clock::Clock;
-use hollypaddle::node::poller::Watch;
+use hollypaddle::node::poller::Poller;
 use hollypaddle::node::relays::{most_links_of_leaf, Links};
 use hollypaddle_membership::{Life, MemberId};
 use hollypaddle_relay::budget::HEADERS;
@@ -156,7 +156,7 @@
 
 struct Process {
     clock: Clock,
-    watch: Watch,
+    poller: Poller,
     names: BTreeMap<MemberId, String>,
     all: Vec<One>,
     took: Vec<Took>,
@@ -173,13 +173,13 @@
     let mut process = Process::open(plan)?;
     let mut input = std::io::stdin();
     // One that is no pipe asks nothing.
-    let asks = process.watch.add(&input, false).ok();
+    let asks = process.poller.add(&input, false).ok();
     let mut report_at = process.clock.now() + EVERY;
     // Where a test runner has begun a line.
     println!();
     loop {
         let wanted = process.all.iter().map(|one| one.next_at).fold(report_at, f64::min);
-        let ready = process.watch.wait(wanted - process.clock.now())?;
+        let ready = process.poller.wait(wanted - process.clock.now())?;
         let now = process.clock.now();
         let mut asked = false;
         for ready in ready {
@@ -191,7 +191,7 @@
                 continue;
             }
             for one in &mut process.all {
-                if one.ready(now, ready, &mut process.watch) {
+                if one.ready(now, ready, &mut process.poller) {
                     break;
                 }
             }
@@ -208,12 +208,12 @@
 }
 
 impl One {
-    fn ready(&mut self, now: f64, ready: hollypaddle::node::poller::Ready, watch: &mut Watch) -> bool {
+    fn ready(&mut self, now: f64, ready: hollypaddle::node::poller::Ready, poller: &mut Poller) -> bool {
         if !self.links.owns(ready.key) {
             return false;
         }
         self.leaf.tick(now);
-        self.links.ready(now, ready, &mut self.leaf, watch);
+        self.links.ready(now, ready, &mut self.leaf, poller);
         self.next_at = now;
         true
     }
@@ -221,7 +221,7 @@
 
 impl Process {
     fn open(plan: &Plan) -> Result<Process, Box<dyn Error>> {
-        let (clock, mut watch) = (Clock::new(), Watch::new()?);
+        let (clock, mut poller) = (Clock::new(), Poller::new()?);
         let now = clock.now();
         let places: Vec<RelayPlace> = (plan.relays.iter())
             .map(|r| RelayPlace { relay: MemberId::of(&r.name), place: r.place.clone() })
@@ -241,19 +241,19 @@
                 let key = ServerKey::of(&format!("{service}/{server}"));
                 leaf.server(now, key, Some(ServerFact { started_ms: 0, place: ServerPlace::Ready }));
             }
-            let mut links = Links::open(None, most_links_of_leaf(), &mut watch)?;
-            links.change(now, most_links_of_leaf(), addresses.clone(), &mut leaf, &watch);
+            let mut links = Links::open(None, most_links_of_leaf(), &mut poller)?;
+            links.change(now, most_links_of_leaf(), addresses.clone(), &mut leaf, &poller);
             let refuses = plan.refuse.as_ref() == Some(&name);
             all.push(One { name, leaf, links, next_at: now, refuses });
         }
         let names = plan.relays.iter().map(|r| (MemberId::of(&r.name), r.name.clone())).collect();
-        Ok(Process { clock, watch, names, all, took: Vec::new(), moved: Vec::new() })
+        Ok(Process { clock, poller, names, all, took: Vec::new(), moved: Vec::new() })
     }
 
     fn turn(&mut self, now: f64) {
         for one in self.all.iter_mut().filter(|one| one.next_at <= now) {
             one.leaf.tick(now);
-            one.links.beat(now, &mut one.leaf, &mut self.watch);
+            one.links.beat(now, &mut one.leaf, &mut self.poller);
             if let Some(offered) = one.leaf.offered() {
                 let version = offered.mark().version;
                 let verdict = if one.refuses { Err(REFUSAL.to_string()) } else { Ok(()) };
@@ -262,7 +262,7 @@
                     self.took.push(Took { leaf: one.name.clone(), version, at: now });
                 }
             }
-            one.links.carry_out(now, &mut one.leaf, &mut self.watch);
+            one.links.carry_out(now, &mut one.leaf, &mut self.poller);
             for event in one.leaf.events() {
                 let (relay, after) = match event {
                     Event::Attached(relay, after) => (relay, after),
--- a/crates/hollow/src/stage.rs
+++ b/crates/hollow/src/stage.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use hollypaddle::ctl;
-use hollypaddle::node::control::Question;
+use hollypaddle::node::control::Query;
 use hollypaddle_relay::budget::HEADERS;
 use hollypaddle_relay::placement::Place;
 use hollypaddle_standin::free_addresses;
@@ -309,7 +309,7 @@
     /// What `ctl members` tells; nothing where it is not reached.
     pub fn members(&self, n: usize) -> Value {
         match self.programs[n] {
-            Some(_) => ctl::ask(&self.socket(n), &Question::Members {}).unwrap_or(Value::Null),
+            Some(_) => ctl::query(&self.socket(n), &Query::Members {}).unwrap_or(Value::Null),
             None => Value::Null,
         }
     }
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use hollypaddle_core::calls::{Calls, Content, Effect, End, Order, Request};
+use hollypaddle_core::calls::{Calls, Command, Content, Effect, End, Request};
 use hollypaddle_crossing::{
     Amount, BendSettings, ClassInfo, Crossing, District, Rate, Rule, Scope, Settings as GateSettings,
 };
@@ -163,9 +163,9 @@
         let content = Content { number: vec![b'7'; 16], description: Some(vec![0; 64]) };
         let _ = core.offer(self.now, 1, Request { id, class, wait: 3.0, dialled: id, first_choice, content });
         if let Some(pool) = self.settle(&mut core) {
-            core.stood(self.now, pool, id, Some(vec![0; 64]));
+            core.established(self.now, pool, id, Some(vec![0; 64]));
             self.settle(&mut core);
-            core.ended(self.now, pool, id, End::of(Outcome::Done));
+            core.ended(self.now, pool, id, End::with_outcome(Outcome::Done));
             self.settle(&mut core);
         }
         core
@@ -176,7 +176,7 @@
         let (mut sent, mut timers) = (None, Vec::new());
         while !(core.events.is_empty() && core.effects.is_empty()) {
             for effect in core.effects.drain(..) {
-                if let Effect::Server { pool, order: Order::SetUp { .. }, .. } = effect {
+                if let Effect::Command { pool, command: Command::SetUp { .. }, .. } = effect {
                     sent = Some(pool);
                 }
             }
@@ -185,7 +185,7 @@
             }
             for action in self.out.drain(..) {
                 match action {
-                    Action::Send { call, pool, limit } => core.send(self.now, call, pool, limit),
+                    Action::Send { call, pool, limit } => core.start_attempt(self.now, call, pool, limit),
                     Action::Refuse { call, retry_after } => core.refuse(call, retry_after),
                     Action::Fail { call } => core.fail(call),
                     Action::Timer { token, .. } => timers.push(token),
--- a/crates/measure/src/size/control.rs
+++ b/crates/measure/src/size/control.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hollypaddle::ctl;
-use hollypaddle::node::control::Question;
+use hollypaddle::node::control::Query;
 use hollypaddle_replica::record::KINDS;
 use hollypaddle_standin::program::{unix_time, Program};
 use hollypaddle_standin::world::{classes, Plan, World};
@@ -182,7 +182,7 @@
 
     /// Whether a member has caught up and holds all others to be alive.
     fn is_ready(&self, n: usize) -> Result<bool, Box<dyn Error>> {
-        let told = ctl::ask(&self.socket(n), &Question::Members {})?;
+        let told = ctl::query(&self.socket(n), &Query::Members {})?;
         let rows = told["members"].as_array().map_or(&[][..], Vec::as_slice);
         let alive = rows.iter().filter(|row| row["state"] == "alive").count();
         Ok(told["ready"] == true && alive + 1 >= self.programs.len())
@@ -231,7 +231,7 @@
         if self.programs.len() == 1 {
             return Ok(BTreeMap::new());
         }
-        let told = ctl::ask(&self.socket(n), &Question::Replica {})?;
+        let told = ctl::query(&self.socket(n), &Query::Replica {})?;
         let words = told["links"]["split"].as_object().into_iter().flatten();
         let records = told["records_said"].as_object().into_iter().flatten();
         let all = words.chain(records).filter_map(|(name, bytes)| Some((name.clone(), bytes.as_f64()?)));
