--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,9 +1,9 @@
-//! The calls: the core of the gatekeeper, without sockets and without a word of any protocol.
+//! State of all calls. This is the core of the gatekeeper; it uses no sockets and knows no wire protocol.
 //!
-//! It knows each call by its caller's 64-bit id and by the decision module's [`CallId`], keeps its one
-//! open attempt, its deadline and where it stands, and sees to it that every call gets exactly one
-//! final answer. Fronts tell it what callers and servers said; it tells the decision module what
-//! happened ([`Event`]) and the fronts what to do ([`Effect`]).
+//! Each call is known by its caller's 64-bit id and by the decision module's [`CallId`]. [`Calls`] keeps the
+//! call's only open attempt, its deadline and the server at which it stands, and ensures that every call gets
+//! exactly one final answer. The connection layer reports what callers and servers sent; [`Calls`] reports to the
+//! decision module what happened ([`Event`]) and requests work from the connection layer ([`Effect`]).
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::fmt;
@@ -11,145 +11,148 @@
 
 use hollypaddle_policy::{CallId, Cause, Event, Outcome, PoolId, Report};
 
-/// What a held call costs beside its content.
-const CALL_BYTES: usize = 512;
-/// How long a call may stay with the decision module past its deadline. It answers the time-out in the
-/// same turn, so this only guards the caller's final answer against a fault of ours.
-const SLACK: f64 = 0.01;
-/// The deadline lies before the end of the caller's wait by so long, in seconds, and by no more than this share of the wait.
-/// The wait runs at the caller, from when it sent; counted in full from when it was read here, each refusal at the deadline
-/// comes to a caller that has just given up unanswered. Two ticks of the fronts' timers, or way enough in a zone.
-const AHEAD: f64 = 0.01;
-const AHEAD_SHARE: f64 = 0.1;
-
-/// Ids remembered after their calls: an id is taken once, and one never offered may have stood through
-/// this gatekeeper before its restart.
-const MOST_REMEMBERED: usize = 1 << 14;
-/// Calls from before a restart are reckoned with for so long at least, in seconds, and for so many times as long as a call
-/// stands on average: of 20,000 one is not over then.
-const EARLIER: f64 = 120.0;
-const EARLIER_HOLDS: f64 = 10.0;
-/// Releases of such calls that are passed on at once, and a second. Each goes to every server, so a flood
-/// of made-up ids would be multiplied.
-const STRAYS: f64 = 100.0;
-const STRAYS_PER_S: f64 = 50.0;
-/// The origin of a call that came before a restart: any connection will do.
+/// Memory that a held call is counted with, in addition to its content.
+const CALL_OVERHEAD_BYTES: usize = 512;
+/// How long the decision module may keep a call past its deadline, in seconds. It answers the timeout in the same
+/// iteration of the event loop, so this only ensures the caller's final answer if there is a bug in the gatekeeper.
+const DEADLINE_SLACK_S: f64 = 0.01;
+/// How long before the end of the caller's wait a call's deadline is set, in seconds. The wait starts when the caller sends
+/// the set-up; if it were counted in full from when the set-up is read here, a refusal sent at the deadline would reach a
+/// caller that has just given up without an answer. This is two ticks of the event loop's timer wheel, and enough for the
+/// way to the caller within a zone.
+const DEADLINE_LEAD_S: f64 = 0.01;
+/// Largest part of the caller's wait by which the deadline is brought forward. Applies to short waits.
+const MAX_DEADLINE_LEAD_RATIO: f64 = 0.1;
+
+/// Ids that are remembered after their calls ended. An id is accepted only once, and an id that was never offered to this
+/// process may belong to a call that stood through this gatekeeper before its restart.
+const MAX_REMEMBERED_IDS: usize = 1 << 14;
+/// Shortest time after the start during which calls from before the restart are expected, in seconds.
+const MIN_EARLIER_CALLS_S: f64 = 120.0;
+/// Calls from before the restart are expected for this many mean call durations: one call in 20,000 lasts longer than that.
+const EARLIER_CALLS_HOLD_RATIO: f64 = 10.0;
+/// Releases of calls from before the restart that are passed on in one burst. Each goes to every server, so a flood of
+/// made-up ids would be multiplied by the number of servers.
+const MAX_STRAY_RELEASES: f64 = 100.0;
+/// Releases of calls from before the restart that are passed on per second in the long run; see [`MAX_STRAY_RELEASES`].
+const STRAY_RELEASES_PER_S: f64 = 50.0;
+/// The origin of a call from before a restart: a reply may go out on any connection.
 pub const ANY_ORIGIN: Origin = 0;
-/// The class of a call of an earlier life, which is not known.
+/// The class of a call from before a restart, which is not known.
 pub const UNKNOWN_CLASS: usize = usize::MAX;
 
-/// The connection on which a call came; means something to its front alone.
+/// Identifies the connection on which a call came. Only the connection layer interprets it.
 pub type Origin = usize;
 
-/// What a set-up carries through unchanged.
+/// The parts of a set-up that are passed to the server unchanged.
 #[derive(Debug, Default, PartialEq)]
 pub struct Content {
-    /// The number called.
+    /// The number dialled, as it was received.
     pub number: Vec<u8>,
-    /// The description, if there is one.
+    /// The session description, if there is one.
     pub description: Option<Vec<u8>>,
 }
 
 /// A call as its caller offers it.
 #[derive(Debug)]
 pub struct Request {
-    /// The caller's id.
+    /// The caller's id of the call.
     pub id: u64,
-    /// Class, an index into the settings.
+    /// Class of the call, as an index into the settings.
     pub class: usize,
-    /// How long the caller waits, in seconds.
+    /// How long the caller waits for a final answer, in seconds.
     pub wait: f64,
-    /// The number called, as the decision module takes it.
+    /// The number dialled, in the form that the decision module uses.
     pub dialled: u64,
     /// Number of the pool of first choice.
     pub first_choice: u32,
-    /// What is passed on.
+    /// The parts that are passed to the server unchanged.
     pub content: Content,
 }
 
-/// Why a call was not taken.
+/// Why an offered call was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferError {
-    /// A call of that id came earlier, on another connection or to its end.
+    /// A call with this id came earlier: on another connection, or it has already ended.
     KnownId,
-    /// A call of that id came on the same connection and is not over: whatever were said of the second
-    /// there would be taken for the first.
+    /// A call with this id came on the same connection and has not ended. The caller would mistake every reply to the
+    /// second call for one to the first.
     DuplicateId,
-    /// Too many calls are held.
+    /// The calls that wait for their final answer take up all the memory allowed for them.
     TooManyHeld,
 }
 
 impl fmt::Display for OfferError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OfferError::KnownId => write!(f, "a call of this id came earlier"),
-            OfferError::DuplicateId => write!(f, "a call of this id is open on this connection"),
-            OfferError::TooManyHeld => write!(f, "too many calls are held"),
+            OfferError::KnownId => write!(f, "a call with this id was offered before"),
+            OfferError::DuplicateId => write!(f, "a call with this id is still open on this connection"),
+            OfferError::TooManyHeld => write!(f, "the memory for calls without a final answer is used up"),
         }
     }
 }
 
 impl std::error::Error for OfferError {}
 
-/// What a caller is told.
+/// A reply to a caller.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
 pub enum Reply {
-    /// The call stands.
+    /// The call is established, with the server's session description if it gave one.
     Established(Option<Vec<u8>>),
-    /// Refused: trying again is harmless, after so many seconds.
+    /// The call is refused. The caller may safely try again after this many seconds.
     Refused(f64),
-    /// Failed.
+    /// The call failed.
     Failed,
-    /// A call that stood is over: ended or cut.
+    /// A standing call has ended normally, or was cut.
     Ended { cut: bool },
 }
 
-/// What a server is told.
+/// A command to a server, concerning one call.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
 pub enum Command {
-    /// A set-up, worth an answer until then.
+    /// Set up the call. An answer is of use until the time `until`, in seconds.
     SetUp { class: usize, until: f64, content: Rc<Content> },
     /// The set-up is given up.
     GiveUp,
-    /// The call that stands is released.
+    /// The standing call is released.
     Release,
 }
 
-/// What the fronts are to do.
+/// Work for the connection layer.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
 pub enum Effect {
-    /// Tell a caller. The class is the call's, for the figures; [`UNKNOWN_CLASS`] where the call is of an
-    /// earlier life.
+    /// Send a reply to a caller. `class` is the call's class, for the metrics, or [`UNKNOWN_CLASS`] for a call from
+    /// before a restart.
     Reply { origin: Origin, id: u64, class: usize, reply: Reply },
-    /// Tell a server.
+    /// Send a command to a server.
     Command { pool: PoolId, id: u64, command: Command },
-    /// Release a call at whichever server it stands.
+    /// Release a call at every server, because the server at which it stands is not known.
     ReleaseEverywhere { id: u64 },
-    /// A server ended a call that is not known here, told only where changes are noted. `earlier` where it may have
-    /// stood here before a restart.
+    /// A server ended a call that is not known here. Only reported while changes are recorded. `may_predate_start` is set
+    /// if the call may have stood through this gatekeeper before a restart.
     UnknownCallEnded { pool: PoolId, id: u64, cut: bool, may_predate_start: bool },
-    /// A caller released a call that is not known here, told only where changes are noted; `release_everywhere` where it may be
-    /// released at every server.
+    /// A caller released a call that is not known here. Only reported while changes are recorded. `release_everywhere` is
+    /// set if it may be released at every server.
     UnknownCallReleased { id: u64, release_everywhere: bool },
-    /// Call [`Calls::deadline_passed`] then.
+    /// Call [`Calls::deadline_passed`] at the time `at`.
     DeadlineTimer { call: CallId, at: f64 },
-    /// Call [`Calls::attempt_timed_out`] then.
+    /// Call [`Calls::attempt_timed_out`] at the time `at`.
     AttemptTimer { call: CallId, attempt: u8, at: f64 },
 }
 
 /// How a server ended an attempt or a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct End {
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// Why it was turned back.
+    /// Why the server rejected the set-up.
     pub cause: Cause,
-    /// How long a full processor asks to be left alone.
+    /// How long an overloaded server asks not to be sent set-ups, in seconds.
     pub wait: Option<f64>,
-    /// The server's load.
+    /// The server's load report.
     pub report: Report,
 }
 
@@ -168,16 +171,16 @@
 struct Attempt {
     pool: PoolId,
     sent_at: f64,
-    /// Set once the attempt is to be given up: how it ends when its give-up is written.
-    leaving: Option<Outcome>,
+    /// Set once the attempt is being given up: the outcome that is reported when the give-up is written.
+    giving_up: Option<Outcome>,
 }
 
 enum State {
-    /// With the decision module, no attempt out.
-    Held,
-    /// An attempt is out.
-    Out(Attempt),
-    /// The call stands.
+    /// The decision module has the call, and no attempt is open.
+    Pending,
+    /// An attempt is open at a server.
+    Attempting(Attempt),
+    /// A server has answered the call.
     Standing { pool: PoolId, since: f64 },
 }
 
@@ -187,16 +190,18 @@
     origin: Origin,
     deadline: f64,
     content: Rc<Content>,
-    /// Attempts so far; the present one has the number below.
+    /// Number of attempts so far. The current attempt's number is one less.
     attempts: u8,
-    /// Where they went.
+    /// The pools that the attempts went to.
     tried: Vec<PoolId>,
     state: State,
 }
 
 impl Call {
-    fn bytes(&self) -> usize {
-        CALL_BYTES + self.content.number.len() + self.content.description.as_ref().map_or(0, Vec::len)
+    fn held_bytes(&self) -> usize {
+        CALL_OVERHEAD_BYTES
+            + self.content.number.len()
+            + self.content.description.as_ref().map_or(0, Vec::len)
     }
 
     fn ended(&self, call: CallId, pool: PoolId, complete: bool, end: End) -> Event {
@@ -204,8 +209,8 @@
     }
 }
 
-/// One less of an origin's.
-fn less(of: &mut HashMap<Origin, usize>, origin: Origin) {
+/// Decrements an origin's count, and removes the entry at zero.
+fn decrement(of: &mut HashMap<Origin, usize>, origin: Origin) {
     if let Some(count) = of.get_mut(&origin) {
         *count -= 1;
         if *count == 0 {
@@ -214,17 +219,17 @@
     }
 }
 
-/// A call that stands, or no longer does, to be told to other gatekeepers.
+/// A change of a standing call that is reported to other gatekeepers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[expect(missing_docs, reason = "the variants tell what their fields are")]
 pub enum CallChange {
-    /// It stands, since then.
+    /// The call has been standing since the time `since`.
     Established { id: u64, class: usize, pool: PoolId, since: f64 },
-    /// It is over.
+    /// The call has ended.
     Ended { id: u64 },
 }
 
-/// A call that stood through another gatekeeper, which is gone: its end is to be seen to here.
+/// A standing call of another gatekeeper that is gone. This gatekeeper handles its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Adopted {
     pool: PoolId,
@@ -233,52 +238,52 @@
 
 /// All calls of this gatekeeper.
 pub struct Calls {
-    /// When this gatekeeper started, and most bytes of set-ups held for calls that do not stand yet;
-    /// beyond it new ones are turned away.
+    /// When this gatekeeper started.
     started: f64,
-    most_held: usize,
-    /// For how long calls from before the start are reckoned with.
-    earlier_for: f64,
-    /// Strays that may be passed on, as of then.
-    strays: (f64, f64),
-    /// Calls without a final answer, by origin; an origin without any is not there.
-    open: HashMap<Origin, usize>,
-    /// Calls that stand, by the origin whose caller is to hear of their end; an origin without any is not there.
-    standing: HashMap<Origin, usize>,
+    /// Limit of the memory held for calls without a final answer. New calls are rejected beyond it.
+    max_held_bytes: usize,
+    /// How long after the start calls from before it are expected, in seconds.
+    earlier_calls_s: f64,
+    /// Token bucket for releases that go to every server: the tokens left, and the time at which they were counted.
+    stray_tokens: (f64, f64),
+    /// Number of calls without a final answer, by origin. Origins without any have no entry.
+    open_by_origin: HashMap<Origin, usize>,
+    /// Number of standing calls, by the origin whose caller is told of their end. Origins without any have no entry.
+    standing_by_origin: HashMap<Origin, usize>,
     calls: HashMap<CallId, Call>,
-    ids: HashMap<u64, CallId>,
-    next: CallId,
+    calls_by_id: HashMap<u64, CallId>,
+    last_call: CallId,
     held_bytes: usize,
-    /// Ids offered since the start, the latest of them.
-    offered: HashSet<u64>,
+    /// The ids that were offered most recently since the start, and the same ids ordered from the oldest.
+    offered_ids: HashSet<u64>,
     offered_order: VecDeque<u64>,
-    /// Calls of gatekeepers that are gone, by id.
+    /// Standing calls of gatekeepers that are gone, by id.
     adopted: HashMap<u64, Adopted>,
-    /// Calls that stand or are over since this was last taken; none are noted unless somebody wants them.
+    /// Changes since they were last taken. `None` while changes are not recorded.
     changes: Option<Vec<CallChange>>,
-    /// What the decision module has yet to be told.
+    /// Events that the decision module has not handled yet.
     pub events: Vec<Event>,
-    /// What the fronts have yet to do.
+    /// Work that the connection layer has not done yet.
     pub effects: Vec<Effect>,
-    /// Attempts written whole to servers, as the fronts count them.
+    /// Set-ups that were written to servers completely. Counted by the connection layer.
     pub forwards: u64,
 }
 
 impl Calls {
-    /// No calls yet.
-    pub fn new(now: f64, most_held: usize) -> Self {
+    /// Starts without calls at the time `now`, in seconds. Calls without a final answer may take up `max_held_bytes`.
+    pub fn new(now: f64, max_held_bytes: usize) -> Self {
         Calls {
             started: now,
-            most_held,
-            earlier_for: EARLIER,
-            strays: (STRAYS, now),
-            open: HashMap::new(),
-            standing: HashMap::new(),
+            max_held_bytes,
+            earlier_calls_s: MIN_EARLIER_CALLS_S,
+            stray_tokens: (MAX_STRAY_RELEASES, now),
+            open_by_origin: HashMap::new(),
+            standing_by_origin: HashMap::new(),
             calls: HashMap::new(),
-            ids: HashMap::new(),
-            next: 0,
+            calls_by_id: HashMap::new(),
+            last_call: 0,
             held_bytes: 0,
-            offered: HashSet::new(),
+            offered_ids: HashSet::new(),
             offered_order: VecDeque::new(),
             adopted: HashMap::new(),
             changes: None,
@@ -288,23 +293,24 @@
         }
     }
 
-    /// Takes how long a call stands on average, in seconds, where that is told.
+    /// Sets the mean duration of a standing call, in seconds, or `None` if it is not known.
     pub fn set_mean_call_duration(&mut self, hold: Option<f64>) {
-        self.earlier_for = hold.map_or(EARLIER, |hold| (EARLIER_HOLDS * hold).max(EARLIER));
+        self.earlier_calls_s = hold
+            .map_or(MIN_EARLIER_CALLS_S, |hold| (EARLIER_CALLS_HOLD_RATIO * hold).max(MIN_EARLIER_CALLS_S));
     }
 
-    /// How many calls of an origin wait for their final answer.
+    /// The number of an origin's calls that wait for their final answer.
     pub fn open_count(&self, origin: Origin) -> usize {
-        self.open.get(&origin).copied().unwrap_or(0)
+        self.open_by_origin.get(&origin).copied().unwrap_or(0)
     }
 
-    /// Whether something is still to be told to an origin's caller in this turn.
+    /// Whether a reply to an origin's caller is still pending in this iteration of the event loop.
     pub fn has_pending_reply(&self, origin: Origin) -> bool {
         let owed = |effect: &Effect| matches!(effect, Effect::Reply { origin: to, .. } if *to == origin);
         self.effects.iter().any(owed)
     }
 
-    /// Ids of the calls of an origin that wait for their final answer.
+    /// The ids of an origin's calls that wait for their final answer, in ascending order.
     pub fn open_ids(&self, origin: Origin) -> Vec<u64> {
         if self.open_count(origin) == 0 {
             return Vec::new();
@@ -315,90 +321,95 @@
         ids
     }
 
-    /// A call has its final answer, or is owed none any more.
-    fn settled(&mut self, origin: Origin, bytes: usize) {
+    /// Stops counting a call that got its final answer or no longer needs one.
+    fn remove_open(&mut self, origin: Origin, bytes: usize) {
         self.held_bytes -= bytes;
-        less(&mut self.open, origin);
+        decrement(&mut self.open_by_origin, origin);
     }
 
-    /// How many calls of an origin stand.
+    /// The number of an origin's standing calls.
     pub fn standing_count(&self, origin: Origin) -> usize {
-        self.standing.get(&origin).copied().unwrap_or(0)
+        self.standing_by_origin.get(&origin).copied().unwrap_or(0)
     }
 
-    /// Whether a call stands, here or in place of another gatekeeper, whose origin is none of these.
+    /// Whether there is a standing call whose origin doesn't satisfy `here`, or one adopted from another gatekeeper.
     pub fn has_standing_call_outside(&self, here: impl Fn(Origin) -> bool) -> bool {
-        !self.adopted.is_empty() || self.standing.keys().any(|origin| !here(*origin))
+        !self.adopted.is_empty() || self.standing_by_origin.keys().any(|origin| !here(*origin))
     }
 
-    /// Calls that still need their final answer, and calls that stand.
+    /// The number of calls that still need their final answer, and the number of standing calls.
     pub fn count(&self) -> (usize, usize) {
-        let standing = self.standing.values().sum::<usize>();
+        let standing = self.standing_by_origin.values().sum::<usize>();
         (self.calls.len() - standing, standing)
     }
 
-    /// Takes a call from a caller.
+    /// Accepts a call from a caller.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a call with this id came before, or if too many calls are held. Nothing has changed then.
     pub fn offer(&mut self, now: f64, origin: Origin, request: Request) -> Result<(), OfferError> {
         let Request { id, class, wait, dialled, first_choice, content } = request;
-        // An id is taken once: the servers and the caller tell calls apart by it alone.
-        match self.ids.get(&id).and_then(|call| self.calls.get(call)) {
+        // An id is accepted only once, because servers and callers identify a call by its id alone.
+        match self.calls_by_id.get(&id).and_then(|call| self.calls.get(call)) {
             Some(first) if first.origin == origin => return Err(OfferError::DuplicateId),
             _ if self.is_known(id) => return Err(OfferError::KnownId),
             _ => {}
         }
-        if self.held_bytes > self.most_held {
+        if self.held_bytes > self.max_held_bytes {
             return Err(OfferError::TooManyHeld);
         }
-        self.next = self.next.wrapping_add(1);
-        let wait = wait - AHEAD.min(AHEAD_SHARE * wait);
-        let (call, deadline) = (self.next, now + wait);
+        self.last_call = self.last_call.wrapping_add(1);
+        let wait = wait - DEADLINE_LEAD_S.min(MAX_DEADLINE_LEAD_RATIO * wait);
+        let (call, deadline) = (self.last_call, now + wait);
         let content = Rc::new(content);
-        let (attempts, tried, state) = (0, Vec::new(), State::Held);
+        let (attempts, tried, state) = (0, Vec::new(), State::Pending);
         let new = Call { id, class, origin, deadline, content, attempts, tried, state };
-        self.held_bytes += new.bytes();
-        *self.open.entry(origin).or_default() += 1;
+        self.held_bytes += new.held_bytes();
+        *self.open_by_origin.entry(origin).or_default() += 1;
         self.calls.insert(call, new);
-        self.ids.insert(id, call);
-        self.remember(id);
+        self.calls_by_id.insert(id, call);
+        self.remember_id(id);
         self.effects.push(Effect::DeadlineTimer { call, at: deadline });
         self.events.push(Event::Call { call, class, tenant: 0, time_left: wait, dialled, first_choice });
         Ok(())
     }
 
-    /// Whether a call of this id came earlier, as far as is remembered.
+    /// Whether a call with this id came earlier, as far as ids are remembered.
     pub fn is_known(&self, id: u64) -> bool {
-        self.ids.contains_key(&id) || self.offered.contains(&id) || self.adopted.contains_key(&id)
+        self.calls_by_id.contains_key(&id) || self.offered_ids.contains(&id) || self.adopted.contains_key(&id)
     }
 
-    /// An id is known from now on, as long as not too many came since.
-    fn remember(&mut self, id: u64) {
-        if self.offered.insert(id) {
+    /// Remembers an id until [`MAX_REMEMBERED_IDS`] newer ones have come.
+    fn remember_id(&mut self, id: u64) {
+        if self.offered_ids.insert(id) {
             self.offered_order.push_back(id);
         }
-        if self.offered_order.len() > MOST_REMEMBERED {
-            self.offered_order.pop_front().map(|old| self.offered.remove(&old));
+        if self.offered_order.len() > MAX_REMEMBERED_IDS {
+            self.offered_order.pop_front().map(|old| self.offered_ids.remove(&old));
         }
     }
 
     fn remove(&mut self, call: CallId) -> Option<Call> {
-        let gone = self.calls.remove(&call)?;
-        self.ids.remove(&gone.id);
-        if matches!(gone.state, State::Standing { .. }) {
-            less(&mut self.standing, gone.origin);
-            self.note(CallChange::Ended { id: gone.id });
+        let removed = self.calls.remove(&call)?;
+        self.calls_by_id.remove(&removed.id);
+        if matches!(removed.state, State::Standing { .. }) {
+            decrement(&mut self.standing_by_origin, removed.origin);
+            self.record_change(CallChange::Ended { id: removed.id });
         } else {
-            self.settled(gone.origin, gone.bytes());
+            self.remove_open(removed.origin, removed.held_bytes());
         }
-        Some(gone)
+        Some(removed)
     }
 
     fn push_command(&mut self, pool: PoolId, id: u64, command: Command) {
         self.effects.push(Effect::Command { pool, id, command });
     }
 
-    // ---- What other gatekeepers are told, and what is seen to in their place
+    // ---- Changes for other gatekeepers, and calls adopted from them
 
-    /// Notes the calls that stand and that are over from now on, or stops it. Those that stand now are noted.
+    /// Starts or stops recording changes of standing calls. At the start the calls that stand now are recorded; at the
+    /// stop the adopted calls are forgotten.
     pub fn record_changes(&mut self, on: bool) {
         self.changes = on.then(Vec::new);
         let standing: Vec<CallChange> = (self.calls.values())
@@ -409,90 +420,90 @@
                 _ => None,
             })
             .collect();
-        standing.into_iter().for_each(|change| self.note(change));
+        standing.into_iter().for_each(|change| self.record_change(change));
         if !on {
             self.adopted.clear();
         }
     }
 
-    fn note(&mut self, change: CallChange) {
+    fn record_change(&mut self, change: CallChange) {
         if let Some(changes) = &mut self.changes {
             changes.push(change);
         }
     }
 
-    /// What was noted since this was last asked.
+    /// Returns the changes since the last call of this function.
     pub fn take_changes(&mut self) -> Vec<CallChange> {
         self.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Sees to the end of a call that stood through a gatekeeper that is gone. One that is known here already is its
-    /// own matter.
+    /// Takes over a standing call of a gatekeeper that is gone: its end is handled here from now on. Has no effect if this
+    /// gatekeeper has a call with the same id.
     pub fn adopt(&mut self, id: u64, pool: PoolId, since: f64) {
-        if !self.ids.contains_key(&id) {
+        if !self.calls_by_id.contains_key(&id) {
             self.adopted.insert(id, Adopted { pool, since });
         }
     }
 
-    /// Leaves a call to another gatekeeper again; or it is over, and its caller knows.
+    /// Drops an adopted call: another gatekeeper handles it again, or it has ended and its caller knows.
     pub fn drop_adopted(&mut self, id: u64) {
         self.adopted.remove(&id);
     }
 
-    /// An own call was ended by another gatekeeper, which told its caller: nothing more is said of it.
+    /// Removes a standing call of this gatekeeper whose caller was told of the end by another gatekeeper. Sends nothing.
     pub fn ended_elsewhere(&mut self, id: u64) {
         let standing = |c: &Call| match c.state {
             State::Standing { pool, .. } => Some(pool),
             _ => None,
         };
-        let Some(call) = self.ids.get(&id).copied() else { return };
+        let Some(call) = self.calls_by_id.get(&id).copied() else { return };
         if let Some(pool) = self.calls.get(&call).and_then(standing) {
-            if let Some(gone) = self.remove(call) {
-                self.events.push(gone.ended(call, pool, true, End::with_outcome(Outcome::Done)));
+            if let Some(removed) = self.remove(call) {
+                self.events.push(removed.ended(call, pool, true, End::with_outcome(Outcome::Done)));
             }
         }
     }
 
-    /// Calls that are seen to in place of other gatekeepers.
+    /// The number of adopted calls.
     pub fn adopted_count(&self) -> usize {
         self.adopted.len()
     }
 
-    /// A caller released a call that stands through another gatekeeper.
+    /// Records that a caller released a standing call of another gatekeeper.
     pub fn released_elsewhere(&mut self, id: u64) {
-        self.note(CallChange::Ended { id });
+        self.record_change(CallChange::Ended { id });
     }
 
-    /// Tells a caller the end of a call that is not known here.
+    /// Reports the end of a call that is not known here to its caller, on any connection.
     pub fn report_end(&mut self, id: u64, cut: bool) {
         self.adopted.remove(&id);
-        self.note(CallChange::Ended { id });
+        self.record_change(CallChange::Ended { id });
         let reply = Reply::Ended { cut };
         self.effects.push(Effect::Reply { origin: ANY_ORIGIN, id, class: UNKNOWN_CLASS, reply });
     }
 
-    // ---- What the decision module asks for
+    // ---- Actions of the decision module
 
-    /// Starts an attempt.
+    /// Starts an attempt at a pool, with a time limit in seconds. A limit of 0 means the caller's deadline.
     pub fn start_attempt(&mut self, now: f64, call: CallId, pool: PoolId, limit: f64) {
         let Some(c) = self.calls.get_mut(&call) else {
-            // Its caller went while the module decided. The module counts this attempt as out until it is
-            // told of its end, and a set-up out for ever makes a pool look as if it had stopped.
+            // The caller gave up while the module decided. The module counts this attempt as open until its end is
+            // reported, and a set-up that stays open makes a pool look as if it no longer answers.
             let end = End::with_outcome(Outcome::Moot);
             return self.events.push(end.event(call, pool, 0, true));
         };
-        if !matches!(c.state, State::Held) {
+        if !matches!(c.state, State::Pending) {
             return log::error!(call:% = format_args!("{:016x}", c.id); "module-sent-a-call-not-held");
         }
         let attempt = c.attempts;
         c.attempts = attempt.saturating_add(1);
-        // A limit of 0 is until the caller's deadline, whose timer runs already.
+        // The timer of the caller's deadline is already set, so only a shorter limit needs one.
         let until = if limit > 0.0 { c.deadline.min(now + limit) } else { c.deadline };
         if now >= until {
             self.events.push(c.ended(call, pool, false, End::with_outcome(Outcome::Moot)));
             return;
         }
-        c.state = State::Out(Attempt { pool, sent_at: now, leaving: None });
+        c.state = State::Attempting(Attempt { pool, sent_at: now, giving_up: None });
         c.tried.push(pool);
         let (id, class, content) = (c.id, c.class, Rc::clone(&c.content));
         if until < c.deadline {
@@ -501,75 +512,80 @@
         self.push_command(pool, id, Command::SetUp { class, until, content });
     }
 
-    /// Gives an attempt up. It has ended once the give-up is written, see [`Calls::give_up_written`].
+    /// Gives up an attempt. It ends when the give-up is written; see [`Calls::give_up_written`].
     pub fn cancel(&mut self, call: CallId, attempt: u8) {
-        self.leave(call, attempt, Outcome::Cancelled);
+        self.give_up_attempt(call, attempt, Outcome::Cancelled);
     }
 
-    /// An attempt's own time limit has passed.
+    /// Handles the end of an attempt's own time limit.
     pub fn attempt_timed_out(&mut self, call: CallId, attempt: u8) {
-        self.leave(call, attempt, Outcome::Timeout);
+        self.give_up_attempt(call, attempt, Outcome::Timeout);
     }
 
-    fn leave(&mut self, call: CallId, attempt: u8, outcome: Outcome) {
+    fn give_up_attempt(&mut self, call: CallId, attempt: u8, outcome: Outcome) {
         let Some(c) = self.calls.get_mut(&call) else { return };
-        if let State::Out(Attempt { pool, leaving: leaving @ None, .. }) = &mut c.state {
+        if let State::Attempting(Attempt { pool, giving_up: giving_up @ None, .. }) = &mut c.state {
             if c.attempts == attempt.saturating_add(1) {
-                *leaving = Some(outcome);
+                *giving_up = Some(outcome);
                 let (pool, id) = (*pool, c.id);
                 self.push_command(pool, id, Command::GiveUp);
             }
         }
     }
 
-    /// Final answer: refused.
+    /// Gives the call its final answer: refused. The caller may try again after `retry_after` seconds.
     pub fn refuse(&mut self, call: CallId, retry_after: f64) {
-        self.answer(call, Reply::Refused(retry_after));
+        self.send_final_answer(call, Reply::Refused(retry_after));
     }
 
-    /// Final answer: failed.
+    /// Gives the call its final answer: failed.
     pub fn fail(&mut self, call: CallId) {
-        self.answer(call, Reply::Failed);
+        self.send_final_answer(call, Reply::Failed);
     }
 
-    fn answer(&mut self, call: CallId, reply: Reply) {
-        // One that stands has had its final answer.
+    fn send_final_answer(&mut self, call: CallId, reply: Reply) {
+        // A standing call has already had its final answer.
         if self.calls.get(&call).is_some_and(|c| matches!(c.state, State::Standing { .. })) {
             return;
         }
-        let Some(gone) = self.remove(call) else { return };
-        self.forsake(call, &gone);
-        self.effects.push(Effect::Reply { origin: gone.origin, id: gone.id, class: gone.class, reply });
-    }
-
-    /// Gives up the attempt of a call that is over, unless its give-up is on its way already. The module
-    /// counts what is out at each pool, so it is told of this end too.
-    fn forsake(&mut self, call: CallId, gone: &Call) {
-        if let State::Out(Attempt { pool, leaving, .. }) = gone.state {
-            if leaving.is_none() {
-                self.push_command(pool, gone.id, Command::GiveUp);
+        let Some(removed) = self.remove(call) else { return };
+        self.give_up_removed(call, &removed);
+        self.effects.push(Effect::Reply {
+            origin: removed.origin,
+            id: removed.id,
+            class: removed.class,
+            reply,
+        });
+    }
+
+    /// Gives up the attempt of a call that was removed, unless it is already being given up. The decision module counts the
+    /// open attempts of each pool, so this end is reported to it too.
+    fn give_up_removed(&mut self, call: CallId, removed: &Call) {
+        if let State::Attempting(Attempt { pool, giving_up, .. }) = removed.state {
+            if giving_up.is_none() {
+                self.push_command(pool, removed.id, Command::GiveUp);
             }
-            let end = End::with_outcome(leaving.unwrap_or(Outcome::Cancelled));
-            self.events.push(gone.ended(call, pool, true, end));
+            let end = End::with_outcome(giving_up.unwrap_or(Outcome::Cancelled));
+            self.events.push(removed.ended(call, pool, true, end));
         }
     }
 
-    // ---- What time brings
+    // ---- Timers
 
-    /// The caller's deadline has passed. The module is owed the time-out of an open attempt and answers
-    /// it in the slack; a call that it still holds after that is failed here.
+    /// Handles a caller's deadline. The timeout of an open attempt is reported to the decision module, which answers it
+    /// within [`DEADLINE_SLACK_S`]; a call that is still pending after that fails here.
     pub fn deadline_passed(&mut self, now: f64, call: CallId) {
         let Some(c) = self.calls.get_mut(&call) else { return };
-        match std::mem::replace(&mut c.state, State::Held) {
-            State::Out(Attempt { pool, leaving, .. }) => {
+        match std::mem::replace(&mut c.state, State::Pending) {
+            State::Attempting(Attempt { pool, giving_up, .. }) => {
                 let id = c.id;
                 self.events.push(c.ended(call, pool, false, End::with_outcome(Outcome::Timeout)));
-                self.effects.push(Effect::DeadlineTimer { call, at: now + SLACK });
-                if leaving.is_none() {
+                self.effects.push(Effect::DeadlineTimer { call, at: now + DEADLINE_SLACK_S });
+                if giving_up.is_none() {
                     self.push_command(pool, id, Command::GiveUp);
                 }
             }
-            State::Held => {
+            State::Pending => {
                 self.events.push(Event::Abandoned { call });
                 self.fail(call);
             }
@@ -577,71 +593,73 @@
         }
     }
 
-    /// Answers all calls that have no final answer, before the program ends: refused, with the time to stay away, or failed
-    /// where an attempt may have run and the class may not be repeated, as a caller that is refused tries again.
+    /// Answers all calls that have no final answer, before the program ends. A call is refused for `stay_away` seconds, or
+    /// fails if an attempt may have reached a server and its class may not be repeated, because a refused caller tries
+    /// again.
     pub fn answer_all(&mut self, repeatable: impl Fn(usize) -> bool, stay_away: f64) {
-        self.answer_now(|_| true, repeatable, stay_away);
+        self.answer_open(|_| true, repeatable, stay_away);
     }
 
-    /// Answers the calls of an origin that have no final answer in the same way, as its connection is to be closed.
+    /// Answers the calls of one origin in the same way, before its connection is closed.
     pub fn answer_origin(&mut self, origin: Origin, repeatable: impl Fn(usize) -> bool, stay_away: f64) {
-        self.answer_now(|from| from == origin, repeatable, stay_away);
+        self.answer_open(|from| from == origin, repeatable, stay_away);
     }
 
-    fn answer_now(
+    fn answer_open(
         &mut self,
-        from: impl Fn(Origin) -> bool,
+        matches: impl Fn(Origin) -> bool,
         repeatable: impl Fn(usize) -> bool,
         stay_away: f64,
     ) {
-        let open = |(_, c): &(&CallId, &Call)| from(c.origin) && !matches!(c.state, State::Standing { .. });
+        let open =
+            |(_, c): &(&CallId, &Call)| matches(c.origin) && !matches!(c.state, State::Standing { .. });
         let mut all: Vec<(CallId, bool)> = (self.calls.iter().filter(open))
             .map(|(call, c)| (*call, c.attempts == 0 || repeatable(c.class)))
             .collect();
         all.sort_unstable();
-        for (call, harmless) in all {
+        for (call, may_refuse) in all {
             self.events.push(Event::Abandoned { call });
-            match harmless {
+            match may_refuse {
                 true => self.refuse(call, stay_away),
                 false => self.fail(call),
             }
         }
     }
 
-    /// Cuts the calls of these origins that stand, as their ends could not be told to anybody: their servers and callers are
-    /// told now. Returns how many.
-    pub fn cut_standing(&mut self, from: impl Fn(Origin) -> bool) -> usize {
+    /// Cuts the standing calls whose origin satisfies `matches`, because nobody could report their end later. Their servers
+    /// and callers are told now. Returns the number of calls.
+    pub fn cut_standing(&mut self, matches: impl Fn(Origin) -> bool) -> usize {
         let standing = |(call, c): (&CallId, &Call)| match c.state {
-            State::Standing { pool, .. } if from(c.origin) => Some((*call, pool, c.id)),
+            State::Standing { pool, .. } if matches(c.origin) => Some((*call, pool, c.id)),
             _ => None,
         };
         let mut all: Vec<(CallId, PoolId, u64)> = self.calls.iter().filter_map(standing).collect();
         all.sort_unstable();
         for &(call, pool, id) in &all {
-            // The server is not to blame.
-            self.over(call, pool, End::with_outcome(Outcome::Cancelled));
+            // `Cancelled`, because the cut must not count against the server.
+            self.end_standing(call, pool, End::with_outcome(Outcome::Cancelled));
             self.push_command(pool, id, Command::Release);
         }
         all.len()
     }
 
-    // ---- What callers say
+    // ---- Messages from callers
 
-    /// A caller gives a call up, or releases one that stands.
+    /// Handles a caller's release: it gives up a set-up, or ends a standing call.
     pub fn caller_release(&mut self, now: f64, id: u64) {
-        let Some(call) = self.ids.get(&id).copied() else {
+        let Some(call) = self.calls_by_id.get(&id).copied() else {
             if let Some(adopted) = self.adopted.remove(&id) {
-                self.note(CallChange::Ended { id });
+                self.record_change(CallChange::Ended { id });
                 return self.push_command(adopted.pool, id, Command::Release);
             }
-            // It may have stood through this gatekeeper before a restart, which knows not where.
+            // The call may have stood through this gatekeeper before a restart. The server is not known then.
             let mut release_everywhere = false;
             if self.may_predate_start(now, id) {
-                let (left, at) = self.strays;
-                let left = (left + (now - at) * STRAYS_PER_S).min(STRAYS);
-                self.strays = (left, now);
+                let (left, at) = self.stray_tokens;
+                let left = (left + (now - at) * STRAY_RELEASES_PER_S).min(MAX_STRAY_RELEASES);
+                self.stray_tokens = (left, now);
                 if left >= 1.0 {
-                    self.strays.0 -= 1.0;
+                    self.stray_tokens.0 -= 1.0;
                     release_everywhere = true;
                 }
             }
@@ -652,11 +670,11 @@
             }
             return;
         };
-        let Some(gone) = self.remove(call) else { return };
-        // Taken back before the module was told of it: there is nothing to decide and nothing to count.
-        // Guards against floods of such calls, which would rank and outnumber those of other callers.
-        let untold = |e: &Event| matches!(e, Event::Call { call: new, .. } if *new == call);
-        if let Some(at) = self.events.iter().rposition(untold) {
+        let Some(removed) = self.remove(call) else { return };
+        // The call was given up before the module handled it, so it is neither decided nor counted. Otherwise a flood of
+        // such calls would be ranked with other callers' calls and outnumber them.
+        let queued_offer = |e: &Event| matches!(e, Event::Call { call: new, .. } if *new == call);
+        if let Some(at) = self.events.iter().rposition(queued_offer) {
             self.events.remove(at);
             let timer = |e: &Effect| matches!(e, Effect::DeadlineTimer { call: new, .. } if *new == call);
             if let Some(at) = self.effects.iter().rposition(timer) {
@@ -664,147 +682,153 @@
             }
             return;
         }
-        match gone.state {
+        match removed.state {
             State::Standing { pool, .. } => {
                 self.push_command(pool, id, Command::Release);
-                self.events.push(gone.ended(call, pool, true, End::with_outcome(Outcome::Cancelled)));
+                self.events.push(removed.ended(call, pool, true, End::with_outcome(Outcome::Cancelled)));
             }
-            State::Out(_) | State::Held => {
+            State::Attempting(_) | State::Pending => {
                 self.events.push(Event::Abandoned { call });
-                self.forsake(call, &gone);
+                self.give_up_removed(call, &removed);
             }
         }
     }
 
-    /// A caller's connection is gone: its open set-ups are given up. What stands belongs to no connection.
+    /// Gives up the open set-ups of a caller's connection that was lost. Standing calls belong to no connection and stay.
     pub fn origin_lost(&mut self, now: f64, origin: Origin) {
         for id in self.open_ids(origin) {
             self.caller_release(now, id);
         }
     }
 
-    /// Whether an id may be of a call that stood through this gatekeeper before it started.
+    /// Whether an id may belong to a call that stood through this gatekeeper before it was restarted.
     fn may_predate_start(&self, now: f64, id: u64) -> bool {
-        now - self.started < self.earlier_for && !self.offered.contains(&id)
+        now - self.started < self.earlier_calls_s && !self.offered_ids.contains(&id)
     }
 
-    // ---- What servers say
+    // ---- Messages from servers
 
-    /// A server answered: the call stands there.
+    /// Handles a server's answer to a set-up: the call is established there.
     pub fn established(&mut self, now: f64, pool: PoolId, id: u64, description: Option<Vec<u8>>) {
-        let known = self.ids.get(&id).copied();
+        let known = self.calls_by_id.get(&id).copied();
         if let Some((call, c)) = known.and_then(|call| Some((call, self.calls.get_mut(&call)?))) {
             match c.state {
-                State::Out(Attempt { pool: at, sent_at, leaving: None }) if at == pool => {
-                    let (origin, bytes, class) = (c.origin, c.bytes(), c.class);
+                State::Attempting(Attempt { pool: at, sent_at, giving_up: None }) if at == pool => {
+                    let (origin, bytes, class) = (c.origin, c.held_bytes(), c.class);
                     let change = CallChange::Established { id, class, pool, since: now };
                     c.content = Rc::default();
                     c.state = State::Standing { pool, since: now };
                     let attempt = c.attempts.saturating_sub(1);
                     self.events.push(Event::Stood { call, pool, lag: now - sent_at, attempt });
-                    self.settled(origin, bytes);
-                    *self.standing.entry(origin).or_default() += 1;
-                    self.note(change);
+                    self.remove_open(origin, bytes);
+                    *self.standing_by_origin.entry(origin).or_default() += 1;
+                    self.record_change(change);
                     let reply = Reply::Established(description);
                     self.effects.push(Effect::Reply { origin, id, class, reply });
                     return;
                 }
-                // A second copy.
+                // A repeated answer.
                 State::Standing { pool: at, .. } if at == pool => return,
-                // An answer ahead, to what was never sent there.
+                // An answer to a set-up that was never sent to this pool.
                 _ if !c.tried.contains(&pool) => return,
                 _ => {}
             }
-        } else if !self.offered.contains(&id) {
-            // An answer ahead of its call. A release now might cut the call when it comes.
+        } else if !self.offered_ids.contains(&id) {
+            // An answer to a call that was not offered yet. A release sent now might cut that call later.
             return;
         }
-        // The answer crossed the give-up: nobody waits for this call, and it must not stand on.
+        // The answer crossed the give-up. Nobody waits for this call any more, so it is released.
         self.push_command(pool, id, Command::Release);
     }
 
-    /// A server ended an attempt, or a call that stood.
+    /// Handles the end of an attempt or of a standing call, as reported by a server.
     pub fn ended(&mut self, now: f64, pool: PoolId, id: u64, end: End) {
-        let known = self.ids.get(&id).copied();
+        let known = self.calls_by_id.get(&id).copied();
         if let Some((call, c)) = known.and_then(|call| Some((call, self.calls.get_mut(&call)?))) {
             match c.state {
-                State::Out(Attempt { pool: at, .. }) if at == pool => {
-                    // An end before the answer tells that the answer got lost: the call stood, and is over.
-                    c.state = State::Held;
+                State::Attempting(Attempt { pool: at, .. }) if at == pool => {
+                    // `Done` before the answer means that the answer was lost: the call was established and has ended.
+                    c.state = State::Pending;
                     self.events.push(c.ended(call, pool, false, end));
                     return;
                 }
                 State::Standing { pool: at, .. } if at == pool => {
                     let outcome = if end.outcome == Outcome::Done { Outcome::Done } else { Outcome::Reset };
-                    return self.over(call, pool, End { outcome, ..end });
+                    return self.end_standing(call, pool, End { outcome, ..end });
                 }
                 _ => {}
             }
         }
         let (over, cut) =
             (matches!(end.outcome, Outcome::Done | Outcome::Reset), end.outcome != Outcome::Done);
-        // Set-ups of an earlier life were given up with its connections, so this ends a call that stood
-        // then. Ends of calls of this life that crossed their give-up are no news to anyone.
+        // Set-ups from before a restart were given up when the connections closed, so this is the end of a call that
+        // stood then. Ends of this process's calls that crossed their give-up need no report.
         let may_predate_start = self.may_predate_start(now, id);
         if self.adopted.get(&id).is_some_and(|a| a.pool == pool) {
             self.report_end(id, cut);
         } else if self.changes.is_some() {
-            if over && known.is_none() && !self.offered.contains(&id) {
+            if over && known.is_none() && !self.offered_ids.contains(&id) {
                 self.effects.push(Effect::UnknownCallEnded { pool, id, cut, may_predate_start });
             }
         } else if may_predate_start && over {
-            // A server says an end again on the next connection that is opened. Guards against a second word to a caller
-            // whose call was answered by nobody before the restart: it would take it for a second answer.
-            self.remember(id);
+            // A server repeats an end on the next connection that is opened. Remembering the id prevents a second report
+            // to a caller whose call had no answer before the restart: it would take that for a second final answer.
+            self.remember_id(id);
             let reply = Reply::Ended { cut };
             self.effects.push(Effect::Reply { origin: ANY_ORIGIN, id, class: UNKNOWN_CLASS, reply });
         }
         self.events.push(Event::Load { pool, report: end.report });
     }
 
-    fn over(&mut self, call: CallId, pool: PoolId, end: End) {
-        let Some(gone) = self.remove(call) else { return };
-        self.events.push(gone.ended(call, pool, true, end));
+    fn end_standing(&mut self, call: CallId, pool: PoolId, end: End) {
+        let Some(removed) = self.remove(call) else { return };
+        self.events.push(removed.ended(call, pool, true, end));
         let reply = Reply::Ended { cut: end.outcome != Outcome::Done };
-        self.effects.push(Effect::Reply { origin: gone.origin, id: gone.id, class: gone.class, reply });
+        self.effects.push(Effect::Reply {
+            origin: removed.origin,
+            id: removed.id,
+            class: removed.class,
+            reply,
+        });
     }
 
-    /// The give-up of an attempt is written, or was not needed.
+    /// Handles that an attempt's give-up was written, or was not needed.
     pub fn give_up_written(&mut self, pool: PoolId, id: u64) {
-        self.attempt_over(pool, id, None);
+        self.end_attempt(pool, id, None);
     }
 
-    /// An attempt never left: no connection came up.
+    /// Handles that an attempt was never sent, because no connection was established.
     pub fn attempt_not_sent(&mut self, pool: PoolId, id: u64) {
-        self.attempt_over(pool, id, Some(Outcome::ConnectFailed));
+        self.end_attempt(pool, id, Some(Outcome::ConnectFailed));
     }
 
-    /// The connection of an attempt broke.
+    /// Handles the loss of the connection of an attempt.
     pub fn attempt_reset(&mut self, pool: PoolId, id: u64) {
-        self.attempt_over(pool, id, Some(Outcome::Reset));
+        self.end_attempt(pool, id, Some(Outcome::Reset));
     }
 
-    fn attempt_over(&mut self, pool: PoolId, id: u64, outcome: Option<Outcome>) {
-        let Some(call) = self.ids.get(&id).copied() else { return };
+    fn end_attempt(&mut self, pool: PoolId, id: u64, outcome: Option<Outcome>) {
+        let Some(call) = self.calls_by_id.get(&id).copied() else { return };
         let Some(c) = self.calls.get_mut(&call) else { return };
-        if let State::Out(Attempt { pool: at, leaving, .. }) = c.state {
-            if let (true, Some(outcome)) = (at == pool, leaving.or(outcome)) {
-                c.state = State::Held;
+        if let State::Attempting(Attempt { pool: at, giving_up, .. }) = c.state {
+            if let (true, Some(outcome)) = (at == pool, giving_up.or(outcome)) {
+                c.state = State::Pending;
                 self.events.push(c.ended(call, pool, false, End::with_outcome(outcome)));
             }
         }
     }
 
-    /// The calls that stood at a pool before then were cut, by a server that could not say so. With
-    /// `tell` it is told when it can be reached: it may only have been cut off, and hold them still.
-    pub fn cut_calls_at(&mut self, pool: PoolId, before: f64, tell: bool) -> usize {
+    /// Cuts the calls that have been standing at a pool since before the time `before`, because the server is gone or was
+    /// restarted and can't report their ends. With `release` the server gets a release for each as soon as it can be
+    /// reached: it may only have been unreachable and may still hold the calls. Returns the number of calls.
+    pub fn cut_calls_at(&mut self, pool: PoolId, before: f64, release: bool) -> usize {
         let cut = |c: &&Call| matches!(c.state, State::Standing { pool: at, since } if at == pool && since < before);
         let mut ids: Vec<u64> = self.calls.values().filter(cut).map(|c| c.id).collect();
         ids.sort_unstable();
         for &id in &ids {
-            if let Some(call) = self.ids.get(&id).copied() {
-                self.over(call, pool, End::with_outcome(Outcome::Reset));
-                if tell {
+            if let Some(call) = self.calls_by_id.get(&id).copied() {
+                self.end_standing(call, pool, End::with_outcome(Outcome::Reset));
+                if release {
                     self.push_command(pool, id, Command::Release);
                 }
             }
@@ -814,43 +838,43 @@
         adopted.sort_unstable();
         for &id in &adopted {
             self.report_end(id, true);
-            if tell {
+            if release {
                 self.push_command(pool, id, Command::Release);
             }
         }
         ids.len() + adopted.len()
     }
 
-    /// Whether a call that came here stands.
+    /// Whether a call that came to this gatekeeper is standing.
     pub fn is_standing(&self, id: u64) -> bool {
-        let call = self.ids.get(&id).and_then(|call| self.calls.get(call));
+        let call = self.calls_by_id.get(&id).and_then(|call| self.calls.get(call));
         call.is_some_and(|c| matches!(c.state, State::Standing { .. }))
     }
 
-    /// Whether a call has no final answer yet: an attempt of it is out or may still come.
+    /// Whether a call has no final answer yet: an attempt is open or may still follow.
     pub fn is_open(&self, id: u64) -> bool {
-        let call = self.ids.get(&id).and_then(|call| self.calls.get(call));
+        let call = self.calls_by_id.get(&id).and_then(|call| self.calls.get(call));
         call.is_some_and(|c| !matches!(c.state, State::Standing { .. }))
     }
 
-    /// Whether a call stands at a pool, or waits for an answer from it.
+    /// Whether a call is standing at a pool, or has an open attempt there.
     pub fn is_at(&self, pool: PoolId, id: u64) -> bool {
-        let call = self.ids.get(&id).and_then(|call| self.calls.get(call));
+        let call = self.calls_by_id.get(&id).and_then(|call| self.calls.get(call));
         call.is_some_and(|c| match c.state {
-            State::Held => false,
-            State::Out(Attempt { pool: at, .. }) | State::Standing { pool: at, .. } => at == pool,
+            State::Pending => false,
+            State::Attempting(Attempt { pool: at, .. }) | State::Standing { pool: at, .. } => at == pool,
         }) || self.adopted.get(&id).is_some_and(|a| a.pool == pool)
     }
 
-    /// Whether any call stands at a pool, or waits for an answer from it.
+    /// Whether any call is standing at a pool, or has an open attempt there.
     pub fn has_calls_at(&self, pool: PoolId) -> bool {
         self.calls.values().any(|c| match c.state {
-            State::Held => false,
-            State::Out(Attempt { pool: at, .. }) | State::Standing { pool: at, .. } => at == pool,
+            State::Pending => false,
+            State::Attempting(Attempt { pool: at, .. }) | State::Standing { pool: at, .. } => at == pool,
         }) || self.adopted.values().any(|a| a.pool == pool)
     }
 
-    /// News of a pool's load that belongs to no call.
+    /// Handles a server's load report that belongs to no call.
     pub fn load_reported(&mut self, pool: PoolId, report: Report) {
         self.events.push(Event::Load { pool, report });
     }
--- a/crates/core/src/calls/tests.rs
+++ b/crates/core/src/calls/tests.rs
@@ -4,37 +4,37 @@
 
 const POOLS: u64 = 2;
 
-/// What the model holds of one call: what its caller may still be told, and the attempt out.
+/// The model of one call: which replies its caller may still get, and where an attempt is open.
 #[derive(Default)]
 struct Model {
     answered: bool,
     over: bool,
     abandoned: bool,
-    out: Option<PoolId>,
+    open_at: Option<PoolId>,
     standing: Option<PoolId>,
     tried: BTreeSet<PoolId>,
-    /// Attempts begun, and those whose end the module was told.
+    /// The attempts that were started, and those whose end was reported to the decision module.
     attempts: u8,
     ended: u8,
 }
 
-struct Bench {
+struct Harness {
     calls: Calls,
     now: f64,
     models: BTreeMap<u64, Model>,
 }
 
-impl Bench {
-    /// Checks all that the core says since the last step.
-    fn settle(&mut self) {
+impl Harness {
+    /// Checks all effects and events since the last step.
+    fn check_effects(&mut self) {
         for effect in std::mem::take(&mut self.calls.effects) {
             match effect {
                 Effect::Reply { id, reply, .. } => {
-                    let m = self.models.get_mut(&id).expect("a reply to a call never offered");
-                    assert!(!m.abandoned && !m.over, "a reply to a caller that waits for none");
+                    let m = self.models.get_mut(&id).expect("a reply to a call that was never offered");
+                    assert!(!m.abandoned && !m.over, "a reply to a caller that doesn't wait for one");
                     match reply {
                         Reply::Ended { .. } => {
-                            assert!(m.answered, "over before it stood");
+                            assert!(m.answered, "ended before it was established");
                             (m.over, m.standing) = (true, None);
                         }
                         reply => {
@@ -46,18 +46,18 @@
                 }
                 Effect::Command { pool, id, command } => {
                     let Some(m) = self.models.get_mut(&id) else {
-                        assert_eq!(command, Command::Release, "an order for a call never offered");
+                        assert_eq!(command, Command::Release, "a command for a call that was never offered");
                         continue;
                     };
                     match command {
                         Command::SetUp { until, .. } => {
-                            assert!(until > self.now && m.out.is_none() && m.standing.is_none());
+                            assert!(until > self.now && m.open_at.is_none() && m.standing.is_none());
                             assert!(!m.answered && !m.abandoned, "sent after its final answer");
-                            m.out = Some(pool);
+                            m.open_at = Some(pool);
                             m.tried.insert(pool);
                             m.attempts += 1;
                         }
-                        Command::GiveUp => assert_eq!(m.out.take(), Some(pool), "nothing to give up"),
+                        Command::GiveUp => assert_eq!(m.open_at.take(), Some(pool), "nothing to give up"),
                         Command::Release => m.standing = m.standing.filter(|at| *at != pool),
                     }
                 }
@@ -71,16 +71,16 @@
         }
         for event in std::mem::take(&mut self.calls.events) {
             let Event::Ended { call, attempt, .. } = event else { continue };
-            let m = self.models.get_mut(&u64::from(call)).expect("the end of a call never offered");
-            assert_eq!(attempt, m.ended, "the module is told of each end once, in order");
+            let m = self.models.get_mut(&u64::from(call)).expect("the end of a call that was never offered");
+            assert_eq!(attempt, m.ended, "each end is reported to the module once, in order");
             m.ended += 1;
         }
     }
 
-    /// Ends the attempt that is out, by one of the ways in which a server's side can.
+    /// Ends the open attempt, in one of the ways in which a server or its connection can end it.
     fn end_attempt(&mut self, id: u64, pool: PoolId, how: u8) {
-        if let Some(m) = self.models.get_mut(&id).filter(|m| m.out == Some(pool)) {
-            m.out = None;
+        if let Some(m) = self.models.get_mut(&id).filter(|m| m.open_at == Some(pool)) {
+            m.open_at = None;
         }
         match how {
             0 => self.calls.attempt_not_sent(pool, id),
@@ -91,7 +91,7 @@
     }
 
     fn step(&mut self, what: u8, id: u64, pool: PoolId) {
-        // The core numbers calls as they come, and so does the model.
+        // `Calls` numbers calls in the order in which they are offered, and the model does the same.
         let (call, origin) = (id as CallId, (id % 3) as Origin);
         let m = self.models.entry(id).or_default();
         match what {
@@ -100,7 +100,7 @@
                 self.calls.start_attempt(self.now, call, pool, if what == 0 { 0.0 } else { 1.0 });
                 if gone {
                     let end = End::with_outcome(Outcome::Moot).event(call, pool, 0, true);
-                    assert_eq!(self.calls.events, [end], "the module counts what it sent");
+                    assert_eq!(self.calls.events, [end], "the module counts the attempt that it started");
                     self.calls.events.clear();
                 }
             }
@@ -121,15 +121,19 @@
                 self.calls.origin_lost(self.now, origin);
             }
             9..=11 => {
-                let stands = m.out == Some(pool);
-                if stands {
-                    (m.out, m.standing) = (None, Some(pool));
+                let is_answer = m.open_at == Some(pool);
+                if is_answer {
+                    (m.open_at, m.standing) = (None, Some(pool));
                 }
                 let gone = !self.calls.calls.contains_key(&call);
                 let crossed = m.standing != Some(pool) && (gone || m.tried.contains(&pool));
                 self.calls.established(self.now, pool, id, None);
                 let release = Effect::Command { pool, id, command: Command::Release };
-                assert_eq!(self.calls.effects.contains(&release), crossed, "an answer that crossed");
+                assert_eq!(
+                    self.calls.effects.contains(&release),
+                    crossed,
+                    "a release for an answer that crossed the give-up"
+                );
             }
             12..=15 => self.end_attempt(id, pool, what - 12),
             16 => self.calls.give_up_written(pool, id),
@@ -139,30 +143,30 @@
 }
 
 #[test]
-fn what_stood_before_a_restart_is_ended_for_both_sides() {
+fn releases_and_ends_of_calls_from_before_a_restart_are_passed_on_within_limits() {
     let mut calls = Calls::new(0.0, 0);
     calls.ended(1.0, PoolId(1), 7, End::with_outcome(Outcome::Done));
     let reply = Reply::Ended { cut: false };
     assert_eq!(calls.effects, [Effect::Reply { origin: ANY_ORIGIN, id: 7, class: UNKNOWN_CLASS, reply }]);
     calls.effects.clear();
     calls.ended(1.5, PoolId(1), 7, End::with_outcome(Outcome::Done));
-    assert_eq!(calls.effects, [], "once, though the server says it again");
+    assert_eq!(calls.effects, [], "once, although the server repeats it");
     calls.caller_release(1.0, 8);
     assert_eq!(calls.effects, [Effect::ReleaseEverywhere { id: 8 }]);
     calls.effects.clear();
-    // A refusal belongs to no call that stood.
+    // A refusal can't belong to a call that was standing.
     calls.ended(1.0, PoolId(1), 9, End::with_outcome(Outcome::Full));
     assert_eq!(calls.effects, []);
-    // Made-up ids are not multiplied by the servers without end, nor believed for ever.
+    // The releases of made-up ids that go to every server are limited, and unknown ids are ignored some time after the start.
     (100..1100).for_each(|id| calls.caller_release(1.0, id));
-    assert_eq!(calls.effects.len(), STRAYS as usize - 1);
-    calls.caller_release(EARLIER, 9);
-    calls.ended(EARLIER, PoolId(1), 9, End::with_outcome(Outcome::Done));
-    assert_eq!(calls.effects.len(), STRAYS as usize - 1);
-    // Where calls stand for minutes, one from before the start may stand for as long.
+    assert_eq!(calls.effects.len(), MAX_STRAY_RELEASES as usize - 1);
+    calls.caller_release(MIN_EARLIER_CALLS_S, 9);
+    calls.ended(MIN_EARLIER_CALLS_S, PoolId(1), 9, End::with_outcome(Outcome::Done));
+    assert_eq!(calls.effects.len(), MAX_STRAY_RELEASES as usize - 1);
+    // If calls stand for minutes on average, those from before the start are expected for longer.
     calls.effects.clear();
     calls.set_mean_call_duration(Some(60.0));
-    calls.ended(EARLIER + 1.0, PoolId(1), 10, End::with_outcome(Outcome::Done));
+    calls.ended(MIN_EARLIER_CALLS_S + 1.0, PoolId(1), 10, End::with_outcome(Outcome::Done));
     assert_eq!(calls.effects.len(), 1);
 }
 
@@ -170,10 +174,10 @@
     Request { id, class: 0, wait: 30.0, dialled: id, first_choice: 0, content: Content::default() }
 }
 
-/// Guards against a flood that ranks and outnumbers the calls of others, and against a pool that
-/// looks stopped because an attempt that never left is counted as out.
+/// Guards against two failures. A flood of calls that are given up at once would be ranked with other callers' calls and
+/// outnumber them. A pool would look as if it no longer answers if an attempt that was never sent counted as open.
 #[test]
-fn a_call_taken_back_at_once_leaves_no_trace_with_the_module() {
+fn a_call_released_in_the_same_iteration_is_not_reported_to_the_module() {
     let mut calls = Calls::new(0.0, 1 << 20);
     calls.offer(0.0, 1, request(1)).unwrap();
     calls.caller_release(0.0, 1);
@@ -182,10 +186,10 @@
     assert_eq!(calls.events, [End::with_outcome(Outcome::Moot).event(1, PoolId(1), 0, true)]);
 }
 
-/// Guards against two calls that servers and callers could not tell apart, and against a set-up sent
-/// again before the release time by way of the caller.
+/// Guards against two calls with the same id, which servers and callers could not tell apart, and against a set-up that a
+/// caller repeats before the release time and that would then be sent again.
 #[test]
-fn an_id_is_taken_once() {
+fn an_id_is_accepted_only_once() {
     let mut calls = Calls::new(0.0, 1 << 20);
     calls.offer(0.0, 1, request(7)).unwrap();
     assert_eq!(calls.offer(0.0, 1, request(7)), Err(OfferError::DuplicateId));
@@ -193,7 +197,7 @@
     assert_eq!((calls.open_count(1), calls.open_count(2)), (1, 0));
     calls.refuse(1, 0.0);
     assert_eq!(calls.offer(0.0, 1, request(7)), Err(OfferError::KnownId));
-    // Answers ahead are neither passed on nor remembered, nor is anything released for them.
+    // Answers to set-ups that were not sent are neither passed on nor remembered, and nothing is released for them.
     calls.effects.clear();
     calls.established(0.0, PoolId(1), 8, None);
     assert_eq!((calls.effects.len(), calls.offer(0.0, 1, request(8))), (0, Ok(())));
@@ -204,34 +208,34 @@
 }
 
 proptest! {
-    /// Random steps of callers, servers, time and module against a model of each call.
+    /// Random steps of callers, servers, timers and decision module are checked against a model of each call.
     #[test]
-    fn each_call_has_one_attempt_out_and_one_final_answer(
+    fn each_call_has_at_most_one_open_attempt_and_one_final_answer(
         steps in prop::collection::vec((0u8..19, 1u64..8, 0..POOLS), 1..150),
     ) {
-        let mut bench = Bench { calls: Calls::new(0.0, 1 << 20), now: 0.0, models: BTreeMap::new() };
+        let mut harness = Harness { calls: Calls::new(0.0, 1 << 20), now: 0.0, models: BTreeMap::new() };
         for id in 1..8 {
-            prop_assert_eq!(bench.calls.offer(0.0, (id % 3) as Origin, request(id)), Ok(()));
-            bench.models.insert(id, Model::default());
+            prop_assert_eq!(harness.calls.offer(0.0, (id % 3) as Origin, request(id)), Ok(()));
+            harness.models.insert(id, Model::default());
         }
-        bench.settle();
+        harness.check_effects();
         for (what, id, pool) in steps {
-            bench.now += 0.1;
-            bench.step(what, id, PoolId(pool));
-            bench.settle();
+            harness.now += 0.1;
+            harness.step(what, id, PoolId(pool));
+            harness.check_effects();
         }
-        // Past the deadline every call gets its answer, whatever the module does.
+        // After the deadline every call has its answer, whatever the module did.
         for id in (1..8).chain(1..8) {
-            bench.calls.deadline_passed(40.0, id as CallId);
-            bench.settle();
+            harness.calls.deadline_passed(40.0, id as CallId);
+            harness.check_effects();
         }
         let open: BTreeSet<u64> =
-            bench.models.iter().filter(|(_, m)| !m.answered && !m.abandoned).map(|(id, _)| *id).collect();
+            harness.models.iter().filter(|(_, m)| !m.answered && !m.abandoned).map(|(id, _)| *id).collect();
         prop_assert_eq!(open, BTreeSet::new());
-        prop_assert_eq!(bench.calls.count().0, 0);
-        prop_assert_eq!((bench.calls.held_bytes, bench.calls.open.len()), (0, 0));
-        prop_assert_eq!(bench.models.values().filter(|m| m.standing.is_some()).count(), bench.calls.count().1);
-        for m in bench.models.values() {
+        prop_assert_eq!(harness.calls.count().0, 0);
+        prop_assert_eq!((harness.calls.held_bytes, harness.calls.open_by_origin.len()), (0, 0));
+        prop_assert_eq!(harness.models.values().filter(|m| m.standing.is_some()).count(), harness.calls.count().1);
+        for m in harness.models.values() {
             let standing = u8::from(m.standing.is_some());
             prop_assert_eq!(m.attempts, m.ended + standing, "each attempt ends once");
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! The life of a call, without sockets and without a word of any protocol, and the timer wheel.
+//! The state of calls and a timer wheel. Uses no sockets and knows no wire protocol.
 
 pub mod calls;
 pub mod wheel;
