--- a/crates/gatekeeper/src/node/clock.rs
+++ b/crates/gatekeeper/src/node/clock.rs
@@ -1,13 +1,13 @@
-//! The clock: monotonic, anchored to Unix time at start.
+//! A monotonic clock that is anchored to Unix time when the program starts.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Tells Unix time in seconds that never goes back, whatever is done to the system's clock.
+/// Gives the Unix time in seconds. It never goes back, even if the system's clock is set.
 ///
-/// The decision module runs on this clock too, so that a server's start, told in Unix milliseconds,
-/// is a time of its own even where the server started before this gatekeeper did.
+/// The decision module uses this clock too. A server's start time, which comes in Unix milliseconds, can therefore be
+/// compared with it even if the server started before this gatekeeper.
 pub struct Clock {
-    /// None for a clock that stands still but for [`Clock::advance`].
+    /// `None` for a clock that only moves by [`Clock::advance`].
     started: Option<Instant>,
     anchor: Duration,
 }
@@ -19,28 +19,28 @@
 }
 
 impl Clock {
-    /// A clock anchored now.
+    /// A clock that is anchored to the system's clock now.
     pub fn new() -> Self {
         let anchor = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Some(Instant::now()), anchor }
     }
 
-    /// A clock that stands at a time and moves by [`Clock::advance`] alone, for tests and measurements.
+    /// A clock that starts at the Unix time `at`, in seconds, and only moves by [`Clock::advance`]. For tests and measurements.
     pub fn manual(at: f64) -> Self {
         Clock { started: None, anchor: Duration::from_secs_f64(at) }
     }
 
-    /// Whether it moves by itself.
+    /// Whether the clock follows real time, rather than only moving by [`Clock::advance`].
     pub fn is_real_time(&self) -> bool {
         self.started.is_some()
     }
 
-    /// Seconds since the Unix epoch.
+    /// The time, in seconds since the Unix epoch.
     pub fn now(&self) -> f64 {
         (self.anchor + self.started.map_or(Duration::ZERO, |s| s.elapsed())).as_secs_f64()
     }
 
-    /// Lets time pass at once.
+    /// Moves the clock forward.
     pub fn advance(&mut self, seconds: f64) {
         self.anchor += Duration::from_secs_f64(seconds);
     }
--- a/crates/gatekeeper/src/node/gates.rs
+++ b/crates/gatekeeper/src/node/gates.rs
@@ -1,20 +1,21 @@
-//! The gates that set-ups have to pass, in their order.
+//! The gates that a set-up must pass before it is sent to a server.
 //!
-//! One after the other is asked, and the first denial counts:
+//! They are asked in this order, and the first denial is final:
 //!
-//! 1. `fleet`: what other gatekeepers know of servers, and nothing at all while what is believed here is old.
-//! 2. `crossing`: budgets for set-ups to other districts.
+//! 1. `fleet` denies servers that other gatekeepers report as unusable, and all servers while this gatekeeper's own
+//!    knowledge is out of date.
+//! 2. `crossing` denies set-ups to other districts that are over budget.
 
 use hollypaddle_crossing::Crossing;
 use hollypaddle_policy::{Candidate, Denial, Event, Gate};
 use hollypaddle_replica::guard::Guard;
 
-/// All gates of this gatekeeper; one that is not configured is not there.
+/// All gates of this gatekeeper. A gate that is not configured is `None`.
 #[derive(Default)]
 pub struct Gates {
-    /// What other gatekeepers know.
+    /// Denies servers by what other gatekeepers report.
     pub fleet: Option<Guard>,
-    /// Account and budgets of what crosses districts.
+    /// Counts set-ups to other districts and enforces their budgets.
     pub crossing: Option<Crossing>,
 }
 
--- a/crates/gatekeeper/src/node/mod.rs
+++ b/crates/gatekeeper/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The gatekeeper on sockets: one thread, one loop, a module for each peer. It decides no route, no
-//! refusal and no retry; all that is the decision module's.
+//! The gatekeeper's sockets: one thread with one event loop, and a module for each kind of peer. Routes, refusals and
+//! retries are not decided here, but in the decision module (crate `policy`).
 
 mod clients;
 pub mod clock;
--- a/crates/gatekeeper/src/node/output.rs
+++ b/crates/gatekeeper/src/node/output.rs
@@ -1,14 +1,19 @@
-//! Writing an answer to a peer that may not take it all at once: the control socket's and the control
-//! address's, which both answer one question a connection.
+//! Writes an answer to a peer that may not accept all of it at once. Used by the control socket and the control address,
+//! which both answer one request per connection.
 
 use std::io::{self, ErrorKind, Write};
 
-/// Writes on from `done`; returns whether all is written. A peer that takes nothing more for now is no error.
-pub fn write_remaining(stream: &mut impl Write, bytes: &[u8], done: &mut usize) -> io::Result<bool> {
-    while *done < bytes.len() {
-        match stream.write(&bytes[*done..]) {
+/// Writes the bytes from position `written` on, and moves `written` forward. Returns whether everything is written. A
+/// peer that accepts nothing more for now is not an error.
+///
+/// # Errors
+///
+/// Fails if the stream is closed or broken.
+pub fn write_remaining(stream: &mut impl Write, bytes: &[u8], written: &mut usize) -> io::Result<bool> {
+    while *written < bytes.len() {
+        match stream.write(&bytes[*written..]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(n) => *done += n,
+            Ok(n) => *written += n,
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
@@ -22,10 +27,10 @@
     use super::write_remaining;
     use std::io::{self, Write};
 
-    /// Takes two bytes a call, and then nothing.
-    struct Narrow(Vec<u8>, usize);
+    /// Accepts two bytes per call, for a limited number of calls.
+    struct ShortWriter(Vec<u8>, usize);
 
-    impl Write for Narrow {
+    impl Write for ShortWriter {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             if self.1 == 0 {
                 return Err(io::ErrorKind::WouldBlock.into());
@@ -41,13 +46,13 @@
     }
 
     #[test]
-    fn what_is_not_taken_now_is_written_later() {
-        let mut peer = Narrow(Vec::new(), 2);
-        let mut done = 0;
-        assert!(!write_remaining(&mut peer, b"hello", &mut done).unwrap());
-        assert_eq!(done, 4);
+    fn bytes_that_the_peer_does_not_accept_are_written_by_a_later_call() {
+        let mut peer = ShortWriter(Vec::new(), 2);
+        let mut written = 0;
+        assert!(!write_remaining(&mut peer, b"hello", &mut written).unwrap());
+        assert_eq!(written, 4);
         peer.1 = 5;
-        assert!(write_remaining(&mut peer, b"hello", &mut done).unwrap());
+        assert!(write_remaining(&mut peer, b"hello", &mut written).unwrap());
         assert_eq!(peer.0, b"hello");
     }
 }
--- a/crates/gatekeeper/src/node/poller.rs
+++ b/crates/gatekeeper/src/node/poller.rs
@@ -1,4 +1,4 @@
-//! A thin wrapper round the `polling` crate: keys, level-triggered interest, and its one unsafe call.
+//! A thin wrapper around the `polling` crate that adds keys and level-triggered interest, and contains its only unsafe call.
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd};
@@ -6,46 +6,54 @@
 
 use polling::{Event, Events, PollMode, Poller as OsPoller};
 
-/// Names a watched source. Keys are never used again, so news of a closed source finds nobody.
+/// Identifies a registered source. Keys are never reused, so a late event of a closed source is not taken for another's.
 pub type Key = usize;
 
-/// What a source is ready for.
+/// An event: a source is ready to be read or written.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Which source.
+    /// The source.
     pub key: Key,
-    /// There is something to read, an end or an error included.
+    /// There is something to read; this includes the end of the stream and an error.
     pub readable: bool,
-    /// Writing is possible.
+    /// The source can be written to.
     pub writable: bool,
 }
 
-/// Watches sources.
+/// Waits for events of registered sources.
 pub struct Poller {
     poller: OsPoller,
     events: Events,
-    next: Key,
+    last_key: Key,
 }
 
 impl Poller {
-    /// Watches nothing yet.
+    /// Creates a poller without sources.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system provides no further poller, for example for lack of descriptors.
     pub fn new() -> io::Result<Poller> {
-        Ok(Poller { poller: OsPoller::new()?, events: Events::new(), next: 0 })
+        Ok(Poller { poller: OsPoller::new()?, events: Events::new(), last_key: 0 })
     }
 
-    /// Starts to watch a source for reading, and for writing if asked.
+    /// Registers a source for reading, and also for writing if `writing` is set. Returns its key.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system rejects the registration.
     #[allow(unsafe_code)]
     pub fn add(&mut self, source: &(impl AsRawFd + AsFd), writing: bool) -> io::Result<Key> {
-        self.next += 1;
-        let interest = Event::new(self.next, true, writing);
-        // SAFETY: the source must not be closed while the poller holds it. Every owner hands its source
-        // to `remove` before it drops it; and where one did not, the system drops a closed descriptor
-        // from the epoll set by itself, as no source is ever duplicated.
+        self.last_key += 1;
+        let interest = Event::new(self.last_key, true, writing);
+        // SAFETY: the source must not be closed while it is registered. Every owner passes its source to `remove`
+        // before dropping it. If one doesn't, the system removes the closed descriptor from the epoll set by itself,
+        // because no source is ever duplicated.
         unsafe { self.poller.add_with_mode(source.as_raw_fd(), interest, PollMode::Level)? };
-        Ok(self.next)
+        Ok(self.last_key)
     }
 
-    /// Changes what a source is watched for.
+    /// Changes the events that a source is registered for. A failure is logged.
     pub fn set_interest(&self, key: Key, source: &impl AsFd, reading: bool, writing: bool) {
         let interest = Event::new(key, reading, writing);
         if let Err(error) = self.poller.modify_with_mode(source, interest, PollMode::Level) {
@@ -53,14 +61,18 @@
         }
     }
 
-    /// Stops watching a source, before it is dropped.
+    /// Removes a source. Must be called before the source is dropped. A failure is logged.
     pub fn remove(&self, source: &impl AsFd) {
         if let Err(error) = self.poller.delete(source) {
             log::error!(error:%; "poller-failed");
         }
     }
 
-    /// Waits for news for so many seconds at most.
+    /// Waits for events, for at most this many seconds, and returns them.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     pub fn wait(&mut self, seconds: f64) -> io::Result<Vec<Ready>> {
         self.events.clear();
         self.poller.wait(&mut self.events, Some(Duration::from_secs_f64(seconds.max(0.0))))?;
--- a/crates/gatekeeper/src/node/steering.rs
+++ b/crates/gatekeeper/src/node/steering.rs
@@ -1,13 +1,13 @@
-//! Steering of new connections away from a listener that is about to close.
+//! Steers new connections away from a listener that is about to close.
 //!
 //! Processes that listen at one address with SO_REUSEPORT form a group, and the kernel gives each new connection to one
-//! listener of the group, by a hash. It stays with that listener: what is still queued there when it closes is reset. So a
-//! process that ends has the kernel choose another listener first, by a classic BPF program attached to the group, and
-//! closes its own once nothing comes to it any more.
+//! listener of the group, by a hash. The connection stays with that listener: if it is still in the accept queue when the
+//! listener closes, it is reset. A process that is about to end therefore attaches a classic BPF program to the group,
+//! which makes the kernel select another listener, and closes its own listener once no more connections come to it.
 //!
-//! The program answers with the place of a listener in the group, in which listeners stand in the order in which they began
-//! to listen. A process isn't told its own place; but where a connection still comes to it, the program chose its own
-//! listener, or no other process listens. A place at which no listener stands leaves the choice to the hash.
+//! The program returns the index of a listener in the group. The listeners are in the order in which they began to listen.
+//! A process doesn't know its own index, but if a connection still comes to it, either the program selected its own
+//! listener or no other process listens. If the index is that of no listener, the kernel uses the hash.
 
 use std::io;
 use std::os::fd::AsFd;
@@ -15,54 +15,56 @@
 use nix::libc::{sock_filter, sock_fprog, BPF_K, BPF_RET};
 use nix::sys::socket::{setsockopt, sockopt::AttachReusePortCbpf};
 
-/// The place of a process that started while this one already listened, and that of one that had listened before.
-const LATER: u32 = 1;
-const EARLIER: u32 = 0;
-/// At this place there is never a listener.
-const NOWHERE: u32 = u32::MAX;
-/// A handshake that began before the program was attached ends at the old listener: within so long, in seconds.
-const HANDSHAKE: f64 = 0.05;
+/// The other process's index if it began to listen after this one.
+const INDEX_IF_NEWER: u32 = 1;
+/// The other process's index if it was listening before this one.
+const INDEX_IF_OLDER: u32 = 0;
+/// An index at which there is never a listener.
+const INVALID_INDEX: u32 = u32::MAX;
+/// How long a handshake takes at most, in seconds. One that began before the program was attached ends at the old listener.
+const MAX_HANDSHAKE_S: f64 = 0.05;
 
-/// Where new connections are sent while a listener is about to close.
+/// The listener that gets new connections while this process's listener is about to close.
 #[derive(Debug)]
 pub struct Steering {
-    place: u32,
+    index: u32,
     since: f64,
 }
 
 impl Steering {
-    /// Begins to send new connections to another listener at the same address, if there is one.
+    /// Starts to steer new connections to another listener at the same address, if there is one.
     pub fn begin(now: f64, listener: &impl AsFd) -> Steering {
-        choose(listener, LATER);
-        Steering { place: LATER, since: now }
+        select_listener(listener, INDEX_IF_NEWER);
+        Steering { index: INDEX_IF_NEWER, since: now }
     }
 
-    /// Takes note that a connection was accepted here all the same.
+    /// Handles a connection that came to this listener in spite of the steering: tries the other index.
     pub fn connection_accepted(&mut self, now: f64, listener: &impl AsFd) {
-        if now - self.since < HANDSHAKE {
+        if now - self.since < MAX_HANDSHAKE_S {
             return;
         }
-        self.place = if self.place == LATER { EARLIER } else { LATER };
+        self.index = if self.index == INDEX_IF_NEWER { INDEX_IF_OLDER } else { INDEX_IF_NEWER };
         self.since = now;
-        choose(listener, self.place);
+        select_listener(listener, self.index);
     }
 }
 
-/// Lets the hash spread new connections over all listeners again, whatever a process that ended has left attached.
+/// Lets the kernel spread new connections over all listeners by the hash again. Also overrides a program that a process
+/// left attached when it ended.
 pub fn reset_to_hash(listener: &impl AsFd) {
-    choose(listener, NOWHERE);
+    select_listener(listener, INVALID_INDEX);
 }
 
-/// Attaches the program that chooses the listener at this place. Where the system has no such programs the hash goes on
-/// choosing, and connections made in the moment of a close are reset.
-fn choose(listener: &impl AsFd, place: u32) {
-    if let Err(error) = attach(listener, place) {
+/// Attaches a program that selects the listener at this index. If the system doesn't support such programs, the kernel
+/// continues to use the hash, and connections that are made at the moment of a close are reset.
+fn select_listener(listener: &impl AsFd, index: u32) {
+    if let Err(error) = attach(listener, index) {
         log::debug!(error:%; "steering-failed");
     }
 }
 
-fn attach(listener: &impl AsFd, place: u32) -> io::Result<()> {
-    let mut answer = sock_filter { code: (BPF_RET | BPF_K) as u16, jt: 0, jf: 0, k: place };
-    let program = sock_fprog { len: 1, filter: &mut answer };
+fn attach(listener: &impl AsFd, index: u32) -> io::Result<()> {
+    let mut return_index = sock_filter { code: (BPF_RET | BPF_K) as u16, jt: 0, jf: 0, k: index };
+    let program = sock_fprog { len: 1, filter: &mut return_index };
     setsockopt(listener, AttachReusePortCbpf, &program).map_err(io::Error::from)
 }
