--- a/crates/gatekeeper/src/ctl.rs
+++ b/crates/gatekeeper/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `hollypaddle ctl`: asks a running gatekeeper over its control socket, and prints what it says.
+//! `hollypaddle ctl`: requests a report from a running gatekeeper over its control socket, and formats it as text.
 
 use std::fmt;
 use std::io::{self, BufRead, BufReader, Write};
@@ -11,17 +11,17 @@
 
 use crate::node::control::Query;
 
-/// How long an answer may take.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time limit for writing the request and for reading the answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why there is no answer.
+/// Why a query has no result.
 #[derive(Debug)]
 pub enum CtlError {
     /// The gatekeeper cannot be reached.
     Io(io::Error),
-    /// It said what is no answer.
+    /// The gatekeeper sent something that is not a valid answer.
     InvalidAnswer(String),
-    /// It refused, in these words.
+    /// The gatekeeper answered with this error message.
     Refused(String),
 }
 
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CtlError::Io(error) => write!(f, "the gatekeeper cannot be reached: {error}"),
-            CtlError::InvalidAnswer(what) => write!(f, "the gatekeeper's answer makes no sense: {what}"),
+            CtlError::InvalidAnswer(what) => write!(f, "the gatekeeper's answer is invalid: {what}"),
             CtlError::Refused(what) => write!(f, "{what}"),
         }
     }
@@ -43,24 +43,29 @@
     }
 }
 
-/// Asks one question.
-pub fn query(socket: &Path, question: &Query) -> Result<Value, CtlError> {
+/// Sends one query to the control socket at this path, and returns the result.
+///
+/// # Errors
+///
+/// Fails if the gatekeeper can't be reached, if its answer is invalid, or if it answers with an error.
+pub fn query(socket: &Path, query: &Query) -> Result<Value, CtlError> {
     let mut stream = UnixStream::connect(socket)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
-    let asked = serde_json::to_string(question).map_err(io::Error::other)?;
-    stream.write_all(format!("{asked}\n").as_bytes())?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    stream.set_write_timeout(Some(ANSWER_TIMEOUT))?;
+    let request = serde_json::to_string(query).map_err(io::Error::other)?;
+    stream.write_all(format!("{request}\n").as_bytes())?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
-    let mut told: Value = serde_json::from_str(&line).map_err(|e| CtlError::InvalidAnswer(e.to_string()))?;
-    if let Some(error) = told.get("error").and_then(Value::as_str) {
+    let mut answer: Value =
+        serde_json::from_str(&line).map_err(|e| CtlError::InvalidAnswer(e.to_string()))?;
+    if let Some(error) = answer.get("error").and_then(Value::as_str) {
         return Err(CtlError::Refused(error.to_string()));
     }
-    told.get_mut("ok").map(Value::take).ok_or(CtlError::InvalidAnswer(line))
+    answer.get_mut("ok").map(Value::take).ok_or(CtlError::InvalidAnswer(line))
 }
 
-/// A value as a cell of a table: what is not there is a dash, a time is in milliseconds.
-fn cell(row: &Value, name: &str) -> String {
+/// Formats a field of a row as a cell. A missing value is shown as a dash, and a delay in milliseconds.
+fn format_cell(row: &Value, name: &str) -> String {
     match &row[name] {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
@@ -77,28 +82,28 @@
     }
 }
 
-/// Rows as a table; each column is the field's name and the head above it.
-fn table(rows: &Value, columns: &[(&str, &str)]) -> String {
+/// Formats rows as a table. Each column is given by the name of the field and the column's heading.
+fn format_table(rows: &Value, columns: &[(&str, &str)]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     table.set_header(columns.iter().map(|c| c.1));
     for row in rows.as_array().into_iter().flatten() {
-        table.add_row(columns.iter().map(|c| cell(row, c.0)));
+        table.add_row(columns.iter().map(|c| format_cell(row, c.0)));
     }
     for (at, column) in columns.iter().enumerate() {
-        let words = [
+        let is_text = [
             "class", "from", "to", "scope", "name", "state", "district", "bending", "member", "life", "hash",
             "zone", "region", "reason",
         ]
         .contains(&column.0);
-        if let (false, Some(column)) = (words, table.column_mut(at)) {
+        if let (false, Some(column)) = (is_text, table.column_mut(at)) {
             column.set_cell_alignment(CellAlignment::Right);
         }
     }
     table.to_string()
 }
 
-/// The report of what crosses districts, as text.
+/// Formats the report on crossings (set-ups to other districts).
 pub fn format_crossings(report: &Value) -> String {
     let rows = [
         ("class", "class"),
@@ -141,24 +146,25 @@
         [("class", "urgent class"), ("bending", "bending"), ("pressure", "pressure"), ("times", "times")];
     let mut text = format!(
         "district {}, {} ({:.0} s since the account began)\n\n{}\n",
-        cell(report, "own"),
-        cell(report, "span"),
+        format_cell(report, "own"),
+        format_cell(report, "span"),
         report["age"].as_f64().unwrap_or_default(),
-        table(&report["rows"], &rows)
+        format_table(&report["rows"], &rows)
     );
     for (name, columns) in [("budgets", &budgets[..]), ("bending", &bending[..])] {
         if report[name].as_array().is_some_and(|rows| !rows.is_empty()) {
-            text.push_str(&format!("\n{}\n", table(&report[name], columns)));
+            text.push_str(&format!("\n{}\n", format_table(&report[name], columns)));
         }
     }
     text
 }
 
-/// Who of the fleet is alive, as text: of a small fleet, or by its role in a tier of relays.
+/// Formats the report on the members of the fleet. Its form depends on the gatekeeper's role: member of a fleet without
+/// relays, leaf, or relay.
 pub fn format_members(report: &Value) -> String {
     match report["role"].as_str() {
-        Some("leaf") => return leaf(report),
-        Some(_) => return relay(report),
+        Some("leaf") => return format_leaf(report),
+        Some(_) => return format_relay(report),
         None => {}
     }
     let columns = [
@@ -174,44 +180,44 @@
     ];
     format!(
         "member {}, life {}, caught up {}, held {}, majority heard {}, superseded {}\n\n{}\n",
-        cell(report, "name"),
-        cell(report, "life"),
-        cell(report, "ready"),
-        cell(report, "held"),
-        cell(report, "quorum"),
-        cell(report, "superseded"),
-        table(&report["members"], &columns)
+        format_cell(report, "name"),
+        format_cell(report, "life"),
+        format_cell(report, "ready"),
+        format_cell(report, "held"),
+        format_cell(report, "quorum"),
+        format_cell(report, "superseded"),
+        format_table(&report["members"], &columns)
     )
 }
 
-/// What a leaf of a tier knows, as text.
-fn leaf(report: &Value) -> String {
+/// Formats a leaf's report on members.
+fn format_leaf(report: &Value) -> String {
     let relays = [("name", "relay"), ("state", "state"), ("zone", "zone"), ("region", "region")];
     let members = [("name", "member"), ("state", "state"), ("life", "life"), ("moves", "moves")];
     let settings = &report["settings"];
     let refused = match &settings["refused"] {
         Value::Null => String::new(),
-        version => format!("\nsettings {version} refused: {}", cell(settings, "reason")),
+        version => format!("\nsettings {version} refused: {}", format_cell(settings, "reason")),
     };
     format!(
         "leaf {}, life {}, zone {}, caught up {}, relay {}, second {}, heard {:.1} s ago, settings {} held, {} in \
          force{refused}\n\n{}\n\n{}\n",
-        cell(report, "name"),
-        cell(report, "life"),
-        cell(report, "zone"),
-        cell(report, "ready"),
-        cell(report, "relay"),
-        cell(report, "second"),
+        format_cell(report, "name"),
+        format_cell(report, "life"),
+        format_cell(report, "zone"),
+        format_cell(report, "ready"),
+        format_cell(report, "relay"),
+        format_cell(report, "second"),
         report["age_s"].as_f64().unwrap_or_default(),
-        cell(settings, "version"),
-        cell(settings, "in_force"),
-        table(&report["relays"], &relays),
-        table(&report["members"], &members)
+        format_cell(settings, "version"),
+        format_cell(settings, "in_force"),
+        format_table(&report["relays"], &relays),
+        format_table(&report["members"], &members)
     )
 }
 
-/// What a relay of a tier knows, as text.
-fn relay(report: &Value) -> String {
+/// Formats a relay's report on members.
+fn format_relay(report: &Value) -> String {
     let relays = [
         ("name", "relay"),
         ("state", "state"),
@@ -238,24 +244,24 @@
     format!(
         "relay {}, life {}, caught up {}, writer {}, {} of {} relays heard, majority {}, {} leaves of at most {}, \
          settings {} with {} entries in force, {} proposed{refused}\n\n{}\n\n{}\n",
-        cell(report, "name"),
-        cell(report, "life"),
-        cell(report, "ready"),
-        cell(report, "writer"),
-        cell(report, "heard"),
-        cell(report, "all"),
-        cell(report, "majority"),
-        cell(report, "attached"),
-        cell(report, "limit"),
-        cell(settings, "version"),
-        cell(settings, "entries"),
-        cell(settings, "proposed"),
-        table(&report["relays"], &relays),
-        table(&report["members"], &leaves)
+        format_cell(report, "name"),
+        format_cell(report, "life"),
+        format_cell(report, "ready"),
+        format_cell(report, "writer"),
+        format_cell(report, "heard"),
+        format_cell(report, "all"),
+        format_cell(report, "majority"),
+        format_cell(report, "attached"),
+        format_cell(report, "limit"),
+        format_cell(settings, "version"),
+        format_cell(settings, "entries"),
+        format_cell(settings, "proposed"),
+        format_table(&report["relays"], &relays),
+        format_table(&report["members"], &leaves)
     )
 }
 
-/// What is held of each member, as text.
+/// Formats the report on the records that are replicated from each member.
 pub fn format_replica(report: &Value) -> String {
     let columns = [
         ("member", "member"),
@@ -276,34 +282,34 @@
         "{}\n\n{} calls adopted now, {} since the start, {} without a server; conflicts {}, copies that differed {}, \
          mended {}, left out {}\ncatch-up: {} records given, {} taken, {} streams coming; links refused {}, words said {}, \
          heard {}, bytes said {}\n",
-        table(&report["streams"], &columns),
-        cell(report, "adopted"),
-        cell(counts, "adopted"),
-        cell(report, "unplaced"),
-        cell(counts, "conflicts"),
-        cell(counts, "differed"),
-        cell(counts, "mended"),
-        cell(counts, "left_out"),
-        cell(report, "given"),
-        cell(report, "taken"),
-        cell(report, "fetching"),
-        cell(links, "refused"),
-        cell(links, "said"),
-        cell(links, "heard"),
-        cell(links, "bytes"),
+        format_table(&report["streams"], &columns),
+        format_cell(report, "adopted"),
+        format_cell(counts, "adopted"),
+        format_cell(report, "unplaced"),
+        format_cell(counts, "conflicts"),
+        format_cell(counts, "differed"),
+        format_cell(counts, "mended"),
+        format_cell(counts, "left_out"),
+        format_cell(report, "given"),
+        format_cell(report, "taken"),
+        format_cell(report, "fetching"),
+        format_cell(links, "refused"),
+        format_cell(links, "said"),
+        format_cell(links, "heard"),
+        format_cell(links, "bytes"),
     )
 }
 
-/// What the gatekeeper is and holds, as text.
+/// Formats the report on the gatekeeper itself: its calls and its servers.
 pub fn format_status(status: &Value) -> String {
     let columns =
         [("name", "server"), ("state", "state"), ("district", "district"), ("connections", "connections")];
     format!(
         "gatekeeper {}, up for {:.0} s, {} calls open, {} standing\n\n{}\n",
-        cell(status, "name"),
+        format_cell(status, "name"),
         status["up_s"].as_f64().unwrap_or_default(),
-        cell(status, "open"),
-        cell(status, "standing"),
-        table(&status["servers"], &columns)
+        format_cell(status, "open"),
+        format_cell(status, "standing"),
+        format_table(&status["servers"], &columns)
     )
 }
--- a/crates/gatekeeper/src/logging.rs
+++ b/crates/gatekeeper/src/logging.rs
@@ -1,17 +1,17 @@
-//! The log: one line an event, as its name and its fields.
+//! The log. Each event is one line with the event's name and its fields.
 
 use std::io::Write;
 
 use log::kv::{Key, Value, VisitSource};
 use serde_json::Map;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     /// `[LEVEL target] event field=value ...`
     #[default]
     Text,
-    /// One JSON object a line: `time`, `level`, `target`, `event` and the fields.
+    /// One JSON object per line: `time`, `level`, `target`, `event` and the fields.
     Json,
 }
 
@@ -19,16 +19,16 @@
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
-        let told = serde_json::to_value(&value).unwrap_or_else(|_| value.to_string().into());
-        self.0.insert(key.to_string(), told);
+        let json = serde_json::to_value(&value).unwrap_or_else(|_| value.to_string().into());
+        self.0.insert(key.to_string(), json);
         Ok(())
     }
 }
 
-/// One record as JSON, without the end of the line; `time` in Unix seconds.
+/// Formats a record as JSON, without a newline. `time` is in Unix seconds.
 pub fn to_json(record: &log::Record, time: f64) -> String {
     let mut fields = Fields(Map::new());
-    // A field that cannot be told is left out; the event stays.
+    // A field that can't be converted is left out; the event is still logged.
     let _ = record.key_values().visit(&mut fields);
     let mut line = fields.0;
     line.insert("time".into(), time.into());
@@ -38,8 +38,8 @@
     serde_json::Value::Object(line).to_string()
 }
 
-/// Starts the log on standard error. `RUST_LOG` says what is written; by default what does not grow with
-/// traffic.
+/// Initializes logging to standard error. The environment variable `RUST_LOG` selects what is logged; the default is
+/// `info`, whose events don't grow in number with the traffic.
 pub fn init(format: Format) {
     let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
     if format == Format::Json {
@@ -54,7 +54,7 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn a_line_of_json_has_the_event_and_its_fields() {
+    fn json_line_contains_the_event_and_its_fields() {
         let fields: &[(&str, log::kv::Value)] = &[("cut", 3.into()), ("server", "s-\"1".into())];
         let record = log::Record::builder()
             .level(log::Level::Info)
@@ -63,8 +63,8 @@
             .key_values(&fields)
             .build();
         let line: serde_json::Value = serde_json::from_str(&super::to_json(&record, 1.5)).unwrap();
-        let told = serde_json::json!({"time": 1.5, "level": "INFO", "target": "hollypaddle",
+        let json = serde_json::json!({"time": 1.5, "level": "INFO", "target": "hollypaddle",
             "event": "server-gone", "cut": 3, "server": "s-\"1"});
-        assert_eq!(line, told);
+        assert_eq!(line, json);
     }
 }
--- a/crates/gatekeeper/src/main.rs
+++ b/crates/gatekeeper/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: its command line. What a gatekeeper needs beyond that it is told by the PROXY_* variables,
-//! see `node::config`.
+//! The program `hollypaddle`: its command line. The gatekeeper's other configuration comes from the PROXY_* environment
+//! variables; see `node::config`.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -13,9 +13,10 @@
 use hollypaddle::{ctl, logging};
 use hollypaddle_config::Names;
 
-/// Exit codes beside 0, and beside 2 for a command line that makes no sense.
-const WRONG: u8 = 1;
-const UNREACHABLE: u8 = 3;
+/// Exit code if the configuration is wrong or the gatekeeper can't serve. (clap uses 2 for a wrong command line.)
+const EXIT_FAILURE: u8 = 1;
+/// Exit code if the gatekeeper that is queried can't be reached.
+const EXIT_UNREACHABLE: u8 = 3;
 
 /// A call controller ("gatekeeper") between callers and session servers.
 #[derive(Parser)]
@@ -23,29 +24,29 @@
     name = "hollypaddle",
     version,
     args_conflicts_with_subcommands = true,
-    after_help = "Without a verb it serves, as `run` does. Exit codes: 0 done, 1 the configuration is wrong or \
-                  it cannot serve, 2 the command line makes no sense, 3 the gatekeeper cannot be reached."
+    after_help = "Without a command it serves, like `run`. Exit codes: 0 success, 1 the configuration is wrong or \
+                  it cannot serve, 2 the command line is invalid, 3 the gatekeeper cannot be reached."
 )]
 struct Cli {
     #[command(subcommand)]
-    verb: Option<Verb>,
+    verb: Option<CliCommand>,
     #[command(flatten)]
     run: Run,
 }
 
 #[derive(Args, Default)]
 struct Run {
-    /// The own configuration file.
+    /// The gatekeeper's own configuration file.
     #[arg(long, value_name = "FILE", env = "HOLLYPADDLE_CONFIG")]
     config: Option<PathBuf>,
-    /// How log lines are written.
+    /// The format of log lines.
     #[arg(long, value_enum, default_value_t)]
     log_format: logging::Format,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Serve, as told by PROXY_NAME, PROXY_LISTEN and PROXY_CONFIG.
+enum CliCommand {
+    /// Serve, as configured by PROXY_NAME, PROXY_LISTEN and PROXY_CONFIG.
     #[command(
         after_help = "Example:\n  PROXY_NAME=n3 PROXY_LISTEN=127.0.0.1:5060 PROXY_CONFIG=config.json \\\n    \
                             hollypaddle run --config deploy/hollypaddle.conf --log-format json"
@@ -54,8 +55,8 @@
     /// Verify configuration files without serving.
     #[command(
         after_help = "Example:\n  hollypaddle check --settings config.json deploy/hollypaddle.conf\n\n\
-                            Without the platform's settings, the names that a file declares with `districts` and \
-                            `classes` count."
+                            Without the platform's settings, names are checked against those that the file declares \
+                            with `districts` and `classes`."
     )]
     Check {
         /// The files.
@@ -65,51 +66,51 @@
         #[arg(long, value_name = "FILE", env = "PROXY_CONFIG")]
         settings: Option<PathBuf>,
     },
-    /// Ask a running gatekeeper over its control socket.
+    /// Query a running gatekeeper over its control socket.
     #[command(
         after_help = "Example:\n  hollypaddle ctl --socket /run/hollypaddle.sock crossings --span 1min --json"
     )]
     Ctl {
-        /// The control socket; by default the one that the configuration file names.
+        /// The control socket. The default is the one that the configuration file names.
         #[arg(long, value_name = "PATH")]
         socket: Option<PathBuf>,
         /// The configuration file that names the socket.
         #[arg(long, value_name = "FILE", env = "HOLLYPADDLE_CONFIG")]
         config: Option<PathBuf>,
         #[command(subcommand)]
-        what: What,
+        what: Report,
     },
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// What the gatekeeper is and holds.
+enum Report {
+    /// The gatekeeper's calls and servers.
     #[command(after_help = "Example:\n  hollypaddle ctl --socket /run/hollypaddle.sock status")]
     Status {
         /// As JSON.
         #[arg(long)]
         json: bool,
     },
-    /// The account of what crosses districts, the budgets and the bending.
+    /// Set-ups to other districts: counts, budgets and bending.
     #[command(
         after_help = "Example:\n  hollypaddle ctl --config deploy/hollypaddle.conf crossings --span 10s"
     )]
     Crossings {
-        /// The time that the counts are of.
+        /// The period that the counts cover.
         #[arg(long, value_enum, default_value_t)]
         span: SpanName,
         /// As JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Who of the fleet is alive, suspected or gone, as this gatekeeper sees it.
+    /// The members of the fleet, and whether this gatekeeper considers them alive, suspected or gone.
     #[command(after_help = "Example:\n  hollypaddle ctl --config deploy/hollypaddle.conf members")]
     Members {
         /// As JSON.
         #[arg(long)]
         json: bool,
     },
-    /// What is held of each member: records, versions, lag, conflicts settled.
+    /// The records replicated from each member: number, version, lag, resolved conflicts.
     #[command(after_help = "Example:\n  hollypaddle ctl --config deploy/hollypaddle.conf replica")]
     Replica {
         /// As JSON.
@@ -118,13 +119,13 @@
     },
 }
 
-/// Prints of `ctl`.
-fn print(what: &What, told: &serde_json::Value) -> String {
+/// Formats the answer to a query as text.
+fn format_answer(what: &Report, answer: &serde_json::Value) -> String {
     match what {
-        What::Status { .. } => ctl::format_status(told),
-        What::Crossings { .. } => ctl::format_crossings(told),
-        What::Members { .. } => ctl::format_members(told),
-        What::Replica { .. } => ctl::format_replica(told),
+        Report::Status { .. } => ctl::format_status(answer),
+        Report::Crossings { .. } => ctl::format_crossings(answer),
+        Report::Members { .. } => ctl::format_members(answer),
+        Report::Replica { .. } => ctl::format_replica(answer),
     }
 }
 
@@ -150,7 +151,7 @@
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, Arc::clone(&signals.stop))?;
     }
-    // Before the file is first read: one that is replaced while the program starts is read again.
+    // SIGHUP is handled before the file is first read, so that a file replaced during the start is read again.
     signal_hook::flag::register(signal_hook::consts::SIGHUP, Arc::clone(&signals.reload))?;
     let load = || Config::load(run.config.as_deref());
     let config = load()?;
@@ -169,61 +170,63 @@
         }
         None => Names::default(),
     };
-    let mut wrong = 0;
+    let mut problem_count = 0;
     for file in files {
         match hollypaddle_config::load(file, &names) {
             Ok(_) => println!("{}: sound", file.display()),
             Err(problems) => {
-                wrong += problems.len();
+                problem_count += problems.len();
                 problems.iter().for_each(|problem| eprintln!("{problem}"));
             }
         }
     }
-    Ok(if wrong == 0 { ExitCode::SUCCESS } else { WRONG.into() })
+    Ok(if problem_count == 0 { ExitCode::SUCCESS } else { EXIT_FAILURE.into() })
 }
 
-fn ask(socket: Option<PathBuf>, config: Option<PathBuf>, what: &What) -> Result<(), Box<dyn Error>> {
-    let named = |path: PathBuf| -> Result<PathBuf, Box<dyn Error>> {
+fn query(socket: Option<PathBuf>, config: Option<PathBuf>, what: &Report) -> Result<(), Box<dyn Error>> {
+    let socket_from_file = |path: PathBuf| -> Result<PathBuf, Box<dyn Error>> {
         let conf = hollypaddle_config::load(&path, &Names::default())
             .map_err(|all| all.iter().map(|p| p.to_string()).collect::<Vec<_>>().join("\n"))?;
-        Ok(conf.control.ok_or_else(|| format!("{}: no `control` in it", path.display()))?)
+        Ok(conf.control.ok_or_else(|| format!("{}: it has no `control` directive", path.display()))?)
     };
     let socket = match (socket, config) {
         (Some(socket), _) => socket,
-        (None, Some(config)) => named(config)?,
-        (None, None) => return Err("which gatekeeper? expected --socket or --config".into()),
+        (None, Some(config)) => socket_from_file(config)?,
+        (None, None) => return Err("no gatekeeper is given: expected --socket or --config".into()),
     };
-    let (question, json) = match what {
-        What::Status { json } => (Query::Status {}, *json),
-        What::Crossings { span, json } => {
+    let (query, json) = match what {
+        Report::Status { json } => (Query::Status {}, *json),
+        Report::Crossings { span, json } => {
             let span = span.to_possible_value().map_or(String::new(), |v| v.get_name().to_string());
             (Query::Crossings { span }, *json)
         }
-        What::Members { json } => (Query::Members {}, *json),
-        What::Replica { json } => (Query::Replica {}, *json),
+        Report::Members { json } => (Query::Members {}, *json),
+        Report::Replica { json } => (Query::Replica {}, *json),
     };
-    let told = ctl::query(&socket, &question)?;
+    let answer = ctl::query(&socket, &query)?;
     match json {
-        true => println!("{told}"),
-        false => print!("{}", print(what, &told)),
+        true => println!("{answer}"),
+        false => print!("{}", format_answer(what, &answer)),
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.verb {
+    let result = match cli.verb {
         None => serve(cli.run).map(|()| ExitCode::SUCCESS),
-        Some(Verb::Run(run)) => serve(run).map(|()| ExitCode::SUCCESS),
-        Some(Verb::Check { files, settings }) => check(&files, settings),
-        Some(Verb::Ctl { socket, config, what }) => ask(socket, config, &what).map(|()| ExitCode::SUCCESS),
+        Some(CliCommand::Run(run)) => serve(run).map(|()| ExitCode::SUCCESS),
+        Some(CliCommand::Check { files, settings }) => check(&files, settings),
+        Some(CliCommand::Ctl { socket, config, what }) => {
+            query(socket, config, &what).map(|()| ExitCode::SUCCESS)
+        }
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("hollypaddle: {error}");
-        let reached = error.downcast_ref::<ctl::CtlError>();
-        match reached {
-            Some(ctl::CtlError::Io(_) | ctl::CtlError::InvalidAnswer(_)) => UNREACHABLE.into(),
-            _ => WRONG.into(),
+        let ctl_error = error.downcast_ref::<ctl::CtlError>();
+        match ctl_error {
+            Some(ctl::CtlError::Io(_) | ctl::CtlError::InvalidAnswer(_)) => EXIT_UNREACHABLE.into(),
+            _ => EXIT_FAILURE.into(),
         }
     })
 }
