--- a/crates/gatekeeper/src/node/config.rs
+++ b/crates/gatekeeper/src/node/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: the PROXY_* variables and the file that they name.
+//! The configuration: the PROXY_* environment variables, the platform's JSON file that they name, and the gatekeeper's own
+//! configuration file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,159 +12,161 @@
 
 use hollypaddle_platform::list::{Snapshot, Update};
 
-/// Descriptors and memory that a gatekeeper keeps to where the file gives no figure.
-const SOCKETS: usize = 1024;
-const MEMORY_MB: f64 = 64.0;
+/// Limit of descriptors if the platform's file gives none.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
+/// Limit of memory if the platform's file gives none, in megabytes.
+const DEFAULT_MEMORY_MB: f64 = 64.0;
 
-/// Attempts of one call are counted up to this; more in the settings means as many.
-const MOST_ATTEMPTS: u32 = 250;
+/// Largest number of attempts per call that is counted. A larger limit in the settings is reduced to this.
+const MAX_ATTEMPTS: u32 = 250;
 
-/// The goal time, in seconds, where no class has a shorter one.
-const LONGEST_GOAL: f64 = 3.0;
+/// The shortest goal time is taken to be this, in seconds, if no class has a shorter one.
+const MAX_GOAL_TIME_S: f64 = 3.0;
 
-/// What a gatekeeper is told at its start.
+/// The configuration of a gatekeeper.
 pub struct Config {
-    /// Its name.
+    /// The gatekeeper's name.
     pub name: String,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub listen: SocketAddr,
-    /// The control address, where the operators' front asks over HTTP; none where not given.
+    /// The control address, which serves the operators' load balancer over HTTP, if there is one.
     pub control: Option<SocketAddr>,
-    /// The resolver.
+    /// The address of the resolver.
     pub dns: SocketAddr,
-    /// Descriptors that it may hold.
+    /// Limit of open descriptors.
     pub max_sockets: usize,
-    /// Bytes of memory that it may use.
+    /// Limit of memory, in bytes.
     pub memory_bytes: usize,
-    /// Seed of all random draws.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The pool list as known at the start.
+    /// The list of servers that is known at the start.
     pub initial_list: Snapshot,
-    /// What the decision module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The names in load reports.
+    /// The names of the fields in servers' load reports.
     pub telemetry: Telemetry,
-    /// What the sockets need of the settings.
+    /// The settings that the connections need.
     pub protocol: ProtocolSettings,
-    /// What the own configuration file builds on.
+    /// The platform's names and values that the own configuration file refers to.
     pub platform: Platform,
-    /// What the own configuration file says.
+    /// The content of the own configuration file.
     pub own_conf: Conf,
-    /// The file itself, for the fleet's settings to be read with it.
+    /// The own configuration file itself, with which the fleet's settings are merged.
     pub own_file: OwnFile,
 }
 
-/// What the sockets need of the settings.
+/// The settings that the connections to callers and servers need.
 #[derive(Clone, Debug)]
 pub struct ProtocolSettings {
-    /// The classes, in the order of their numbers.
+    /// The classes, indexed by number.
     pub classes: Vec<ProtocolClass>,
-    /// A connection not up within so many seconds has failed.
+    /// A connection that is not established within this time has failed, in seconds.
     pub connect_timeout: f64,
-    /// Nothing new may reach a server so many seconds after its drain was told.
+    /// How long after the announcement of its drain a server may still get new set-ups, in seconds.
     pub drain_grace: f64,
-    /// Servers tell their state unasked.
+    /// Whether servers send their state without being asked.
     pub servers_report_state: bool,
-    /// The shortest goal time of a class, in seconds.
+    /// The shortest goal time of all classes, in seconds.
     pub min_goal_time: f64,
-    /// The districts.
+    /// The names of the districts, indexed by number.
     pub districts: Vec<String>,
-    /// Connections that each server may have.
+    /// Limit of connections to one server.
     pub connections: usize,
 }
 
-/// What a set-up of a class may say.
+/// The rules for set-ups of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProtocolClass {
     /// The class's name.
     pub name: String,
-    /// The longest that a caller waits, in seconds.
+    /// The longest time that a caller may wait, in seconds.
     pub max_wait: f64,
-    /// Numbers of the pools that it may go to; empty means any.
+    /// Numbers of the pools that its set-ups may go to. Empty means any.
     pub pools: Vec<u32>,
-    /// How many circuits a call takes, if told.
+    /// How many circuits a call uses, if given.
     pub width: Option<f64>,
-    /// Whether new calls may take it: a class dropped at a reload keeps its number for the calls open.
+    /// Whether new calls of this class are accepted. A class that a reload drops keeps its number for its open calls.
     pub accepts_calls: bool,
 }
 
 impl ProtocolSettings {
-    /// The longest that any caller waits, in seconds.
+    /// The longest time that a caller of any class may wait, in seconds.
     pub fn max_wait(&self) -> f64 {
         self.classes.iter().map(|c| c.max_wait).fold(0.0, f64::max)
     }
 }
 
-/// What is wrong with the configuration. At the start the program ends with it; at a reload everything stays as it was.
+/// Why a configuration can't be used. At the start the program exits with this error; at a reload the old configuration
+/// stays in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable is missing or no text.
-    #[error("the variable {0} is not set")]
+    /// An environment variable is missing or is not valid Unicode.
+    #[error("the environment variable {0} is not set, or is not valid Unicode")]
     Variable(&'static str),
-    /// The file cannot be read.
+    /// The platform's file can't be read.
     #[error("{path}: {error}", path = .0.display(), error = .1)]
     File(PathBuf, #[source] std::io::Error),
-    /// The file is not what it should be.
-    #[error("the configuration file: {0}")]
+    /// The platform's file is not valid JSON or has a wrong structure.
+    #[error("the platform's configuration file: {0}")]
     Json(#[from] serde_json::Error),
-    /// The own configuration file has these mistakes.
+    /// The own configuration file has these problems.
     #[error("{}", .0.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n"))]
     Own(Vec<Problem>),
-    /// A variable or a field of the file has a value of no use.
-    #[error("{0} cannot be {1:?}")]
+    /// An environment variable or a field of the platform's file has an unusable value.
+    #[error("{0} has the invalid value {1:?}")]
     InvalidValue(&'static str, String),
-    /// A figure of the file is out of all reason.
-    #[error("{field} cannot be \"{value}\": expected {expected}")]
+    /// A number in the platform's file is out of range.
+    #[error("{field} has the invalid value \"{value}\": expected {expected}")]
     OutOfRange {
-        /// Where it stands.
+        /// The path of the field in the file.
         field: String,
-        /// What it is.
+        /// Its value.
         value: f64,
-        /// What it should be.
+        /// A description of the valid range.
         expected: &'static str,
     },
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     dns: String,
     seed: String,
     #[serde(default)]
     control: Option<String>,
     #[serde(default)]
-    limits: Limits,
+    limits: ResourceLimits,
     #[serde(default)]
-    known: Known,
+    known: KnownList,
     settings: Value,
 }
 
 #[derive(Deserialize)]
-struct NamesFile {
-    settings: LinkSettings,
+struct NamesOnlyFile {
+    settings: SettingsSection,
 }
 
 #[derive(Deserialize, Default)]
-struct Limits {
+struct ResourceLimits {
     sockets: Option<usize>,
     memory_mb: Option<f64>,
 }
 
 #[derive(Deserialize, Default)]
-struct Known {
+struct KnownList {
     pos: u64,
     entries: Vec<Update>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct LinkSettings {
-    request_classes: Vec<Class>,
+struct SettingsSection {
+    request_classes: Vec<ClassSection>,
     #[serde(default)]
-    limits: LinkLimits,
+    limits: LimitsSection,
     #[serde(default)]
-    family_info: LinkFamily,
+    family_info: FamilyInfoSection,
     #[serde(default)]
-    safety: LinkSafety,
+    safety: SafetySection,
     #[serde(default)]
     zones: Vec<String>,
     zone: Option<usize>,
@@ -171,56 +174,61 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct LinkFamily {
+struct FamilyInfoSection {
     pools_by_class: Vec<Vec<u32>>,
     widths: Vec<f64>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Class {
+struct ClassSection {
     name: String,
     hard_limit: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct LinkLimits {
+struct LimitsSection {
     connect_timeout: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct LinkSafety {
+struct SafetySection {
     drain_grace: f64,
 }
 
-impl Default for LinkSafety {
+impl Default for SafetySection {
     fn default() -> Self {
-        LinkSafety { drain_grace: 0.25 }
+        SafetySection { drain_grace: 0.25 }
     }
 }
 
-impl Default for LinkLimits {
+impl Default for LimitsSection {
     fn default() -> Self {
-        LinkLimits { connect_timeout: 0.5 }
+        LimitsSection { connect_timeout: 0.5 }
     }
 }
 
-/// Times, shares and numbers that are sound.
-const TIME: (&str, f64, f64) = ("seconds, more than 0 and no more than a week", f64::MIN_POSITIVE, 604_800.0);
-const SPAN: (&str, f64, f64) = ("seconds, from 0 to a week", 0.0, 604_800.0);
-const SHARE: (&str, f64, f64) = ("a share from 0 to 1", 0.0, 1.0);
-const WORTH: (&str, f64, f64) = ("a number from 0 to a billion", 0.0, 1e9);
+/// Ranges of valid values: a description, the minimum and the maximum.
+const POSITIVE_SECONDS: (&str, f64, f64) =
+    ("seconds, more than 0 and no more than a week", f64::MIN_POSITIVE, 604_800.0);
+const SECONDS: (&str, f64, f64) = ("seconds, from 0 to a week", 0.0, 604_800.0);
+const FRACTION: (&str, f64, f64) = ("a fraction from 0 to 1", 0.0, 1.0);
+const NON_NEGATIVE: (&str, f64, f64) = ("a number from 0 to a billion", 0.0, 1e9);
 const COUNT: (&str, f64, f64) = ("a number from 1 to a billion", 1.0, 1e9);
-const SOCKETS_SOUND: (&str, f64, f64) = ("24 descriptors or more", 24.0, 1e9);
-const MEMORY_SOUND: (&str, f64, f64) = ("megabytes, from 1 to a million", 1.0, 1e6);
+const SOCKET_COUNT: (&str, f64, f64) = ("24 descriptors or more", 24.0, 1e9);
+const MEGABYTES: (&str, f64, f64) = ("megabytes, from 1 to a million", 1.0, 1e6);
 
-/// Whether the figures can be served by. Guards against a file that is broken in a way that still reads: nothing of it is
-/// taken, and the first figure at fault is named.
-fn sound(settings: &Settings, link: &LinkSettings, limits: &Limits) -> Result<(), ConfigError> {
-    let check = |field: String, value: f64, (expected, least, most): (&'static str, f64, f64)| match value {
-        value if value >= least && value <= most => Ok(()),
+/// Checks that all numbers are in their valid ranges. Guards against a damaged file that still parses: nothing of it is
+/// applied, and the error names the first invalid field.
+fn check_ranges(
+    settings: &Settings,
+    section: &SettingsSection,
+    limits: &ResourceLimits,
+) -> Result<(), ConfigError> {
+    let check = |field: String, value: f64, (expected, min, max): (&'static str, f64, f64)| match value {
+        value if value >= min && value <= max => Ok(()),
         value => Err(ConfigError::OutOfRange { field, value, expected }),
     };
     let classes = settings.classes.len();
@@ -232,47 +240,56 @@
             expected,
         });
     }
-    for (n, (class, named)) in settings.classes.iter().zip(&link.request_classes).enumerate() {
-        if named.name.is_empty() || link.request_classes[..n].iter().any(|c| c.name == named.name) {
-            return Err(ConfigError::InvalidValue("settings.requestClasses[].name", named.name.clone()));
+    for (n, (class, class_section)) in settings.classes.iter().zip(&section.request_classes).enumerate() {
+        if class_section.name.is_empty()
+            || section.request_classes[..n].iter().any(|c| c.name == class_section.name)
+        {
+            return Err(ConfigError::InvalidValue(
+                "settings.requestClasses[].name",
+                class_section.name.clone(),
+            ));
         }
         let field = |name: &str| format!("settings.requestClasses[{n}].{name}");
-        check(field("hardLimit"), class.hard_limit, TIME)?;
-        check(field("goalTime"), class.goal_time, TIME)?;
-        check(field("value"), class.value, WORTH)?;
-        check(field("lateWorth"), class.late_worth, WORTH)?;
+        check(field("hardLimit"), class.hard_limit, POSITIVE_SECONDS)?;
+        check(field("goalTime"), class.goal_time, POSITIVE_SECONDS)?;
+        check(field("value"), class.value, NON_NEGATIVE)?;
+        check(field("lateWorth"), class.late_worth, NON_NEGATIVE)?;
     }
     for (n, tenant) in settings.tenants.iter().enumerate() {
-        check(format!("settings.tenants[{n}].quotaPerS"), tenant.quota_per_s, WORTH)?;
+        check(format!("settings.tenants[{n}].quotaPerS"), tenant.quota_per_s, NON_NEGATIVE)?;
     }
-    let figures = [
+    let values = [
         ("settings.peersTotal", f64::from(settings.fronts), COUNT),
-        ("settings.period", settings.period, SPAN),
-        ("settings.overShareWorth", settings.over_share_worth, WORTH),
-        ("settings.familyInfo.release", settings.release, SPAN),
-        ("settings.familyInfo.retransmit", settings.retransmit, SPAN),
+        ("settings.period", settings.period, SECONDS),
+        ("settings.overShareWorth", settings.over_share_worth, NON_NEGATIVE),
+        ("settings.familyInfo.release", settings.release, SECONDS),
+        ("settings.familyInfo.retransmit", settings.retransmit, SECONDS),
         ("settings.limits.tryLimit", f64::from(settings.try_limit), COUNT),
-        ("settings.limits.maxRetryAfter", settings.retry_after.unwrap_or(0.0), SPAN),
-        ("settings.limits.connectTimeout", link.limits.connect_timeout, TIME),
-        ("settings.safety.drainGrace", link.safety.drain_grace, SPAN),
-        ("settings.safety.cold", settings.cold, SPAN),
-        ("settings.safety.coldFrom", settings.cold_from, SHARE),
+        ("settings.limits.maxRetryAfter", settings.retry_after.unwrap_or(0.0), SECONDS),
+        ("settings.limits.connectTimeout", section.limits.connect_timeout, POSITIVE_SECONDS),
+        ("settings.safety.drainGrace", section.safety.drain_grace, SECONDS),
+        ("settings.safety.cold", settings.cold, SECONDS),
+        ("settings.safety.coldFrom", settings.cold_from, FRACTION),
         ("settings.safety.overloadFactor", settings.overload_factor, COUNT),
-        ("limits.sockets", limits.sockets.unwrap_or(SOCKETS) as f64, SOCKETS_SOUND),
-        ("limits.memory_mb", limits.memory_mb.unwrap_or(MEMORY_MB), MEMORY_SOUND),
+        ("limits.sockets", limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS) as f64, SOCKET_COUNT),
+        ("limits.memory_mb", limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB), MEGABYTES),
     ];
-    figures.into_iter().try_for_each(|(field, value, range)| check(field.into(), value, range))
+    values.into_iter().try_for_each(|(field, value, range)| check(field.into(), value, range))
 }
 
 impl Config {
-    /// Reads the environment, the file that it names, and the own configuration file where there is one.
+    /// Reads the environment variables, the platform's file that they name, and the own configuration file if one is given.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a variable is missing, or if a file can't be read or is not valid.
     pub fn load(own: Option<&Path>) -> Result<Config, ConfigError> {
         let variable = |name| std::env::var(name).map_err(|_| ConfigError::Variable(name));
         let (name, listen) = (variable("PROXY_NAME")?, variable("PROXY_LISTEN")?);
         let path = PathBuf::from(variable("PROXY_CONFIG")?);
         let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::File(path, error))?;
         let mut config = Config::parse(name, &listen, &text)?;
-        // The variable wins over the file, as the platform gives both.
+        // The platform gives both, and the variable takes precedence over the file.
         if let Some(control) = std::env::var("PROXY_CONTROL").ok().filter(|c| !c.trim().is_empty()) {
             let parsed =
                 control.trim().parse().map_err(|_| ConfigError::InvalidValue("PROXY_CONTROL", control));
@@ -284,7 +301,11 @@
         }
     }
 
-    /// Reads the own configuration file and checks it against the platform's names.
+    /// Adds the own configuration file, checked against the platform's names.
+    ///
+    /// # Errors
+    ///
+    /// Fails with all problems of the file.
     pub fn with_own_file(mut self, path: &Path) -> Result<Config, ConfigError> {
         let names = self.names();
         self.own_file = OwnFile::read(path, &names).map_err(ConfigError::Own)?;
@@ -292,32 +313,40 @@
         Ok(self)
     }
 
-    /// The names of districts and classes. A platform without districts has none that a file could name:
-    /// its servers stand in none.
+    /// The names of districts and classes that the own configuration file may use. On a platform without districts it can
+    /// name none, because the servers belong to none.
     pub fn names(&self) -> Names {
         let classes = self.platform.classes.iter().map(|c| c.0.clone()).collect();
         Names { districts: Some(self.platform.districts.clone()), classes: Some(classes) }
     }
 
-    /// The names in the settings of a file's text, which need not be whole otherwise.
+    /// Reads only the names of districts and classes from the text of a platform's file, whose other fields may be missing.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is not valid JSON or lacks the classes.
     pub fn names_from_text(text: &str) -> Result<Names, ConfigError> {
-        let file: NamesFile = serde_json::from_str(text)?;
+        let file: NamesOnlyFile = serde_json::from_str(text)?;
         let classes = file.settings.request_classes.into_iter().map(|c| c.name).collect();
         Ok(Names { districts: Some(file.settings.zones), classes: Some(classes) })
     }
 
-    /// Reads the file's text.
+    /// Parses the text of the platform's file, and adds the gatekeeper's name and the callers' address.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is not valid JSON, lacks a field, or has a value that is not valid.
     pub fn parse(name: String, listen: &str, text: &str) -> Result<Config, ConfigError> {
-        let file: File = serde_json::from_str(text)?;
+        let file: ConfigFile = serde_json::from_str(text)?;
         let address = |field, text: &str| {
             text.parse::<SocketAddr>().map_err(|_| ConfigError::InvalidValue(field, text.to_string()))
         };
         let (mut settings, telemetry) = settings::read(file.settings.to_string().as_bytes())?;
-        let link: LinkSettings = serde_json::from_value(file.settings)?;
-        sound(&settings, &link, &file.limits)?;
-        settings.try_limit = settings.try_limit.min(MOST_ATTEMPTS);
-        let family = link.family_info;
-        let class = |(n, class): (usize, Class)| ProtocolClass {
+        let section: SettingsSection = serde_json::from_value(file.settings)?;
+        check_ranges(&settings, &section, &file.limits)?;
+        settings.try_limit = settings.try_limit.min(MAX_ATTEMPTS);
+        let family = section.family_info;
+        let class = |(n, class): (usize, ClassSection)| ProtocolClass {
             name: class.name,
             max_wait: class.hard_limit,
             pools: family.pools_by_class.get(n).cloned().unwrap_or_default(),
@@ -325,16 +354,16 @@
             accepts_calls: true,
         };
         let seed = u64::from_str_radix(&file.seed, 16);
-        let names = link.request_classes.iter().map(|c| c.name.clone());
+        let names = section.request_classes.iter().map(|c| c.name.clone());
         let platform = Platform {
             name: name.clone(),
-            districts: link.zones.clone(),
-            own: link.zone.filter(|zone| *zone < link.zones.len()),
+            districts: section.zones.clone(),
+            own: section.zone.filter(|zone| *zone < section.zones.len()),
             classes: names.zip(settings.classes.iter().map(|c| c.goal_time)).collect(),
             fronts: settings.fronts,
         };
         let servers_report_state = telemetry.any();
-        let min_goal_time = settings.classes.iter().map(|c| c.goal_time).fold(LONGEST_GOAL, f64::min);
+        let min_goal_time = settings.classes.iter().map(|c| c.goal_time).fold(MAX_GOAL_TIME_S, f64::min);
         Ok(Config {
             name,
             platform,
@@ -343,19 +372,19 @@
             listen: address("PROXY_LISTEN", listen)?,
             control: file.control.as_deref().map(|c| address("control", c)).transpose()?,
             dns: address("dns", &file.dns)?,
-            memory_bytes: (file.limits.memory_mb.unwrap_or(MEMORY_MB) * 1048576.0) as usize,
-            max_sockets: file.limits.sockets.unwrap_or(SOCKETS),
+            memory_bytes: (file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * 1048576.0) as usize,
+            max_sockets: file.limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS),
             seed: seed.map_err(|_| ConfigError::InvalidValue("seed", file.seed.clone()))?,
-            initial_list: Snapshot::replay(file.known.pos, &file.known.entries, &link.zones),
+            initial_list: Snapshot::replay(file.known.pos, &file.known.entries, &section.zones),
             settings,
             telemetry,
             protocol: ProtocolSettings {
-                classes: link.request_classes.into_iter().enumerate().map(class).collect(),
-                connect_timeout: link.limits.connect_timeout,
-                drain_grace: link.safety.drain_grace,
+                classes: section.request_classes.into_iter().enumerate().map(class).collect(),
+                connect_timeout: section.limits.connect_timeout,
+                drain_grace: section.safety.drain_grace,
                 servers_report_state,
                 min_goal_time,
-                districts: link.zones,
+                districts: section.zones,
                 connections: 1,
             },
         })
