--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -1,9 +1,10 @@
-//! The seam between the loop and its subjects.
+//! The interface between the event loop and the gatekeeper's components.
 //!
-//! The loop calls each subject at the same places of a turn, in one order: first, before anything that came is taken
-//! ([`Component::begin_iteration`]); for each thing that is ready ([`Component::handle_ready`]); now and then ([`Component::on_heartbeat`]); and last, after
-//! the decisions ([`Component::finish_iteration`]). A configuration read anew is taken in two steps: all that can fail is prepared
-//! by every subject, and only then does any of it count. A further subject adds a file and a line in [`Components`].
+//! In each iteration the event loop calls every component, always in the same order: before any event is handled
+//! ([`Component::begin_iteration`]), for each event ([`Component::handle_ready`]), at each heartbeat
+//! ([`Component::on_heartbeat`]), and after the decisions ([`Component::finish_iteration`]). A new configuration is applied
+//! in two steps: every component first prepares everything that can fail, and only if all succeed are the changes committed.
+//! A new component needs a file and a line in [`Components`].
 
 use std::io;
 
@@ -24,103 +25,107 @@
 use super::servers::Servers;
 use super::tier::TierComponent;
 
-/// What a subject may reach in a step.
+/// The parts of the gatekeeper that a component may use.
 pub struct ComponentContext<'a> {
-    /// The time.
+    /// The time, in Unix seconds.
     pub now: f64,
     /// The poller.
     pub poller: &'a mut Poller,
-    /// The calls.
+    /// All calls.
     pub calls: &'a mut Calls,
-    /// The session servers.
+    /// The connections to session servers.
     pub servers: &'a mut Servers,
-    /// The callers.
+    /// The connections of callers.
     pub clients: &'a mut Clients,
-    /// The resolver.
+    /// The connection to the resolver.
     pub resolver: &'a mut Resolver,
-    /// What set-ups have to pass.
+    /// The gates that set-ups have to pass.
     pub gates: &'a mut Gates,
-    /// When the resolver last told the whole list, or the file did.
+    /// When the complete list of servers was last confirmed, by the resolver or by the configuration file.
     pub list_at: f64,
-    /// What the own configuration builds on.
+    /// The platform's names and values that the own configuration file refers to.
     pub platform: &'a Platform,
-    /// The seed of the start.
+    /// The seed of random choices.
     pub seed: u64,
-    /// The names of the classes, by number.
+    /// The names of the classes, indexed by number.
     pub class_names: &'a [String],
 }
 
-/// A part of the gatekeeper beside callers, servers and resolver. What it does not need it leaves out.
+/// A part of the gatekeeper other than callers, servers and resolver. All methods have defaults that do nothing.
 pub trait Component {
-    /// Opens what a configuration needs that is read anew; may fail, and then nothing of that file counts.
+    /// Opens what a new configuration needs, without applying it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if something can't be opened. Nothing of the new configuration is applied then.
     fn prepare(&mut self, _ctx: &mut ComponentContext, _old: &Conf, _new: &Conf) -> io::Result<()> {
         Ok(())
     }
 
-    /// Closes what was prepared, as another subject could not be.
+    /// Closes what was prepared, because another component failed to prepare.
     fn abandon(&mut self, _ctx: &mut ComponentContext) {}
 
-    /// Takes the configuration that was prepared; tells in a word what changed.
+    /// Applies the configuration that was prepared. Returns a short label of what changed, for the log.
     fn commit(&mut self, _ctx: &mut ComponentContext, _old: &Conf, _new: &Conf) -> Option<String> {
         None
     }
 
-    /// What time brings, before anything that came is taken.
+    /// Handles the passing of time, before any event of this iteration is handled.
     fn begin_iteration(&mut self, _ctx: &mut ComponentContext) {}
 
-    /// Something is ready; it may be another's.
+    /// Handles an event of the poller, if its source belongs to this component.
     fn handle_ready(&mut self, _ctx: &mut ComponentContext, _ready: Ready) {}
 
-    /// Looks after things. Called now and then.
+    /// Does periodic work. Called at each heartbeat of the event loop.
     fn on_heartbeat(&mut self, _ctx: &mut ComponentContext, _own: &Conf) {}
 
-    /// Carries out what was decided in this turn.
+    /// Carries out the decisions of this iteration.
     fn finish_iteration(&mut self, _ctx: &mut ComponentContext) {}
 
-    /// The program ends.
+    /// Closes everything, because the program ends.
     fn shut_down(&mut self, _ctx: &mut ComponentContext) {}
 
-    /// When the next turn is wanted at the latest.
+    /// The latest time for the next iteration of the event loop, if this component needs one.
     fn next_iteration_at(&self) -> Option<f64> {
         None
     }
 
-    /// Why the gatekeeper is not ready yet, in a word.
+    /// Why the gatekeeper is not ready yet, as a short label, or `None` if this component is ready.
     fn not_ready_reason(&self) -> Option<&'static str> {
         None
     }
 
-    /// The answer to a question of the control socket, where it is this subject's.
-    fn answer(&mut self, _ctx: &mut ComponentContext, _question: &Query) -> Option<Value> {
+    /// Answers a query from the control socket, if this component has the report.
+    fn answer(&mut self, _ctx: &mut ComponentContext, _query: &Query) -> Option<Value> {
         None
     }
 }
 
-/// All subjects, in the order in which they are called.
+/// All components, in the order in which they are called.
 #[derive(Default)]
 pub struct Components {
     /// The control socket.
     pub control: ControlComponent,
-    /// The account of what crosses districts.
+    /// Counts and budgets of set-ups to other districts.
     pub crossing: CrossingComponent,
-    /// The other gatekeepers.
+    /// Replication between the members of a fleet without relays.
     pub fleet: FleetComponent,
-    /// The tier of relays.
+    /// Replication through a tier of relays.
     pub tier: TierComponent,
 }
 
 impl Components {
-    /// Each, in order.
+    /// The components, in order.
     pub fn all_mut(&mut self) -> [&mut dyn Component; 4] {
         [&mut self.control, &mut self.crossing, &mut self.fleet, &mut self.tier]
     }
 
-    /// The same, to be looked at.
+    /// The components, in order, for reading.
     fn all(&self) -> [&dyn Component; 4] {
         [&self.control, &self.crossing, &self.fleet, &self.tier]
     }
 
-    /// The lines of a list, with what others know.
+    /// Updates the entries of a list of servers with what other members report. `list_at` is the time of the list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(fleet) = &self.fleet.joined {
             fleet.overlay(entries, list_at);
@@ -128,7 +133,11 @@
         self.tier.overlay(entries, list_at);
     }
 
-    /// Takes a configuration read anew, all of it or nothing; returns what changed, in words.
+    /// Applies a new configuration, all of it or nothing. Returns a short label for each component that changed.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a component can't prepare what the configuration needs.
     pub fn apply_config(
         &mut self,
         ctx: &mut ComponentContext,
@@ -149,32 +158,32 @@
         Ok(self.all_mut().into_iter().filter_map(|component| component.commit(ctx, old, new)).collect())
     }
 
-    /// When the next turn is wanted at the latest.
+    /// The latest time for the next iteration of the event loop, if any component needs one.
     pub fn next_iteration_at(&self) -> Option<f64> {
         self.all().into_iter().filter_map(Component::next_iteration_at).min_by(f64::total_cmp)
     }
 
-    /// Why the gatekeeper is not ready yet.
+    /// Why the gatekeeper is not ready yet, or `None` if all components are ready.
     pub fn not_ready_reason(&self) -> Option<&'static str> {
         self.all().into_iter().find_map(Component::not_ready_reason)
     }
 }
 
-/// The control socket, where it is configured, and what was asked on it.
+/// The control socket, if it is configured, and its pending queries.
 #[derive(Default)]
 pub struct ControlComponent {
     control: Option<ControlSocket>,
-    /// One that was opened and does not count yet.
-    fresh: Option<ControlSocket>,
-    /// Questions that wait for their answers.
-    pub asked: Vec<(Key, Query)>,
+    /// A socket that is opened but not in use yet.
+    prepared: Option<ControlSocket>,
+    /// Queries that wait for their answers, with the keys of their connections.
+    pub pending_queries: Vec<(Key, Query)>,
 }
 
 impl ControlComponent {
-    /// Answers a question.
-    pub fn reply(&mut self, key: Key, told: &Value, poller: &Poller) {
+    /// Answers a query on this connection.
+    pub fn reply(&mut self, key: Key, answer: &Value, poller: &Poller) {
         if let Some(control) = &mut self.control {
-            control.reply(key, told, poller);
+            control.reply(key, answer, poller);
         }
     }
 }
@@ -184,15 +193,15 @@
         if new.control != old.control {
             if let Some(path) = &new.control {
                 let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
-                self.fresh = Some(ControlSocket::listen(path, ctx.poller).map_err(named)?);
+                self.prepared = Some(ControlSocket::listen(path, ctx.poller).map_err(named)?);
             }
         }
         Ok(())
     }
 
     fn abandon(&mut self, ctx: &mut ComponentContext) {
-        if let Some(fresh) = self.fresh.take() {
-            fresh.close(ctx.poller);
+        if let Some(prepared) = self.prepared.take() {
+            prepared.close(ctx.poller);
         }
     }
 
@@ -200,7 +209,7 @@
         if new.control == old.control {
             return None;
         }
-        if let Some(old) = std::mem::replace(&mut self.control, self.fresh.take()) {
+        if let Some(old) = std::mem::replace(&mut self.control, self.prepared.take()) {
             old.close(ctx.poller);
         }
         Some("control".into())
@@ -208,13 +217,13 @@
 
     fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
         if let Some(control) = &mut self.control {
-            self.asked.extend(control.ready(ctx.now, ready, ctx.poller));
+            self.pending_queries.extend(control.ready(ctx.now, ready, ctx.poller));
         }
     }
 
     fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         if let Some(control) = &mut self.control {
-            control.beat(ctx.now, ctx.poller);
+            control.on_heartbeat(ctx.now, ctx.poller);
         }
     }
 
@@ -225,17 +234,17 @@
     }
 }
 
-/// The account of what crosses districts: its configuration, its line in the log, its report. The account itself is a gate.
+/// Configuration, log lines and report of the set-ups to other districts. They are counted by the gate `crossing`.
 #[derive(Default)]
 pub struct CrossingComponent {
-    /// When it was last logged; none before the first look.
+    /// When the counts were last logged. `None` before the first heartbeat.
     logged_at: Option<f64>,
 }
 
 impl CrossingComponent {
-    /// Writes the account to the log where that is configured and due: a line a cell, of which there are no more than
-    /// classes times districts.
-    fn log(&mut self, ctx: &mut ComponentContext, own: &Conf) {
+    /// Logs the counts if that is configured and due. Writes one line for each combination of class and district that
+    /// occurs, and therefore at most classes times districts.
+    fn log_if_due(&mut self, ctx: &mut ComponentContext, own: &Conf) {
         let since = *self.logged_at.get_or_insert(ctx.now);
         let every = own.crossings.as_ref().and_then(|c| c.log_every);
         let Some(_) = every.filter(|every| ctx.now - since >= *every) else { return };
@@ -256,13 +265,13 @@
 
 impl Component for CrossingComponent {
     fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
-        // The platform's names are those of the start, and a file read since may have others. Guards against
-        // budgets that are dropped without a word.
+        // The platform's names are those of the start, and a file that is read later may have others. Without this check
+        // budgets with such names would be dropped silently.
         let missing = new.crossings.as_ref().map_or(Vec::new(), |c| c.missing(ctx.platform));
         match missing.is_empty() {
             true => Ok(()),
             false => {
-                let what = format!("not known before the next start: {}", missing.join(", "));
+                let what = format!("not known until the gatekeeper is restarted: {}", missing.join(", "));
                 Err(io::Error::new(io::ErrorKind::InvalidInput, what))
             }
         }
@@ -280,7 +289,7 @@
             }
             (None, Some(conf)) => {
                 let mut crossing = Crossing::new(conf.settings(ctx.platform), ctx.now);
-                // It was not there when the list came.
+                // The gate did not exist when the list of servers came.
                 let entries = ctx.servers.entries();
                 crossing.hear(ctx.now, &Event::List { kind: ListKind::Full, entries });
                 *gate = Some(crossing);
@@ -291,7 +300,8 @@
                 "off"
             }
         };
-        // Without it nothing crosses, and budgets that never bite look as if they were kept.
+        // If the own district is unknown no set-up counts as a crossing, and budgets that never take effect look as if they
+        // were kept.
         if gate.as_ref().is_some_and(|g| g.settings().own == District::UNKNOWN) {
             log::warn!("own-district-unknown");
         }
@@ -300,50 +310,50 @@
     }
 
     fn on_heartbeat(&mut self, ctx: &mut ComponentContext, own: &Conf) {
-        self.log(ctx, own);
+        self.log_if_due(ctx, own);
     }
 
-    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
-        let Query::Crossings { span } = question else { return None };
+    fn answer(&mut self, ctx: &mut ComponentContext, query: &Query) -> Option<Value> {
+        let Query::Crossings { span } = query else { return None };
         Some(match (Span::named(span), &mut ctx.gates.crossing) {
-            (None, _) => json!({"error": format!("no span {span:?}: total, 10s, 1min or 10min")}),
-            (_, None) => json!({"error": "no account: the block `crossings` is not configured"}),
+            (None, _) => json!({"error": format!("no span {span:?}: expected total, 10s, 1min or 10min")}),
+            (_, None) => json!({"error": "no counts of crossings: the block `crossings` is not configured"}),
             (Some(span), Some(crossing)) => json!({"ok": crossing.report(ctx.now, span)}),
         })
     }
 }
 
-/// The fleet of a file whose members have links to each other.
-fn meshed(conf: &Conf) -> Option<&hollypaddle_config::Fleet> {
+/// The fleet of a configuration file, if its members are linked directly rather than through relays.
+fn fleet_without_relays(conf: &Conf) -> Option<&hollypaddle_config::Fleet> {
     conf.fleet.as_ref().filter(|fleet| fleet.tier.is_none())
 }
 
-/// The other gatekeepers, where the own configuration names them, and what may be used of the fleet's budgets.
+/// Membership in a fleet, if the own configuration names one, and this gatekeeper's share of the fleet's budgets.
 #[derive(Default)]
 pub struct FleetComponent {
-    /// The links and what is known by them.
+    /// The fleet that this gatekeeper has joined: its links and what it knows through them.
     pub joined: Option<Fleet>,
-    /// What may be used, and what was lent. It outlives the fleet.
+    /// The share of the budgets that may be used, and what was lent. Kept for a while after the fleet is left.
     shares: Option<Shares>,
-    /// A fleet that was joined and does not count yet.
-    fresh: Option<Fleet>,
+    /// A fleet that was joined but is not in use yet.
+    prepared: Option<Fleet>,
 }
 
 impl Component for FleetComponent {
-    /// Joins a fleet where the file names another one than before, or another name or address of the own member's.
+    /// Joins a fleet, unless the file keeps this gatekeeper's own name and address in the fleet that was joined before.
     fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
-        let Some(conf) = meshed(new) else { return Ok(()) };
+        let Some(conf) = fleet_without_relays(new) else { return Ok(()) };
         let name = &ctx.platform.name;
         if conf.own(name).is_none() || !self.joined.as_ref().is_some_and(|f| f.stays(conf, name)) {
-            self.fresh = Some(Fleet::join(ctx.now, conf, name, ctx.seed, ctx.calls, ctx.poller)?);
+            self.prepared = Some(Fleet::join(ctx.now, conf, name, ctx.seed, ctx.calls, ctx.poller)?);
         }
         Ok(())
     }
 
     fn abandon(&mut self, ctx: &mut ComponentContext) {
-        if let Some(fresh) = self.fresh.take() {
-            fresh.undo(ctx.now, ctx.poller);
-            // The one that stays goes on noting.
+        if let Some(prepared) = self.prepared.take() {
+            prepared.undo(ctx.now, ctx.poller);
+            // A fleet that stays joined continues to record changes.
             if self.joined.is_none() {
                 ctx.calls.record_changes(false);
             }
@@ -351,12 +361,12 @@
     }
 
     fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
-        if new.fleet == old.fleet || meshed(old).or(meshed(new)).is_none() {
+        if new.fleet == old.fleet || fleet_without_relays(old).or(fleet_without_relays(new)).is_none() {
             return None;
         }
-        let word = match (&mut self.joined, self.fresh.take(), meshed(new)) {
-            (old, Some(fresh), _) => {
-                if let Some(old) = old.replace(fresh) {
+        let word = match (&mut self.joined, self.prepared.take(), fleet_without_relays(new)) {
+            (old, Some(prepared), _) => {
+                if let Some(old) = old.replace(prepared) {
                     old.leave(ctx.now, ctx.calls, ctx.poller);
                     ctx.calls.record_changes(true);
                 }
@@ -377,7 +387,7 @@
         if let Some(fleet) = &mut self.joined {
             fleet.set_classes(ctx.class_names);
         }
-        if let Some(conf) = meshed(new) {
+        if let Some(conf) = fleet_without_relays(new) {
             self.shares.get_or_insert_with(|| Shares::new(ctx.now, conf.lend)).change(conf.lend);
         }
         Some(format!("fleet-{word}"))
@@ -386,7 +396,7 @@
     fn begin_iteration(&mut self, ctx: &mut ComponentContext) {
         if let (Some(fleet), Some(guard)) = (&mut self.joined, &mut ctx.gates.fleet) {
             if fleet.tick(ctx.now, guard) {
-                // What waits at the socket was said before or while this process was paused.
+                // Answers that wait at the socket were sent before or while this process was paused, so they are old.
                 ctx.resolver.forget_asked();
                 ctx.resolver.ask();
             }
@@ -399,7 +409,7 @@
         }
     }
 
-    /// What others know, for the gate and for the lines of the list, and what may be used of the fleet's budgets.
+    /// Updates the share of the fleet's budgets, and passes what other members report to the gate and to the list.
     fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         let member = self.joined.as_mut().map(Fleet::member);
         let crossing = ctx.gates.crossing.as_mut();
@@ -426,7 +436,8 @@
         }
     }
 
-    /// One that catches up gets a piece a turn, and more turns; what came since the last word follows soon.
+    /// A member that catches up gets one piece per iteration, so there are more iterations meanwhile. Changes since the last
+    /// message are also sent soon.
     fn next_iteration_at(&self) -> Option<f64> {
         self.joined.as_ref().and_then(Fleet::gives_at)
     }
@@ -435,13 +446,13 @@
         self.joined.as_ref().filter(|fleet| !fleet.ready()).map(|_| "catching-up")
     }
 
-    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
-        let members = match question {
+    fn answer(&mut self, ctx: &mut ComponentContext, query: &Query) -> Option<Value> {
+        let members = match query {
             Query::Members {} => true,
             Query::Replica {} => false,
             _ => return None,
         };
-        // Without one the tier answers.
+        // Without a fleet the tier's component answers.
         let fleet = self.joined.as_ref()?;
         Some(match members {
             true => json!({"ok": fleet.report_members(ctx.now)}),
--- a/crates/gatekeeper/src/node/control.rs
+++ b/crates/gatekeeper/src/node/control.rs
@@ -1,8 +1,8 @@
-//! The control socket: a Unix-domain socket on which operators ask for reports.
+//! The control socket: a Unix domain socket on which operators query reports.
 //!
-//! A question is one line of JSON, `{"ask":"crossings","span":"10s"}`; the answer is one line,
-//! `{"ok":...}` or `{"error":"..."}`, and the end of the connection. Only who owns the socket's file may
-//! connect. Nothing that is asked here changes anything.
+//! A query is one line of JSON, such as `{"ask":"crossings","span":"10s"}`. The answer is one line, `{"ok":...}` or
+//! `{"error":"..."}`, after which the connection is closed. Only the owner of the socket's file may connect. All queries are
+//! read-only.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,26 +16,27 @@
 
 use super::poller::{Key, Poller, Ready};
 
-/// Connections at once; the rest wait until one is over.
+/// Limit of simultaneous connections. Further ones wait in the accept queue until one is closed.
 const MAX_CONNECTIONS: usize = 4;
-/// Longest question, and how long a connection may last, in seconds.
+/// Limit of the length of a query.
 const MAX_QUERY_BYTES: usize = 4096;
+/// How long a connection may last, in seconds.
 const MAX_CONNECTION_S: f64 = 5.0;
 
-/// What may be asked.
+/// A query for a report.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "ask", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Query {
-    /// What the gatekeeper is, and holds.
+    /// The gatekeeper's calls and servers.
     Status {},
-    /// The account of what crosses districts.
+    /// The counts, budgets and bending of set-ups to other districts.
     Crossings {
-        /// `total`, `10s`, `1min` or `10min`.
+        /// The period that the counts cover: `total`, `10s`, `1min` or `10min`.
         span: String,
     },
-    /// Who of the fleet is alive.
+    /// The members of the fleet and their states.
     Members {},
-    /// What is held of each member.
+    /// The records that are replicated from each member.
     Replica {},
 }
 
@@ -43,11 +44,11 @@
     stream: UnixStream,
     since: f64,
     input: Vec<u8>,
-    /// The answer and how much of it is written; none while the question is not whole.
+    /// The answer, and how many bytes of it are written. `None` until the query is complete.
     output: Option<(Vec<u8>, usize)>,
 }
 
-/// The socket and who is connected.
+/// The listening socket and its connections.
 pub struct ControlSocket {
     listener: UnixListener,
     listener_key: Key,
@@ -57,29 +58,38 @@
 }
 
 impl ControlSocket {
-    /// Listens at a path, for its owner alone. A socket that nobody listens on any more is replaced; one that
-    /// answers, and any other file, stays and is an error.
+    /// Listens at a path that only its owner may connect to. Replaces a socket on which nobody listens any more.
+    ///
+    /// # Errors
+    ///
+    /// Fails if another process listens at the path, if the path is another kind of file, or if a system call fails.
     pub fn listen(path: &Path, poller: &mut Poller) -> io::Result<ControlSocket> {
         match fs::symlink_metadata(path) {
             Ok(meta) if !meta.file_type().is_socket() => {
-                return Err(io::Error::new(ErrorKind::AlreadyExists, "another file is there"));
+                return Err(io::Error::new(
+                    ErrorKind::AlreadyExists,
+                    "the path is in use by a file that is not a socket",
+                ));
             }
             Ok(_) if UnixStream::connect(path).is_ok() => {
-                return Err(io::Error::new(ErrorKind::AddrInUse, "another gatekeeper listens there"));
+                return Err(io::Error::new(
+                    ErrorKind::AddrInUse,
+                    "the path is in use: another gatekeeper listens there",
+                ));
             }
             _ => {}
         }
-        // The name appears once the mode is right, so that there is no moment at which others may connect.
-        let mut name = path.file_name().unwrap_or_default().to_os_string();
-        name.push(format!(".{}", std::process::id()));
-        let new = path.with_file_name(name);
-        let _ = fs::remove_file(&new);
-        let listener = UnixListener::bind(&new)?;
-        let ready = fs::set_permissions(&new, fs::Permissions::from_mode(0o600))
+        // The socket is renamed to its path after its mode is set, so that others can't connect at any moment.
+        let mut file_name = path.file_name().unwrap_or_default().to_os_string();
+        file_name.push(format!(".{}", std::process::id()));
+        let temporary_path = path.with_file_name(file_name);
+        let _ = fs::remove_file(&temporary_path);
+        let listener = UnixListener::bind(&temporary_path)?;
+        let prepared = fs::set_permissions(&temporary_path, fs::Permissions::from_mode(0o600))
             .and_then(|()| listener.set_nonblocking(true))
-            .and_then(|()| fs::rename(&new, path));
-        if let Err(error) = ready {
-            let _ = fs::remove_file(&new);
+            .and_then(|()| fs::rename(&temporary_path, path));
+        if let Err(error) = prepared {
+            let _ = fs::remove_file(&temporary_path);
             return Err(error);
         }
         let listener_key = poller.add(&listener, false)?;
@@ -87,20 +97,20 @@
         Ok(ControlSocket { listener, listener_key, paused: false, path, clients })
     }
 
-    /// Where it listens.
+    /// The path at which it listens.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Stops, and takes its file away.
+    /// Closes the listener and all connections, and removes the socket's file.
     pub fn close(self, poller: &Poller) {
         poller.remove(&self.listener);
         self.clients.values().for_each(|c| poller.remove(&c.stream));
         let _ = fs::remove_file(&self.path);
     }
 
-    /// Takes what is ready, if it is the control socket's. A whole question is returned, with the connection
-    /// that waits for [`ControlSocket::reply`].
+    /// Handles an event, if it belongs to the control socket. Returns a complete query, with the key of the connection that
+    /// waits for [`ControlSocket::reply`].
     pub fn ready(&mut self, now: f64, ready: Ready, poller: &mut Poller) -> Option<(Key, Query)> {
         if ready.key == self.listener_key {
             self.accept(now, poller);
@@ -113,17 +123,17 @@
         }
         match client.read() {
             Ok(None) => {}
-            Ok(Some(Ok(question))) => return Some((ready.key, question)),
-            Ok(Some(Err(told))) => self.reply(ready.key, &json!({ "error": told }), poller),
+            Ok(Some(Ok(query))) => return Some((ready.key, query)),
+            Ok(Some(Err(error))) => self.reply(ready.key, &json!({ "error": error }), poller),
             Err(_) => self.drop_client(ready.key, poller),
         }
         None
     }
 
-    /// Answers a question.
-    pub fn reply(&mut self, key: Key, told: &Value, poller: &Poller) {
+    /// Answers a query on this connection.
+    pub fn reply(&mut self, key: Key, answer: &Value, poller: &Poller) {
         if let Some(client) = self.clients.get_mut(&key) {
-            client.output = Some((format!("{told}\n").into_bytes(), 0));
+            client.output = Some((format!("{answer}\n").into_bytes(), 0));
             self.write(key, poller);
         }
     }
@@ -131,7 +141,7 @@
     fn write(&mut self, key: Key, poller: &Poller) {
         let Some(client) = self.clients.get_mut(&key) else { return };
         match client.write() {
-            // What it still sends is nobody's business, and would make it ready again and again.
+            // Further input is not read. Reading must be off, or the connection would be ready all the time.
             Ok(false) => poller.set_interest(key, &client.stream, false, true),
             Ok(true) | Err(_) => self.drop_client(key, poller),
         }
@@ -149,7 +159,8 @@
                     self.clients.insert(key, client);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // Descriptors are short, or the peer has gone: those who wait are taken at the next beat.
+                // No descriptor is free, or the client has closed. Waiting connections are accepted at the next
+                // heartbeat.
                 Err(_) => break,
             }
         }
@@ -163,10 +174,10 @@
         }
     }
 
-    /// Ends connections that last too long, and carries on after a pause. Called now and then.
-    pub fn beat(&mut self, now: f64, poller: &Poller) {
-        let old = self.clients.iter().filter(|(_, c)| now - c.since >= MAX_CONNECTION_S);
-        for key in old.map(|(key, _)| *key).collect::<Vec<_>>() {
+    /// Closes connections that last too long, and accepts again after a pause. Called at each heartbeat of the event loop.
+    pub fn on_heartbeat(&mut self, now: f64, poller: &Poller) {
+        let expired = self.clients.iter().filter(|(_, c)| now - c.since >= MAX_CONNECTION_S);
+        for key in expired.map(|(key, _)| *key).collect::<Vec<_>>() {
             self.drop_client(key, poller);
         }
         if self.paused && self.clients.len() < MAX_CONNECTIONS {
@@ -177,7 +188,8 @@
 }
 
 impl Client {
-    /// Reads on, to a question or what is wrong with it; an error ends the connection.
+    /// Reads more input. Returns the query or what is wrong with it, once its line is complete. An error means that the
+    /// connection must be closed.
     fn read(&mut self) -> io::Result<Option<Result<Query, String>>> {
         let mut chunk = [0; MAX_QUERY_BYTES];
         let ended = match self.stream.read(&mut chunk) {
@@ -195,14 +207,14 @@
         if line.is_none() && self.input.len() < MAX_QUERY_BYTES {
             return Ok(None);
         }
-        let Some(line) = line else { return Ok(Some(Err("a question of 4096 bytes and more".into()))) };
-        let question = serde_json::from_slice::<Query>(&self.input[..line]);
-        Ok(Some(question.map_err(|error| format!("no question: {error}"))))
+        let Some(line) = line else { return Ok(Some(Err("the query is longer than 4096 bytes".into()))) };
+        let query = serde_json::from_slice::<Query>(&self.input[..line]);
+        Ok(Some(query.map_err(|error| format!("no question could be read: {error}"))))
     }
 
-    /// Writes on; returns whether all is written.
+    /// Writes more of the answer. Returns whether all of it is written.
     fn write(&mut self) -> io::Result<bool> {
-        let Some((bytes, done)) = &mut self.output else { return Ok(false) };
-        super::output::write_remaining(&mut self.stream, bytes, done)
+        let Some((bytes, written)) = &mut self.output else { return Ok(false) };
+        super::output::write_remaining(&mut self.stream, bytes, written)
     }
 }
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -344,7 +344,7 @@
                         http.reply(key, bytes, &self.poller);
                     }
                 }
-                for (key, question) in std::mem::take(&mut self.components.control.asked) {
+                for (key, question) in std::mem::take(&mut self.components.control.pending_queries) {
                     let told = self.answer(now, question);
                     self.components.control.reply(key, &told, &self.poller);
                 }
@@ -366,7 +366,7 @@
                         .into_iter()
                         .for_each(|component| component.on_heartbeat(&mut component_ctx, &self.own));
                     if let Some(http) = &mut self.http {
-                        http.beat(now, &self.poller);
+                        http.on_heartbeat(now, &self.poller);
                     }
                     beat = true;
                     self.wheel.schedule(now + BEAT, Timer::Beat);
--- a/crates/gatekeeper/src/node/http.rs
+++ b/crates/gatekeeper/src/node/http.rs
@@ -1,10 +1,10 @@
-//! The control address: a TCP listener on which the operators' front asks, over HTTP/1.1, whether the
-//! gatekeeper takes clients, reads its figures and drains it. One call a connection. What a head asks and
-//! what is wrong with it is read in `hollypaddle_service::http`; this module only moves the bytes.
+//! The control address: a TCP listener for HTTP/1.1. The operators' load balancer uses it to ask whether the gatekeeper
+//! accepts clients, to read its metrics and to drain it. Each connection carries one request. The request's head is parsed
+//! in `hollypaddle_service::http`; this module only moves bytes.
 //!
-//! Bounded so that it answers within 1 s under any load: at most [`MAX_CONNECTIONS`] connections, each
-//! ended [`MAX_CONNECTION_S`] after it was accepted; when all places are taken the oldest goes, so peers that trickle a
-//! head or never finish it cannot lock the front out.
+//! Its load is bounded so that it always answers within 1 s: at most [`MAX_CONNECTIONS`] connections are open, each is
+//! closed [`MAX_CONNECTION_S`] after it was accepted, and when the limit is reached the oldest is closed. Clients that send
+//! a head slowly or never finish it can therefore not lock the load balancer out.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read};
@@ -14,59 +14,67 @@
 
 use super::poller::{Key, Poller, Ready};
 
-/// Connections at once.
+/// Limit of simultaneous connections.
 pub const MAX_CONNECTIONS: usize = 32;
-/// How long a connection may last, in seconds; the front wants its answer within 1 s.
+/// How long a connection may last, in seconds. The load balancer needs its answer within 1 s.
 pub const MAX_CONNECTION_S: f64 = 1.0;
 
-struct Peer {
+struct Client {
     stream: TcpStream,
     since: f64,
     input: Vec<u8>,
-    /// The answer and how much of it is written; none while the head is not whole.
+    /// The answer, and how many bytes of it are written. `None` until the request's head is complete.
     output: Option<(Vec<u8>, usize)>,
 }
 
-/// The listener and who is connected.
+/// The listener and its connections.
 pub struct HttpServer {
     listener: TcpListener,
     listener_key: Key,
-    peers: BTreeMap<Key, Peer>,
+    clients: BTreeMap<Key, Client>,
 }
 
 impl HttpServer {
     /// Listens at an address.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system rejects the address or the registration with the poller.
     pub fn listen(address: SocketAddr, poller: &mut Poller) -> io::Result<HttpServer> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let listener_key = poller.add(&listener, false)?;
-        Ok(HttpServer { listener, listener_key, peers: BTreeMap::new() })
+        Ok(HttpServer { listener, listener_key, clients: BTreeMap::new() })
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system can't report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Stops.
+    /// Stops listening and removes all connections from the poller.
     pub fn close(self, poller: &Poller) {
         poller.remove(&self.listener);
-        self.peers.values().for_each(|p| poller.remove(&p.stream));
+        self.clients.values().for_each(|p| poller.remove(&p.stream));
     }
 
-    /// Takes what is ready, if it is the control address's. A whole call is returned, with the connection
+    /// Handles an event, if it belongs to the control address. Returns a complete request, with the key of the connection
     /// that waits for [`HttpServer::reply`].
     pub fn ready(&mut self, now: f64, ready: Ready, poller: &mut Poller) -> Option<(Key, Call)> {
         if ready.key == self.listener_key {
             self.accept(now, poller);
             return None;
         }
-        let peer = self.peers.get_mut(&ready.key)?;
-        if peer.output.is_some() {
+        let client = self.clients.get_mut(&ready.key)?;
+        if client.output.is_some() {
             self.write(ready.key, poller);
             return None;
         }
-        match peer.read() {
+        match client.read() {
             Ok(Asked::Partial) => None,
             Ok(Asked::Call(call)) => Some((ready.key, call)),
             Ok(Asked::Wrong(refusal)) => {
@@ -75,26 +83,26 @@
                 None
             }
             Err(_) => {
-                self.drop_peer(ready.key, poller);
+                self.drop_client(ready.key, poller);
                 None
             }
         }
     }
 
-    /// Answers a call.
+    /// Sends an answer on this connection.
     pub fn reply(&mut self, key: Key, bytes: Vec<u8>, poller: &Poller) {
-        if let Some(peer) = self.peers.get_mut(&key) {
-            peer.output = Some((bytes, 0));
+        if let Some(client) = self.clients.get_mut(&key) {
+            client.output = Some((bytes, 0));
             self.write(key, poller);
         }
     }
 
     fn write(&mut self, key: Key, poller: &Poller) {
-        let Some(peer) = self.peers.get_mut(&key) else { return };
-        match peer.write() {
-            // What it still sends is of no interest, and would make it ready again and again.
-            Ok(false) => poller.set_interest(key, &peer.stream, false, true),
-            Ok(true) | Err(_) => self.drop_peer(key, poller),
+        let Some(client) = self.clients.get_mut(&key) else { return };
+        match client.write() {
+            // Further input is not read. Reading must be off, or the connection would be ready all the time.
+            Ok(false) => poller.set_interest(key, &client.stream, false, true),
+            Ok(true) | Err(_) => self.drop_client(key, poller),
         }
     }
 
@@ -107,55 +115,57 @@
             });
             match accepted {
                 Ok((key, stream)) => {
-                    if self.peers.len() >= MAX_CONNECTIONS {
-                        // Keys grow with time: the first is the oldest.
-                        if let Some(oldest) = self.peers.keys().next().copied() {
+                    if self.clients.len() >= MAX_CONNECTIONS {
+                        // Keys increase with time, so the first connection is the oldest.
+                        if let Some(oldest) = self.clients.keys().next().copied() {
                             log::debug!("control-crowded");
-                            self.drop_peer(oldest, poller);
+                            self.drop_client(oldest, poller);
                         }
                     }
-                    self.peers.insert(key, Peer { stream, since: now, input: Vec::new(), output: None });
+                    self.clients.insert(key, Client { stream, since: now, input: Vec::new(), output: None });
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-                // Descriptors are short: those who wait are taken at the next readiness.
+                // No descriptor is free. Waiting connections are accepted at the listener's next event.
                 Err(error) => return log::debug!(error:%; "control-accept-failed"),
             }
         }
     }
 
-    fn drop_peer(&mut self, key: Key, poller: &Poller) {
-        if let Some(peer) = self.peers.remove(&key) {
-            poller.remove(&peer.stream);
+    fn drop_client(&mut self, key: Key, poller: &Poller) {
+        if let Some(client) = self.clients.remove(&key) {
+            poller.remove(&client.stream);
         }
     }
 
-    /// Ends connections that last too long. Called now and then, often enough to keep the bound of 1 s.
-    pub fn beat(&mut self, now: f64, poller: &Poller) {
-        let old: Vec<Key> =
-            self.peers.iter().filter(|(_, p)| now - p.since >= MAX_CONNECTION_S).map(|(k, _)| *k).collect();
-        for key in old {
-            self.drop_peer(key, poller);
+    /// Closes connections that last too long. Called at each heartbeat of the event loop, often enough to keep the limit of
+    /// 1 s.
+    pub fn on_heartbeat(&mut self, now: f64, poller: &Poller) {
+        let expired: Vec<Key> =
+            self.clients.iter().filter(|(_, p)| now - p.since >= MAX_CONNECTION_S).map(|(k, _)| *k).collect();
+        for key in expired {
+            self.drop_client(key, poller);
         }
     }
 
-    /// Connections held.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
-        self.peers.len()
+        self.clients.len()
     }
 }
 
-impl Peer {
-    /// Reads on, to a call or what is wrong with it; an end or an error ends the connection.
+impl Client {
+    /// Reads more input. Returns the request or what is wrong with it, once its head is complete. An error, which includes
+    /// the end of the stream, means that the connection must be closed.
     fn read(&mut self) -> io::Result<Asked> {
         let mut chunk = [0; 2048];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(n) => {
-                    let room = http::MOST_HEAD + 1 - self.input.len().min(http::MOST_HEAD + 1);
-                    self.input.extend(&chunk[..n.min(room)]);
+                    let remaining = http::MOST_HEAD + 1 - self.input.len().min(http::MOST_HEAD + 1);
+                    self.input.extend(&chunk[..n.min(remaining)]);
                     if self.input.len() > http::MOST_HEAD {
                         break;
                     }
@@ -168,13 +178,13 @@
         Ok(http::read(&self.input))
     }
 
-    /// Writes on; returns whether all is written.
+    /// Writes more of the answer. Returns whether all of it is written.
     fn write(&mut self) -> io::Result<bool> {
-        let Some((bytes, done)) = &mut self.output else { return Ok(false) };
-        if !super::output::write_remaining(&mut self.stream, bytes, done)? {
+        let Some((bytes, written)) = &mut self.output else { return Ok(false) };
+        if !super::output::write_remaining(&mut self.stream, bytes, written)? {
             return Ok(false);
         }
-        // Done: the peer reads to the end, which closing tells.
+        // The client reads until the end of the stream, which the shutdown signals.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
         Ok(true)
     }
