--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -1,5 +1,5 @@
-//! The loop: gathers all that is ready, hands it to the decision module in one go, and carries out
-//! what comes back.
+//! The event loop: collects all events that are ready, passes them to the decision module together, and carries out its
+//! actions.
 
 use std::io;
 
@@ -10,7 +10,7 @@
 
 use self::draining::DrainedCalls;
 pub use self::stopping::Signals;
-use self::stopping::{KILL_AFTER, KILL_RESERVE, LONGEST_WAIT};
+use self::stopping::{KILL_AFTER_S, KILL_RESERVE_S, MAX_WAIT_S};
 use super::clients::Clients;
 use super::clock::Clock;
 use super::components::{ComponentContext, Components};
@@ -30,25 +30,28 @@
 use hollypaddle_service::lifecycle::{Lifecycle, Phase};
 
 /// A tick of the timer wheel, in seconds.
-const TICK: f64 = 0.005;
-/// Time between looks at connections that owe a sign.
-const BEAT: f64 = 0.05;
-/// Between two questions to the resolver lies this part of the time in which a drain must be kept after it was told, which
-/// an answer that gets lost counts as too: so two in a row may be lost and the third still comes in time. In seconds, it
-/// is asked no less and no more often than that.
-const ASK_PART: f64 = 0.32;
-const ASK_LEAST: f64 = 0.02;
-const ASK_MOST: f64 = 0.25;
-/// Least time between two pieces to members that catch up.
-const GIVES: f64 = 0.001;
-/// How much later than the settings say the sockets' rules let a limit end; the release rule's strict
-/// reading waits for it too.
-const SOCKET_SLACK: f64 = 0.05;
-/// Parts of the memory for set-ups held, and for what waits to be written to callers.
-const HELD_SHARE: usize = 8;
-const WAITING_SHARE: usize = 4;
+const TICK_S: f64 = 0.005;
+/// Interval of the heartbeat of the event loop, at which connections are checked and periodic work is done, in seconds.
+const HEARTBEAT_S: f64 = 0.05;
+/// Interval between two queries to the resolver, as a fraction of the drain grace: the time after the announcement of a
+/// drain within which it must be obeyed, which also runs if the answer that announces it is lost. With this fraction two
+/// answers in a row may be lost, and the third still comes in time.
+const RESOLVER_INTERVAL_RATIO: f64 = 0.32;
+/// Shortest interval between two queries to the resolver, in seconds.
+const MIN_RESOLVER_INTERVAL_S: f64 = 0.02;
+/// Longest interval between two queries to the resolver, in seconds.
+const MAX_RESOLVER_INTERVAL_S: f64 = 0.25;
+/// Shortest interval between two pieces that are sent to members that catch up, in seconds.
+const MIN_CATCH_UP_INTERVAL_S: f64 = 0.001;
+/// How much later than in the settings the rules of the protocol allow a time limit to end, in seconds. The strict reading
+/// of the release rule waits for this too.
+const LIMIT_TOLERANCE_S: f64 = 0.05;
+/// Calls without a final answer may take up the memory limit divided by this.
+const HELD_MEMORY_DIVISOR: usize = 8;
+/// Output that waits to be written to callers may take up the memory limit divided by this.
+const WAITING_MEMORY_DIVISOR: usize = 4;
 
-/// What a subject may reach, of a gatekeeper whose subjects are borrowed beside it.
+/// Borrows the parts of a gatekeeper that its components may use. A macro, so that the components can be borrowed as well.
 macro_rules! component_context {
     ($node:expr, $now:expr) => {
         ComponentContext {
@@ -72,7 +75,7 @@
 mod settings;
 mod stopping;
 
-/// Whether set-ups of a class may be sent again, by its number.
+/// Returns a function that tells whether set-ups of a class, given by its number, may be repeated.
 fn repeatable(classes: &Table<(ClassSettings, ProtocolClass)>) -> impl Fn(usize) -> bool + '_ {
     |class| classes.entries().get(class).is_some_and(|entry| entry.settings.0.repeatable)
 }
@@ -80,9 +83,9 @@
 enum Timer {
     Module(u32),
     Deadline(CallId),
-    Limit(CallId, u8),
-    Beat,
-    Ask,
+    AttemptLimit(CallId, u8),
+    Heartbeat,
+    QueryResolver,
 }
 
 /// One gatekeeper.
@@ -96,50 +99,58 @@
     servers: Servers,
     resolver: Resolver,
     resolver_key: Key,
-    /// The settings in force, as the file gave them.
+    /// The settings in force, as given by the platform's file.
     settings: Settings,
-    /// What the own configuration file builds on and says.
+    /// The platform's names and values that the own configuration file refers to, and the content of that file.
     platform: Platform,
-    own: Conf,
-    /// The own configuration file as it was last read, the names that it was held against, and the fleet's settings that
-    /// are in force beside it.
+    own_conf: Conf,
+    /// The own configuration file as it was last read, the names that it was checked against, and the fleet's settings that
+    /// are in force with it.
     own_file: OwnFile,
     names: Names,
     fleet_entries: Vec<(String, String)>,
-    /// What takes part beside callers, servers and resolver.
+    /// The parts other than callers, servers and resolver.
     components: Components,
     seed: u64,
-    /// When the resolver last told the whole list, or the file did.
+    /// When the complete list of servers was last confirmed, by the resolver or by the configuration file.
     list_at: f64,
-    /// The control address, readiness and lameduck, and the figures that it reports.
+    /// The control address, the readiness and lameduck state, and the metrics that it reports.
     http: Option<HttpServer>,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     figures: Figures,
-    /// The names of the classes, by number.
+    /// The names of the classes, indexed by number.
     class_names: Vec<String>,
-    /// The classes by number, since the start.
+    /// All classes since the start, indexed by number.
     classes: Table<(ClassSettings, ProtocolClass)>,
     started: f64,
-    /// Calls of this turn whose caller could not be told that they stand.
-    untold: Vec<u64>,
-    /// Calls that were ended in drains.
+    /// Calls that were established in this iteration, but whose caller could not be sent the answer.
+    undelivered: Vec<u64>,
+    /// The number of calls that were ended by drains.
     drained_calls: DrainedCalls,
-    /// The longest time after SIGTERM.
-    last: f64,
-    /// Between two questions to the resolver.
-    ask_every: f64,
-    /// Called in the next turn once all is read, before anything is decided and written.
+    /// How long the program may continue after SIGTERM, in seconds.
+    max_stop_time: f64,
+    /// Interval between two queries to the resolver, in seconds.
+    resolver_interval: f64,
+    /// Called once in the next iteration, after all input is read and before anything is decided and written.
     #[cfg(test)]
     pub before_writing: Option<Box<dyn FnOnce()>>,
 }
 
 impl Gatekeeper {
-    /// Opens the sockets.
+    /// Opens the sockets, on a real-time clock.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket can't be opened.
     pub fn new(config: Config) -> io::Result<Gatekeeper> {
         Gatekeeper::with_clock(config, Clock::new())
     }
 
-    /// Opens the sockets, with a clock of the caller's. On one that stands still no turn waits.
+    /// Opens the sockets, on a given clock. With a clock that is not real-time, no iteration waits for events.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket can't be opened.
     pub fn with_clock(config: Config, clock: Clock) -> io::Result<Gatekeeper> {
         let now = clock.now();
         let mut poller = Poller::new()?;
@@ -150,21 +161,22 @@
             config.protocol.districts.clone(),
         )?;
         let resolver_key = poller.add(resolver.socket(), false)?;
-        // The links to other gatekeepers come off what callers share with the rest, and so does the control address.
-        let links =
+        // The descriptors of links to other gatekeepers and of the control address are subtracted from the limit that callers
+        // and servers share.
+        let link_descriptors =
             config.own_conf.fleet.as_ref().map_or(0, |fleet| super::tier::descriptors(fleet, &config.name));
-        let control = config.control.map_or(0, |_| super::http::MAX_CONNECTIONS + 1);
-        let fixed = descriptors::FIXED + control;
-        let descriptors = Descriptors { all: config.max_sockets.saturating_sub(links), fixed };
+        let control_descriptors = config.control.map_or(0, |_| super::http::MAX_CONNECTIONS + 1);
+        let fixed = descriptors::FIXED + control_descriptors;
+        let descriptors = Descriptors { all: config.max_sockets.saturating_sub(link_descriptors), fixed };
         let listed = config.initial_list.servers.len();
         if !descriptors.suffice(listed) {
             log::warn!(sockets = config.max_sockets, servers = listed; "descriptors-short");
         }
-        let most = descriptors.divided(listed).callers;
+        let max_callers = descriptors.divided(listed).callers;
         let clients = Clients::listen(
             config.listen,
-            most,
-            config.memory_bytes / WAITING_SHARE,
+            max_callers,
+            config.memory_bytes / WAITING_MEMORY_DIVISOR,
             config.protocol.classes.clone(),
             &mut poller,
         )?;
@@ -177,135 +189,142 @@
         let classes = Table::new(class_names.iter().cloned().zip(both));
         let figures = Figures::new(class_names.iter().map(String::as_str));
         let names = config.names();
-        let given = config.settings;
-        let mut settings = given.clone();
-        settings.release += SOCKET_SLACK;
-        let ask_every = (config.protocol.drain_grace * ASK_PART).clamp(ASK_LEAST, ASK_MOST);
-        let last = config.protocol.max_wait().min(LONGEST_WAIT) + KILL_AFTER - KILL_RESERVE;
+        let configured = config.settings;
+        let mut settings = configured.clone();
+        settings.release += LIMIT_TOLERANCE_S;
+        let resolver_interval = (config.protocol.drain_grace * RESOLVER_INTERVAL_RATIO)
+            .clamp(MIN_RESOLVER_INTERVAL_S, MAX_RESOLVER_INTERVAL_S);
+        let max_stop_time = config.protocol.max_wait().min(MAX_WAIT_S) + KILL_AFTER_S - KILL_RESERVE_S;
         let mut node = Gatekeeper {
             clock,
             poller,
-            wheel: TimerWheel::new(now, TICK),
+            wheel: TimerWheel::new(now, TICK_S),
             controller: Controller::gated(settings, config.seed, Gates::default()),
-            calls: Calls::new(now, config.memory_bytes / HELD_SHARE),
+            calls: Calls::new(now, config.memory_bytes / HELD_MEMORY_DIVISOR),
             clients,
             servers: Servers::new(config.protocol, config.telemetry, descriptors, config.seed),
             resolver,
             resolver_key,
-            settings: given,
+            settings: configured,
             names,
             own_file: config.own_file,
             fleet_entries: Vec::new(),
             platform: config.platform,
-            own: Conf::default(),
+            own_conf: Conf::default(),
             components: Components::default(),
             seed: config.seed,
             list_at: now,
             http,
-            life: Lifecycle::new(now),
+            lifecycle: Lifecycle::new(now),
             figures,
             class_names,
             classes,
             started: now,
-            untold: Vec::new(),
+            undelivered: Vec::new(),
             drained_calls: DrainedCalls::default(),
-            last,
-            ask_every,
+            max_stop_time,
+            resolver_interval,
             #[cfg(test)]
             before_writing: None,
         };
         node.calls.set_mean_call_duration(node.settings.hold);
         node.clients.set_stay_away(node.settings.retry_after);
-        node.take_own(now, config.own_conf)?;
+        node.apply_own_conf(now, config.own_conf)?;
         let mut ctx = Context { now, poller: &mut node.poller, calls: &mut node.calls };
         node.servers.list(&config.initial_list, ListKind::Cached, &mut ctx);
         node.servers.beat(&mut ctx);
-        node.wheel.schedule(now, Timer::Beat);
-        node.wheel.schedule(now, Timer::Ask);
+        node.wheel.schedule(now, Timer::Heartbeat);
+        node.wheel.schedule(now, Timer::QueryResolver);
         node.decide(now);
         Ok(node)
     }
 
-    /// Where callers connect.
+    /// The address at which callers connect, or 0.0.0.0:0 while the listener is closed.
     pub fn address(&self) -> std::net::SocketAddr {
         self.clients.address().unwrap_or_else(|| (std::net::Ipv4Addr::UNSPECIFIED, 0).into())
     }
 
-    /// Where the control address listens, where configured.
+    /// The control address, if it is configured.
     pub fn control_address(&self) -> Option<std::net::SocketAddr> {
         self.http.as_ref().and_then(|h| h.address().ok())
     }
 
-    /// Account and budgets of what crosses districts, where configured.
+    /// Counts and budgets of set-ups to other districts, if configured.
     pub fn crossing(&mut self) -> Option<&mut Crossing> {
         self.controller.gate().crossing.as_mut()
     }
 
-    /// The time.
+    /// The time, in Unix seconds.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Set-ups of which a part is written to a server.
+    /// The number of set-ups that are written to a server only in part.
     #[cfg(test)]
     pub fn half_written(&self) -> usize {
         self.servers.half_written()
     }
 
-    /// Calls this between the last accept and the close of the callers' listener, with its address.
+    /// Calls the hook with the listener's address between the last accept and the close of the callers' listener.
     #[cfg(test)]
     pub fn before_listener_closes(&mut self, hook: impl FnMut(std::net::SocketAddr) + 'static) {
         self.clients.before_close = Some(Box::new(hook));
     }
 
-    /// Whether something waits to be written to a caller.
+    /// Whether output waits to be written to a caller.
     #[cfg(test)]
     pub fn blocked_callers(&self) -> bool {
         self.clients.blocked()
     }
 
-    /// Has few bytes fill the system's buffers on the way to callers.
+    /// Reduces the system's send buffers for callers, so that few bytes fill them.
     #[cfg(test)]
     pub fn shrink_send_buffers(&self) {
         self.clients.shrink_send_buffers();
     }
 
-    /// Calls this between the next look at a caller's connection and what is written on it.
+    /// Calls the hook between the next poll of a caller's connection and the following write to it.
     #[cfg(test)]
     pub fn after_next_poll(&mut self, hook: impl FnOnce() + 'static) {
         self.clients.after_poll = Some(Box::new(hook));
     }
 
-    /// Lets time pass at once.
+    /// Moves the clock forward.
     pub fn advance_clock(&mut self, seconds: f64) {
         self.clock.advance(seconds);
     }
 
-    /// Whether it says that it takes clients.
+    /// Whether the gatekeeper reports that it accepts clients.
     pub fn ready(&self) -> bool {
-        self.life.ready() && self.components.not_ready_reason().is_none()
+        self.lifecycle.ready() && self.components.not_ready_reason().is_none()
     }
 
-    /// The reports on members and on what is held of them, where a fleet is configured.
+    /// The reports on members and on the records replicated from them, if a fleet without relays is configured.
     pub fn fleet_reports(&self) -> Option<(Value, Value)> {
         let fleet = self.components.fleet.joined.as_ref()?;
         Some((fleet.report_members(self.clock.now()), fleet.report_replica(&self.calls)))
     }
 
-    /// The report of what crosses districts, where configured.
+    /// The report on set-ups to other districts, if configured.
     pub fn report(&mut self, span: Span) -> Option<Report> {
         let now = self.clock.now();
         Some(self.crossing()?.report(now, span))
     }
 
-    /// One turn: waits, gathers, decides.
+    /// Runs one iteration of the event loop: waits for events, handles them, decides, and carries out the decisions.
+    ///
+    /// # Errors
+    ///
+    /// Fails if waiting for events fails.
     pub fn run_once(&mut self) -> io::Result<()> {
         let wait = match self.clock.is_real_time() {
             true => {
                 let now = self.clock.now();
-                let wait = self.wheel.time_to_next(now).unwrap_or(BEAT).min(BEAT);
+                let wait = self.wheel.time_to_next(now).unwrap_or(HEARTBEAT_S).min(HEARTBEAT_S);
                 let wait = self.servers.release_due().map_or(wait, |at| wait.min((at - now).max(0.0)));
-                self.components.next_iteration_at().map_or(wait, |at| wait.min((at - now).max(GIVES)))
+                self.components
+                    .next_iteration_at()
+                    .map_or(wait, |at| wait.min((at - now).max(MIN_CATCH_UP_INTERVAL_S)))
             }
             false => 0.0,
         };
@@ -335,63 +354,63 @@
                     .for_each(|component| component.handle_ready(&mut component_ctx, ready));
                 self.clients.ready(now, ready, &mut self.poller, &mut self.calls);
                 for class in std::mem::take(&mut self.clients.turned_away) {
-                    self.count(class, Outcome::Declined);
+                    self.count_answer(class, Outcome::Declined);
                 }
                 let called = self.http.as_mut().and_then(|h| h.ready(now, ready, &mut self.poller));
                 if let Some((key, call)) = called {
-                    let bytes = self.call(now, call);
+                    let bytes = self.handle_request(now, call);
                     if let Some(http) = &mut self.http {
                         http.reply(key, bytes, &self.poller);
                     }
                 }
-                for (key, question) in std::mem::take(&mut self.components.control.pending_queries) {
-                    let told = self.answer(now, question);
-                    self.components.control.reply(key, &told, &self.poller);
+                for (key, query) in std::mem::take(&mut self.components.control.pending_queries) {
+                    let answer = self.answer_query(now, query);
+                    self.components.control.reply(key, &answer, &self.poller);
                 }
             }
         }
         self.servers.release_held(&mut Context { now, poller: &mut self.poller, calls: &mut self.calls });
-        let mut beat = false;
+        let mut is_heartbeat = false;
         for timer in self.wheel.advance(now) {
             match timer {
                 Timer::Module(token) => self.calls.events.push(Event::Timer { token }),
                 Timer::Deadline(call) => self.calls.deadline_passed(now, call),
-                Timer::Limit(call, attempt) => self.calls.attempt_timed_out(call, attempt),
-                Timer::Beat => {
+                Timer::AttemptLimit(call, attempt) => self.calls.attempt_timed_out(call, attempt),
+                Timer::Heartbeat => {
                     let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
                     self.servers.beat(&mut ctx);
                     let mut component_ctx = component_context!(self, now);
                     self.components
                         .all_mut()
                         .into_iter()
-                        .for_each(|component| component.on_heartbeat(&mut component_ctx, &self.own));
+                        .for_each(|component| component.on_heartbeat(&mut component_ctx, &self.own_conf));
                     if let Some(http) = &mut self.http {
                         http.on_heartbeat(now, &self.poller);
                     }
-                    beat = true;
-                    self.wheel.schedule(now + BEAT, Timer::Beat);
+                    is_heartbeat = true;
+                    self.wheel.schedule(now + HEARTBEAT_S, Timer::Heartbeat);
                 }
-                Timer::Ask => {
+                Timer::QueryResolver => {
                     self.resolver.ask();
-                    self.wheel.schedule(now + self.ask_every, Timer::Ask);
+                    self.wheel.schedule(now + self.resolver_interval, Timer::QueryResolver);
                 }
             }
         }
         if let Some(set) = self.components.tier.offered() {
-            self.take_settings(now, &set);
+            self.apply_fleet_settings(now, &set);
         }
         #[cfg(test)]
         if let Some(hook) = self.before_writing.take() {
             hook();
         }
         self.decide(now);
-        if beat {
-            // Only now is all said that this turn brought. Guards against a connection closed as idle while the end of the
-            // call that kept it is on its way there.
+        if is_heartbeat {
+            // Checked only now that all messages of this iteration are written. Otherwise a connection could be closed as
+            // idle while the end of the call that kept it open is still to be written to it.
             self.clients.beat(now, &self.poller, &mut self.calls);
-            self.listen_as_told(now);
+            self.update_listener(now);
         }
-        if beat || self.clients.drains_firmly(now) {
+        if is_heartbeat || self.clients.drains_firmly(now) {
             self.drain(now);
             self.decide(now);
         }
@@ -403,18 +422,18 @@
         Ok(())
     }
 
-    /// Hands the module what happened and carries out what it says, until neither brings anything new.
-    /// Each round ends attempts or calls, of which there are only so many.
+    /// Passes events to the decision module and carries out its actions, until there are no more of either. This terminates
+    /// because each round ends attempts or calls, whose number is limited.
     fn decide(&mut self, now: f64) {
         let mut actions = Vec::new();
-        // Set-ups that waited for a connection, with nothing new in this turn.
+        // Sends set-ups that wait for a connection even if nothing else happened in this iteration.
         let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
         if ctx.calls.effects.is_empty() {
             self.servers.send_waiting(&mut ctx);
         }
         while !(self.calls.events.is_empty() && self.calls.effects.is_empty()) {
             for effect in std::mem::take(&mut self.calls.effects) {
-                self.effect(now, effect);
+                self.apply_effect(now, effect);
             }
             let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
             self.servers.send_waiting(&mut ctx);
@@ -431,34 +450,36 @@
                     Action::Fail { call } => self.calls.fail(call),
                     Action::Cancel { call, attempt } => self.calls.cancel(call, attempt),
                     Action::Timer { at, token } => self.wheel.schedule(at, Timer::Module(token)),
-                    // Pools that shut and open again under load would fill the log with the traffic.
+                    // At debug level, because pools that close and open again under load would fill the log.
                     Action::Log(text) => log::debug!(text = text.as_str(); "module"),
-                    // The list is asked for all the time.
+                    // Nothing to do: the list is queried all the time.
                     Action::Subscribe => {}
                 }
             }
         }
-        self.untold.clear();
+        self.undelivered.clear();
     }
 
-    fn effect(&mut self, now: f64, effect: Effect) {
+    fn apply_effect(&mut self, now: f64, effect: Effect) {
         match effect {
             Effect::Reply { origin, id, class, reply } => {
                 match reply {
-                    Reply::Established(_) => self.count(class, Outcome::Succeeded),
-                    Reply::Refused(_) => self.count(class, Outcome::Declined),
-                    Reply::Failed => self.count(class, Outcome::Aborted),
-                    // The end of a call that stood, which had its final answer then.
+                    Reply::Established(_) => self.count_answer(class, Outcome::Succeeded),
+                    Reply::Refused(_) => self.count_answer(class, Outcome::Declined),
+                    Reply::Failed => self.count_answer(class, Outcome::Aborted),
+                    // The end of a standing call, which has already had its final answer.
                     Reply::Ended { .. } => {}
                 }
-                let stands = matches!(reply, Reply::Established(_));
-                if matches!(reply, Reply::Ended { .. }) && self.untold.contains(&id) {
+                let is_established = matches!(reply, Reply::Established(_));
+                if matches!(reply, Reply::Ended { .. }) && self.undelivered.contains(&id) {
                     return;
                 }
-                if !self.clients.reply(now, origin, id, reply, &self.poller, &mut self.calls) && stands {
-                    // Its caller left together with the answer, and knows nothing of it: it must not stand on, and if its
-                    // end came with the answer too, that is no news to anybody else.
-                    self.untold.push(id);
+                if !self.clients.reply(now, origin, id, reply, &self.poller, &mut self.calls)
+                    && is_established
+                {
+                    // The caller left in the same iteration in which the answer came, and doesn't know of it. The call
+                    // must be released. If its end came in the same iteration too, nobody else needs to be told.
+                    self.undelivered.push(id);
                     self.calls.caller_release(now, id);
                 }
             }
@@ -468,7 +489,7 @@
             }
             Effect::ReleaseEverywhere { id } => self.servers.release_anywhere(now, id, &self.poller),
             Effect::UnknownCallEnded { id, cut, may_predate_start, .. } => {
-                // Of a call that another gatekeeper took: whoever hears of its end tells its caller.
+                // The call belongs to another gatekeeper. Whichever member receives its end reports it to the caller.
                 if self
                     .components
                     .fleet
@@ -493,21 +514,21 @@
             }
             Effect::DeadlineTimer { call, at } => self.wheel.schedule(at, Timer::Deadline(call)),
             Effect::AttemptTimer { call, attempt, at } => {
-                self.wheel.schedule(at, Timer::Limit(call, attempt))
+                self.wheel.schedule(at, Timer::AttemptLimit(call, attempt))
             }
         }
     }
 }
 
 impl Gatekeeper {
-    /// Closes or opens the clients' listener as the lifecycle says. What does not succeed is tried again at the next beat: a
-    /// close while callers wait for a place, an address that cannot be listened at.
-    fn listen_as_told(&mut self, now: f64) {
-        let (listening, may_listen) = (self.clients.listening(), self.life.listens(now));
+    /// Closes or opens the callers' listener according to the lifecycle. If that is not possible yet, it is tried again at
+    /// the next heartbeat: the listener can't close while callers wait for a free connection, and its address may be in use.
+    fn update_listener(&mut self, now: f64) {
+        let (listening, may_listen) = (self.clients.listening(), self.lifecycle.listens(now));
         if listening && !may_listen && self.clients.stop_listening(now, &mut self.poller, &mut self.calls) {
             log::info!("listener-closed");
         }
-        if !listening && self.life.phase() == Phase::Serving {
+        if !listening && self.lifecycle.phase() == Phase::Serving {
             match self.clients.listen_again(&mut self.poller) {
                 Ok(()) => log::info!("listener-open"),
                 Err(error) => log::warn!(error:%; "listener-failed"),
@@ -515,7 +536,7 @@
         }
     }
 
-    fn count(&mut self, class: usize, outcome: Outcome) {
+    fn count_answer(&mut self, class: usize, outcome: Outcome) {
         let name = self.class_names.get(class).map_or(OTHER, String::as_str);
         self.figures.answered(name, outcome);
     }
--- a/crates/gatekeeper/src/node/event_loop/control.rs
+++ b/crates/gatekeeper/src/node/event_loop/control.rs
@@ -1,4 +1,4 @@
-//! What the control socket and the control address ask.
+//! Requests on the control socket and the control address.
 
 use super::Gatekeeper;
 use crate::node::components::ComponentContext;
@@ -9,9 +9,9 @@
 use serde_json::{json, Value};
 
 impl Gatekeeper {
-    /// Answers a question of the control socket.
-    pub(super) fn answer(&mut self, now: f64, question: Query) -> Value {
-        match question {
+    /// Answers a query from the control socket.
+    pub(super) fn answer_query(&mut self, now: f64, query: Query) -> Value {
+        match query {
             Query::Status {} => {
                 let (open, standing) = self.calls.count();
                 let districts = &self.platform.districts;
@@ -25,23 +25,20 @@
                 json!({"ok": {"name": self.platform.name, "up_s": now - self.started, "open": open,
                     "standing": standing, "servers": servers}})
             }
-            question => {
+            query => {
                 let mut component_ctx = component_context!(self, now);
-                let told = self
-                    .components
-                    .all_mut()
-                    .into_iter()
-                    .find_map(|s| s.answer(&mut component_ctx, &question));
-                told.unwrap_or_else(|| json!({"error": "nobody here answers that"}))
+                let answer =
+                    self.components.all_mut().into_iter().find_map(|s| s.answer(&mut component_ctx, &query));
+                answer.unwrap_or_else(|| json!({"error": "no component answers this query"}))
             }
         }
     }
 
-    /// Carries out a call of the control address; returns the answer's bytes.
-    pub(super) fn call(&mut self, now: f64, call: Call) -> Vec<u8> {
+    /// Carries out a request from the control address, and returns the bytes of the answer.
+    pub(super) fn handle_request(&mut self, now: f64, call: Call) -> Vec<u8> {
         let changed = match call {
             Call::Ready => {
-                return match self.life.phase() {
+                return match self.lifecycle.phase() {
                     Phase::Serving => match self.components.not_ready_reason() {
                         Some(why) => control_http::answer(503, "text/plain", &format!("{why}\n")),
                         None => control_http::answer(200, "text/plain", "ready\n"),
@@ -54,12 +51,12 @@
                 let json = serde_json::to_string(&self.figures_now()).unwrap_or_else(|_| "{}".into());
                 return control_http::answer(200, "application/json", &json);
             }
-            Call::LameduckOn => self.life.lameduck_on(now),
-            Call::LameduckOff => self.life.lameduck_off(now),
+            Call::LameduckOn => self.lifecycle.lameduck_on(now),
+            Call::LameduckOff => self.lifecycle.lameduck_off(now),
         };
-        let phase = format!("{:?}", self.life.phase()).to_lowercase();
+        let phase = format!("{:?}", self.lifecycle.phase()).to_lowercase();
         if changed {
-            match self.life.phase() {
+            match self.lifecycle.phase() {
                 Phase::Lameduck => {
                     self.clients.steer_away(now);
                     self.clients.begin_drain(now);
@@ -74,7 +71,7 @@
         control_http::answer(200, "text/plain", &format!("{phase}\n"))
     }
 
-    /// The figures, with the gauges of this moment.
+    /// The metrics, with the current values of the gauges.
     pub fn figures_now(&self) -> hollypaddle_service::figures::Report {
         let (open, standing) = self.calls.count();
         let (discovered, ejected) = self.servers.counts();
@@ -93,7 +90,7 @@
             drain_answered: self.drained_calls.answered,
             drain_cut: self.drained_calls.cut,
         });
-        // Written where the servers' sockets are, and counted there.
+        // Counted by the connections to servers, where set-ups are written.
         report.forwards += self.calls.forwards;
         report.fleet = self.components.fleet.joined.as_ref().map(|fleet| fleet.figures(&self.calls));
         report
--- a/crates/gatekeeper/src/node/event_loop/draining.rs
+++ b/crates/gatekeeper/src/node/event_loop/draining.rs
@@ -1,31 +1,31 @@
-//! Calls that end early, as the connections of a drained gatekeeper must go.
+//! Ends calls early while the gatekeeper is drained, because their connections must be closed.
 
 use super::{repeatable, Gatekeeper};
 
-/// Calls that were ended in drains since the start.
+/// The number of calls that were ended by drains since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DrainedCalls {
-    /// Set-ups that got their final answer before a server gave one.
+    /// Set-ups that got their final answer before a server answered.
     pub answered: u64,
-    /// Calls that stood and were cut.
+    /// Standing calls that were cut.
     pub cut: u64,
 }
 
 impl Gatekeeper {
-    /// While drained, lets connections go, and ends the calls that keep those which must not stay.
+    /// Closes connections while the gatekeeper is drained, and ends the calls that keep connections open for too long.
     pub(super) fn drain(&mut self, now: f64) {
-        // Members of a fleet tell the ends that cannot be told here.
+        // Other members of the fleet report the ends that can't be reported here.
         let fleet = self.components.fleet.joined.as_ref();
-        let told_elsewhere = fleet.is_some_and(|fleet| fleet.others_have_callers());
-        let orders = self.clients.drain(now, told_elsewhere, &self.poller, &mut self.calls);
-        for origin in orders.answer {
+        let reported_elsewhere = fleet.is_some_and(|fleet| fleet.others_have_callers());
+        let actions = self.clients.drain(now, reported_elsewhere, &self.poller, &mut self.calls);
+        for origin in actions.answer {
             let open = self.calls.open_count(origin);
             log::info!(caller = origin, open; "drain-set-ups-answered");
             self.drained_calls.answered += open as u64;
             self.calls.answer_origin(origin, repeatable(&self.classes), self.clients.stay_away());
         }
-        if orders.cut {
-            let cut = self.calls.cut_standing(|origin| !orders.staying.contains(&origin));
+        if actions.cut {
+            let cut = self.calls.cut_standing(|origin| !actions.staying.contains(&origin));
             log::warn!(calls = cut; "drain-calls-cut");
             self.drained_calls.cut += cut as u64;
         }
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -1,6 +1,6 @@
-//! Settings and configurations that are read anew.
+//! Applies new settings and new configurations.
 
-use super::{Gatekeeper, SOCKET_SLACK};
+use super::{Gatekeeper, LIMIT_TOLERANCE_S};
 use crate::node::components::ComponentContext;
 use crate::node::config::{Config, ConfigError, ProtocolClass};
 use crate::node::resolver;
@@ -11,8 +11,8 @@
 use hollypaddle_service::classes::Table;
 use std::io;
 
-/// The first mistake, and how many there are.
-fn first_of(problems: &[Problem]) -> String {
+/// Returns the first problem and the number of further ones.
+fn summarize(problems: &[Problem]) -> String {
     let first = problems.first().map(Problem::to_string).unwrap_or_default();
     match problems.len() {
         0 | 1 => first,
@@ -21,29 +21,29 @@
 }
 
 impl Gatekeeper {
-    /// Moves to a configuration read anew: to its resolver, and to its list where that is newer than the
-    /// one held. Calls, connections and the position in the list stay. Guards against a file that is
-    /// not whole, and against an older list, which would bring servers back that have gone.
+    /// Applies a configuration that was read again: its settings, its resolver, and its list of servers if that is newer
+    /// than the current one. Calls, connections and the position in the list are kept. An incomplete file is rejected, and
+    /// an older list is ignored, because it would bring back servers that are gone. The result is logged.
     pub fn reload(&mut self, read: Result<Config, ConfigError>) {
         let now = self.clock.now();
         let new = match read {
             Ok(new) => new,
-            Err(ConfigError::Own(problems)) => return self.own_rejected(&problems),
+            Err(ConfigError::Own(problems)) => return self.reject_own_file(&problems),
             Err(error) => {
                 self.figures.reloaded(false);
                 return log::warn!(error:%; "configuration-rejected");
             }
         };
-        // The fleet's settings stay in force beside the own file, as long as that has a tier.
+        // The fleet's settings stay in force with the new own file, as long as that has a tier of relays.
         let mut own = new.own_conf.clone();
-        let kept = own.fleet.as_ref().is_some_and(|fleet| fleet.tier.is_some());
-        if kept && !self.fleet_entries.is_empty() {
+        let keeps_fleet_settings = own.fleet.as_ref().is_some_and(|fleet| fleet.tier.is_some());
+        if keeps_fleet_settings && !self.fleet_entries.is_empty() {
             match new.own_file.with(&self.fleet_entries, &new.names()) {
                 Ok(merged) => own = merged,
-                Err(problems) => return self.own_rejected(&problems),
+                Err(problems) => return self.reject_own_file(&problems),
             }
         }
-        // What can fail comes first, so that all of the new configuration counts or nothing.
+        // Everything that can fail comes first, so that either all of the new configuration is applied or nothing.
         let opened =
             resolver::open(new.dns).and_then(|socket| Ok((self.poller.add(&socket, false)?, socket)));
         let (key, socket) = match opened {
@@ -57,14 +57,14 @@
         let table = match self.classes.retuned(new.protocol.classes.iter().map(|c| c.name.clone()).zip(both))
         {
             Ok(table) => table,
-            Err(full) => {
+            Err(error) => {
                 self.poller.remove(&socket);
                 self.figures.reloaded(false);
-                return log::warn!(error:% = full; "configuration-rejected");
+                return log::warn!(error:% = error; "configuration-rejected");
             }
         };
         let names = new.names();
-        let changes = match self.take_own(now, own) {
+        let changes = match self.apply_own_conf(now, own) {
             Ok(changes) => changes,
             Err(error) => {
                 self.poller.remove(&socket);
@@ -73,7 +73,7 @@
             }
         };
         (self.own_file, self.names) = (new.own_file, names);
-        if !kept {
+        if !keeps_fleet_settings {
             self.fleet_entries.clear();
         }
         self.poller.remove(&self.resolver.move_to(socket));
@@ -91,17 +91,17 @@
         log::info!(resolver:% = new.dns, changes:% = changes, classes:% = classes; "configuration-read");
         self.settings = new.settings;
         if new.platform != self.platform {
-            // The districts and the classes that budgets name count from the next start on.
+            // Changed districts, and changed classes of budgets, only take effect at the next start.
             log::warn!("platform-changed");
         }
-        // What did not fit the file as it was may fit it now.
+        // Fleet settings that were rejected with the old file may be valid with the new one.
         if let Some(set) = self.components.tier.turned_down() {
-            self.take_settings(now, &set);
+            self.apply_fleet_settings(now, &set);
         }
     }
 
-    /// Notes that the own configuration file was turned down, with each mistake.
-    fn own_rejected(&mut self, problems: &[Problem]) {
+    /// Logs and counts that the own configuration file was rejected, with each problem.
+    fn reject_own_file(&mut self, problems: &[Problem]) {
         self.figures.reloaded(false);
         for problem in problems {
             let (place, what) = (problem.place.to_string(), problem.what.as_str());
@@ -110,18 +110,18 @@
         log::warn!(problems = problems.len(); "configuration-rejected");
     }
 
-    /// Takes settings of the fleet, beside the own file as it was last read: all of them or none, as at a reading anew. The
-    /// relay hears what came of it.
-    pub(super) fn take_settings(&mut self, now: f64, set: &Set) {
+    /// Applies settings of the fleet, together with the own file as it was last read: all of them or none, as at a reload.
+    /// The result is reported to the relay.
+    pub(super) fn apply_fleet_settings(&mut self, now: f64, set: &Set) {
         let version = set.mark().version;
         let entries: Vec<(String, String)> =
             set.entries().map(|(name, text)| (name.to_string(), text.to_string())).collect();
         let merged = self.own_file.with(&entries, &self.names);
-        let taken = match merged {
-            Ok(conf) => self.take_own(now, conf).map_err(|error| error.to_string()),
-            Err(problems) => Err(first_of(&problems)),
+        let result = match merged {
+            Ok(conf) => self.apply_own_conf(now, conf).map_err(|error| error.to_string()),
+            Err(problems) => Err(summarize(&problems)),
         };
-        match &taken {
+        match &result {
             Ok(changes) => {
                 self.fleet_entries = entries;
                 self.decide(now);
@@ -131,32 +131,32 @@
                 log::warn!(version, reason = reason.as_str(); "fleet-settings-not-taken");
             }
         }
-        self.components.tier.verdict(version, taken.map(drop));
+        self.components.tier.verdict(version, result.map(drop));
     }
 
-    /// Takes what the own configuration file says now, all of it or nothing; returns what has changed in a word.
-    pub(super) fn take_own(&mut self, now: f64, new: Conf) -> io::Result<String> {
-        let changes = self.components.apply_config(&mut component_context!(self, now), &self.own, &new)?;
-        self.own = new;
+    /// Applies the new content of the own configuration file, all of it or nothing. Returns the labels of what changed.
+    pub(super) fn apply_own_conf(&mut self, now: f64, new: Conf) -> io::Result<String> {
+        let changes =
+            self.components.apply_config(&mut component_context!(self, now), &self.own_conf, &new)?;
+        self.own_conf = new;
         Ok(if changes.is_empty() { "none".into() } else { changes.join(",") })
     }
 
-    /// Takes settings read anew: the module gets them with every class number since the start, so that open
-    /// calls keep the rules they came with; the sockets and the figures get the names.
+    /// Applies new platform settings. The decision module gets them with every class number since the start, so that open
+    /// calls keep the rules under which they came; the connections and the metrics get the classes' names.
     fn retune(&mut self, mut settings: Settings, table: Table<(ClassSettings, ProtocolClass)>) {
         let entries = table.entries();
         settings.classes = entries.iter().map(|e| e.settings.0.clone()).collect();
-        settings.release += SOCKET_SLACK;
+        settings.release += LIMIT_TOLERANCE_S;
         self.calls.set_mean_call_duration(settings.hold);
         self.clients.set_stay_away(settings.retry_after);
         self.controller.retune(settings);
-        let link = |e: &hollypaddle_service::classes::Entry<(ClassSettings, ProtocolClass)>| ProtocolClass {
-            accepts_calls: e.live,
-            ..e.settings.1.clone()
+        let protocol_class = |e: &hollypaddle_service::classes::Entry<(ClassSettings, ProtocolClass)>| {
+            ProtocolClass { accepts_calls: e.live, ..e.settings.1.clone() }
         };
-        let links: Vec<ProtocolClass> = entries.iter().map(link).collect();
-        self.clients.set_classes(links.clone());
-        self.servers.set_classes(links);
+        let protocol_classes: Vec<ProtocolClass> = entries.iter().map(protocol_class).collect();
+        self.clients.set_classes(protocol_classes.clone());
+        self.servers.set_classes(protocol_classes);
         self.class_names = entries.iter().map(|e| e.name.clone()).collect();
         if let Some(fleet) = &mut self.components.fleet.joined {
             fleet.set_classes(&self.class_names);
--- a/crates/gatekeeper/src/node/event_loop/stopping.rs
+++ b/crates/gatekeeper/src/node/event_loop/stopping.rs
@@ -1,6 +1,6 @@
-//! The run of the program to its end: signals, and what is seen to after SIGTERM.
+//! Runs the event loop until the program ends: handles signals, and completes the open work after SIGTERM.
 
-use super::{repeatable, Gatekeeper, TICK};
+use super::{repeatable, Gatekeeper, TICK_S};
 use crate::node::components::ComponentContext;
 use crate::node::config::{Config, ConfigError};
 use crate::node::servers::Context;
@@ -8,45 +8,51 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// After SIGTERM connections arrive for up to 0.4 s and requests for 0.2 s more. With what is on its
-/// way, both are served for this long.
-const LAST_REQUESTS: f64 = 0.8;
-/// After the listener closed, what its last connections send is read for so long before the program may end.
-const READ_AFTER_CLOSE: f64 = 0.2;
-/// After SIGTERM the program may be killed once the longest deadline, counted as this where it is
-/// longer, and 0.7 s have passed. What is left of that is kept as a reserve.
-pub(super) const LONGEST_WAIT: f64 = 3.0;
-pub(super) const KILL_AFTER: f64 = 0.7;
-pub(super) const KILL_RESERVE: f64 = 0.2;
-/// At the end, callers have so long to read their last answers and close, out of the reserve.
-const LAST_WORDS: f64 = 0.1;
+/// How long new connections and set-ups are served after SIGTERM, in seconds. Connections still arrive for up to 0.4 s and
+/// requests for 0.2 s more; the rest is for messages that are on their way.
+const LAST_REQUESTS_S: f64 = 0.8;
+/// How long the last connections are read after the listener closed, before the program may end, in seconds.
+const READ_AFTER_CLOSE_S: f64 = 0.2;
+/// The longest deadline is taken to be this, in seconds, if it is longer. After SIGTERM the program may be killed once the
+/// longest deadline and [`KILL_AFTER_S`] have passed.
+pub(super) const MAX_WAIT_S: f64 = 3.0;
+/// How long after the longest deadline the program may be killed, counted from SIGTERM, in seconds.
+pub(super) const KILL_AFTER_S: f64 = 0.7;
+/// How long before it may be killed the program stops waiting for open calls, in seconds.
+pub(super) const KILL_RESERVE_S: f64 = 0.2;
+/// How long callers have at the end to read their last answers and close, in seconds. Part of [`KILL_RESERVE_S`].
+const CLOSE_GRACE_S: f64 = 0.1;
 
-/// What signals ask of the gatekeeper.
+/// Flags that are set by signal handlers.
 #[derive(Default)]
 pub struct Signals {
-    /// To see to what is open, and end.
+    /// Complete the open work and end.
     pub stop: Arc<AtomicBool>,
-    /// To read the configuration anew.
+    /// Read the configuration again.
     pub reload: Arc<AtomicBool>,
 }
 
-/// SIGTERM was seen. A process that was paused sees it late, and is killed all the same so long after it was sent.
+/// SIGTERM was received. A process that was paused sees it late, but is killed at a fixed time after it was sent.
 #[derive(Clone, Copy)]
 struct Stopping {
     seen_at: f64,
-    /// When it was last known not to have been sent.
+    /// The last time at which it was known not to have been sent.
     sent_after: f64,
 }
 
 impl Gatekeeper {
-    /// Runs until it is told to stop and all is seen to. `load` reads the configuration anew.
+    /// Runs until it is signalled to stop and the open work is complete. `load` reads the configuration again.
+    ///
+    /// # Errors
+    ///
+    /// Fails if waiting for events fails.
     pub fn run(
         &mut self,
         signals: &Signals,
         load: impl Fn() -> Result<Config, ConfigError>,
     ) -> io::Result<()> {
         let (mut stopping, mut closed): (Option<Stopping>, Option<f64>) = (None, None);
-        let mut not_stopped_at = self.clock.now();
+        let mut last_without_signal = self.clock.now();
         loop {
             self.run_once()?;
             let now = self.clock.now();
@@ -55,19 +61,19 @@
             }
             if stopping.is_none() && signals.stop.load(Ordering::Relaxed) {
                 self.begin_stop(now);
-                stopping = Some(Stopping { seen_at: now, sent_after: not_stopped_at });
+                stopping = Some(Stopping { seen_at: now, sent_after: last_without_signal });
             }
-            not_stopped_at = now;
+            last_without_signal = now;
             if let Some(Stopping { seen_at, sent_after }) = stopping {
-                if now - seen_at >= LAST_REQUESTS {
+                if now - seen_at >= LAST_REQUESTS_S {
                     if closed.is_none() && self.clients.stop_listening(now, &mut self.poller, &mut self.calls)
                     {
                         closed = Some(now);
                     }
-                    // Connections taken from the queue as the listener closed have not been read yet. Counted from the close
-                    // itself: a process without a processor for a while closes late.
-                    let read = closed.is_some_and(|at| now - at >= READ_AFTER_CLOSE);
-                    if (read && self.calls.count() == (0, 0)) || now - sent_after >= self.last {
+                    // Connections that were accepted from the queue when the listener closed have not been read yet. The
+                    // time counts from the close itself, because a process that gets no CPU for a while closes late.
+                    let read = closed.is_some_and(|at| now - at >= READ_AFTER_CLOSE_S);
+                    if (read && self.calls.count() == (0, 0)) || now - sent_after >= self.max_stop_time {
                         return self.finish(now);
                     }
                 }
@@ -75,17 +81,17 @@
         }
     }
 
-    /// SIGTERM: it serves what still comes, and is not ready any more. A drain goes on.
+    /// Handles SIGTERM: the gatekeeper is not ready any more, but serves what still comes. A drain continues.
     pub(in crate::node) fn begin_stop(&mut self, now: f64) {
         let (open, standing) = self.calls.count();
         log::info!(open, standing; "stopping");
-        self.life.stop(now);
+        self.lifecycle.stop(now);
         self.clients.steer_away(now);
     }
 
     pub(in crate::node) fn finish(&mut self, now: f64) -> io::Result<()> {
         let (open, standing) = self.calls.count();
-        self.answer_rest(now);
+        self.answer_remaining(now);
         let mut component_ctx = component_context!(self, now);
         self.components
             .all_mut()
@@ -95,28 +101,29 @@
         if let Some(http) = self.http.take() {
             http.close(&self.poller);
         }
-        // A process that ends with something unread resets its connections, and what is still to be written to one that takes
-        // nothing now would be lost with it.
+        // When a process ends with unread input on a connection, the connection is reset. Output that the caller does not
+        // accept now would be lost with it.
         self.clients.close_all(now, &self.poller, &mut self.calls);
-        let until = now + LAST_WORDS;
+        let until = now + CLOSE_GRACE_S;
         while (self.clients.closing() || self.clients.listening()) && self.clock.now() < until {
             let wait = if self.clock.is_real_time() { (until - self.clock.now()).max(0.0) } else { 0.0 };
             let all = self.poller.wait(wait)?;
             if all.is_empty() && !self.clock.is_real_time() {
-                self.clock.advance(TICK);
+                self.clock.advance(TICK_S);
             }
             for ready in all {
                 self.clients.ready(self.clock.now(), ready, &mut self.poller, &mut self.calls);
-                // What servers and the resolver still say is read away: what is ready would be so again at once.
+                // Input from servers and the resolver is read and ignored, because otherwise they would be ready all the
+                // time.
                 let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
                 self.servers.ready(ready, &mut ctx);
                 if ready.key == self.resolver_key {
                     self.resolver.read();
                 }
             }
-            // Connections that were closed have left their descriptors to callers that still wait.
+            // Closed connections have freed descriptors for callers that still wait.
             if self.clients.listening() {
-                self.answer_rest(now);
+                self.answer_remaining(now);
                 self.clients.close_all(now, &self.poller, &mut self.calls);
             }
         }
@@ -124,19 +131,19 @@
         Ok(())
     }
 
-    /// Answers all that has come by now, at the end of the program: a connection that ends with a set-up unread in it, or
-    /// that is not accepted, has lost that.
-    fn answer_rest(&mut self, now: f64) {
+    /// Reads and answers everything that has come so far, at the end of the program. A set-up on a connection that is not
+    /// accepted or not read would be lost.
+    fn answer_remaining(&mut self, now: f64) {
         self.clients.take_last(now, &mut self.poller, &mut self.calls);
         self.clients.read_all(now, &self.poller, &mut self.calls);
         self.answer_open(now);
-        // What was read on the way to telling these.
+        // Answers set-ups that were read while the first answers were written.
         if self.calls.count().0 > 0 {
             self.answer_open(now);
         }
     }
 
-    /// Answers the calls that have no final answer yet, as the program ends.
+    /// Gives a final answer to all calls that have none yet, because the program ends.
     fn answer_open(&mut self, now: f64) {
         self.calls.answer_all(repeatable(&self.classes), self.clients.stay_away());
         self.decide(now);
