--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,11 +6,11 @@
 //! clock and shares nothing: the same settings, seed and events give the same actions.
 #![doc = include_str!("../../../README.md")]
 
-mod brain;
+mod controller;
 pub mod interface;
 pub mod settings;
 
-pub use brain::Controller;
+pub use controller::Controller;
 pub use interface::{
     Action, CallId, Candidate, Cause, ClassSettings, Denial, Event, Gate, GoalWeights, ListKind, Open,
     Outcome, PoolEntry, PoolId, Readiness, Report, Settings, TenantSettings,
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The limits on the decision module that its users set.
 
-const MODULE: &str = include_str!("../src/brain.rs");
+const MODULE: &str = include_str!("../src/controller.rs");
 
 #[test]
 fn the_decision_module_stays_within_950_non_blank_lines() {
