--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -161,7 +161,7 @@
 
     fn event(self, call: CallId, pool: PoolId, attempt: u8, complete: bool) -> Event {
         let End { outcome, cause, wait, report } = self;
-        Event::Ended { call, pool, attempt, complete, outcome, cause, wait, report }
+        Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after: wait, report }
     }
 }
 
@@ -478,7 +478,7 @@
         let Some(c) = self.calls.get_mut(&call) else {
             // Its caller went while the module decided. The module counts this attempt as out until it is
             // told of its end, and a set-up out for ever makes a pool look as if it had stopped.
-            let end = End::of(Outcome::Moot);
+            let end = End::of(Outcome::NotSent);
             return self.events.push(end.event(call, pool, 0, true));
         };
         if !matches!(c.state, State::Held) {
@@ -489,7 +489,7 @@
         // A limit of 0 is until the caller's deadline, whose timer runs already.
         let until = if limit > 0.0 { c.deadline.min(now + limit) } else { c.deadline };
         if now >= until {
-            self.events.push(c.ended(call, pool, false, End::of(Outcome::Moot)));
+            self.events.push(c.ended(call, pool, false, End::of(Outcome::NotSent)));
             return;
         }
         c.state = State::Out(Attempt { pool, sent_at: now, leaving: None });
@@ -701,7 +701,7 @@
                     c.content = Rc::default();
                     c.state = State::Standing { pool, since: now };
                     let attempt = c.attempts.saturating_sub(1);
-                    self.events.push(Event::Stood { call, pool, lag: now - sent_at, attempt });
+                    self.events.push(Event::Established { call, pool, delay: now - sent_at, attempt });
                     self.settled(origin, bytes);
                     *self.standing.entry(origin).or_default() += 1;
                     self.note(change);
--- a/crates/core/src/calls/tests.rs
+++ b/crates/core/src/calls/tests.rs
@@ -97,7 +97,7 @@
                 let gone = !self.calls.calls.contains_key(&call);
                 self.calls.send(self.now, call, pool, if what == 0 { 0.0 } else { 1.0 });
                 if gone {
-                    let end = End::of(Outcome::Moot).event(call, pool, 0, true);
+                    let end = End::of(Outcome::NotSent).event(call, pool, 0, true);
                     assert_eq!(self.calls.events, [end], "the module counts what it sent");
                     self.calls.events.clear();
                 }
@@ -177,7 +177,7 @@
     calls.caller_release(0.0, 1);
     assert!(calls.events.is_empty() && calls.effects.is_empty() && calls.held_bytes == 0);
     calls.send(0.0, 1, PoolId(1), 0.0);
-    assert_eq!(calls.events, [End::of(Outcome::Moot).event(1, PoolId(1), 0, true)]);
+    assert_eq!(calls.events, [End::of(Outcome::NotSent).event(1, PoolId(1), 0, true)]);
 }
 
 /// Guards against two calls that servers and callers could not tell apart, and against a set-up sent
--- a/crates/cores/src/shares.rs
+++ b/crates/cores/src/shares.rs
@@ -9,7 +9,7 @@
 /// stays too.
 pub fn settings(whole: &Settings, workers: u16) -> Settings {
     let workers = u32::from(workers.max(1));
-    Settings { fronts: whole.fronts.max(1).saturating_mul(workers), ..whole.clone() }
+    Settings { gatekeepers: whole.gatekeepers.max(1).saturating_mul(workers), ..whole.clone() }
 }
 
 /// A worker's part of a count that the whole process keeps, as connections or calls held: the parts add up to the
--- a/crates/crossing/src/account.rs
+++ b/crates/crossing/src/account.rs
@@ -250,7 +250,7 @@
         cell.out = cell.out.saturating_sub(1);
         let counts = cell.now(now as i64);
         *match outcome {
-            Outcome::Full | Outcome::Moot => &mut counts.refused,
+            Outcome::Full | Outcome::NotSent => &mut counts.refused,
             Outcome::Error | Outcome::ConnectFailed | Outcome::Done => &mut counts.failed,
             Outcome::Reset => &mut counts.reset,
             Outcome::Timeout | Outcome::Cancelled => &mut counts.given_up,
--- a/crates/crossing/src/budget.rs
+++ b/crates/crossing/src/budget.rs
@@ -688,5 +688,5 @@
 
 /// Whether an outcome proves that a set-up never ran.
 pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
 }
--- a/crates/crossing/src/gate.rs
+++ b/crates/crossing/src/gate.rs
@@ -259,10 +259,10 @@
 }
 
 impl Gate for Crossing {
-    fn hear(&mut self, now: f64, event: &Event) {
+    fn on_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { kind, entries } => self.listed(*kind, entries),
-            Event::Stood { call, lag, .. } => self.stood(now, *call, *lag),
+            Event::Established { call, delay, .. } => self.stood(now, *call, *delay),
             Event::Ended { call, outcome, .. } => self.over(now, *call, *outcome),
             _ => {}
         }
@@ -284,7 +284,7 @@
         }
     }
 
-    fn sent(&mut self, now: f64, candidate: &Candidate) {
+    fn on_sent(&mut self, now: f64, candidate: &Candidate) {
         let (from, class) = (self.settings.own, candidate.class);
         let (to, overdraws) = match self.answered.take() {
             Some((call, pool, to, at, overdraws))
@@ -315,7 +315,7 @@
         }
     }
 
-    fn turned_away(&mut self, now: f64, candidate: &Candidate, denial: &Denial) {
+    fn on_refused(&mut self, now: f64, candidate: &Candidate, denial: &Denial) {
         if denial.reason != REASON {
             return;
         }
--- a/crates/crossing/tests/model.rs
+++ b/crates/crossing/tests/model.rs
@@ -84,7 +84,7 @@
                     let count = match (stood.get(&seen.call), outcome) {
                         (Some(true), Outcome::Done | Outcome::Cancelled) => &mut counts.ended,
                         (Some(true), _) => &mut counts.cut,
-                        (_, Outcome::Full | Outcome::Moot) => &mut counts.refused,
+                        (_, Outcome::Full | Outcome::NotSent) => &mut counts.refused,
                         (_, Outcome::Reset) => &mut counts.reset,
                         (_, Outcome::Timeout | Outcome::Cancelled) => &mut counts.given_up,
                         _ => &mut counts.failed,
@@ -151,7 +151,7 @@
                     }
                 }
                 What::Stood { .. } => drop(stood.insert(seen.call, true)),
-                What::Over { outcome: Outcome::Full | Outcome::ConnectFailed | Outcome::Moot }
+                What::Over { outcome: Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent }
                     if stood.get(&seen.call) == Some(&false) =>
                 {
                     match sent.get(&seen.call) {
@@ -183,7 +183,7 @@
         let mut crossing = Crossing::new(settings(rules), 0.0);
         let districts = [Some(0), Some(1), Some(2), None];
         let entries = (0..POOLS).map(|p| entry(p, districts[p as usize])).collect();
-        crossing.hear(0.0, &Event::List { kind: ListKind::Full, entries });
+        crossing.on_event(0.0, &Event::List { kind: ListKind::Full, entries });
         let district = |d: Option<u16>| d.map_or(District::UNKNOWN, District);
         let places = (0..POOLS).map(|p| (p, district(districts[p as usize]))).collect();
         Bench {
@@ -223,13 +223,13 @@
             self.go(last, to, true);
             return true;
         }
-        self.crossing.turned_away(self.now, &first, &denial);
+        self.crossing.on_refused(self.now, &first, &denial);
         self.log(first.call, class, to, What::Denied);
         false
     }
 
     fn go(&mut self, candidate: Candidate, to: District, bent: bool) {
-        self.crossing.sent(self.now, &candidate);
+        self.crossing.on_sent(self.now, &candidate);
         self.open.insert(candidate.call, (candidate.class, to, self.now, self.now, false));
         self.log(candidate.call, candidate.class, to, What::Sent { bent });
     }
@@ -237,7 +237,8 @@
     fn stand(&mut self, call: CallId) {
         let Some(&(class, to, first, sent, false)) = self.open.get(&call) else { return };
         let lag = self.now - sent;
-        self.crossing.hear(self.now, &Event::Stood { call, pool: PoolId(0), lag, attempt: 0 });
+        self.crossing
+            .on_event(self.now, &Event::Established { call, pool: PoolId(0), delay: lag, attempt: 0 });
         self.open.insert(call, (class, to, first, sent, true));
         self.log(call, class, to, What::Stood { lag, late: self.now - first > 1.5 });
     }
@@ -245,9 +246,9 @@
     fn end(&mut self, call: CallId, outcome: Outcome) {
         let Some((class, to, ..)) = self.open.remove(&call) else { return };
         let (pool, attempt, cause) = (PoolId(0), 0, Cause::Unknown);
-        let (wait, report) = (None, Load::default());
-        let end = Event::Ended { call, pool, attempt, complete: true, outcome, cause, wait, report };
-        self.crossing.hear(self.now, &end);
+        let (retry_after, report) = (None, Load::default());
+        let end = Event::Ended { call, pool, attempt, complete: true, outcome, cause, retry_after, report };
+        self.crossing.on_event(self.now, &end);
         self.log(call, class, to, What::Over { outcome });
     }
 
@@ -297,7 +298,7 @@
 
 fn outcome(which: u8) -> Outcome {
     use Outcome::*;
-    [Done, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot][usize::from(which % 8)]
+    [Done, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, NotSent][usize::from(which % 8)]
 }
 
 fn rules() -> Vec<Rule> {
@@ -536,7 +537,7 @@
     assert!(bench.offer(0, 1, false));
     let call = bench.next;
     let moved = vec![entry(1, Some(0))];
-    bench.crossing.hear(bench.now, &Event::List { kind: ListKind::Changes, entries: moved });
+    bench.crossing.on_event(bench.now, &Event::List { kind: ListKind::Changes, entries: moved });
     bench.stand(call);
     bench.places.insert(1, OWN);
     assert_eq!(went(&mut bench, 0, 1, 5), 5, "it is at home now");
@@ -545,7 +546,7 @@
     bench.check();
     // A whole list without zones: nothing crosses any more.
     let entries = (0..POOLS).map(|p| entry(p, None)).collect();
-    bench.crossing.hear(bench.now, &Event::List { kind: ListKind::Full, entries });
+    bench.crossing.on_event(bench.now, &Event::List { kind: ListKind::Full, entries });
     bench.places.values_mut().for_each(|to| *to = District::UNKNOWN);
     assert_eq!(went(&mut bench, 0, 2, 5), 5);
     bench.check();
--- a/crates/drive/src/cold.rs
+++ b/crates/drive/src/cold.rs
@@ -201,20 +201,20 @@
         repeatable: true,
     };
     Settings {
-        fronts: figures.fronts as u32,
-        period: 0.005,
+        gatekeepers: figures.fronts as u32,
+        min_batch_interval: 0.005,
         classes: vec![class],
         tenants: Vec::new(),
         over_share_worth: 1.0,
         goal: GoalWeights { whole: 0.7, worst_window: 0.3, worst_class: 0.0, worst_tenant: 0.0 },
-        hold: Some(9.0),
-        retransmit: 0.0,
-        release: 0.35,
+        mean_holding_time: Some(9.0),
+        retransmit_time: 0.0,
+        release_time: 0.35,
         try_limit: 5,
         may_cancel: true,
-        retry_after: Some(2.0),
-        cold: figures.cold,
-        cold_from: figures.cold_from,
+        max_retry_after: Some(2.0),
+        warm_up_time: figures.cold,
+        initial_capacity_ratio: figures.cold_from,
         overload_factor: figures.overload_factor,
         must_subscribe: false,
     }
@@ -408,7 +408,10 @@
                     let lag = self.now - c.sent;
                     self.stood += u64::from(self.now - c.offered <= 1.5);
                     self.fronts[front].calls.remove(&call);
-                    self.tell(front, Event::Stood { call, pool: PoolId(server as u64), lag, attempt });
+                    self.tell(
+                        front,
+                        Event::Established { call, pool: PoolId(server as u64), delay: lag, attempt },
+                    );
                 }
             }
             Kind::Refused(call, server, attempt) => {
@@ -480,7 +483,8 @@
         cause: Cause,
     ) {
         let (pool, report) = (PoolId(server as u64), Report::default());
-        let event = Event::Ended { call, pool, attempt, complete: false, outcome, cause, wait: None, report };
+        let event =
+            Event::Ended { call, pool, attempt, complete: false, outcome, cause, retry_after: None, report };
         self.tell(front, event);
     }
 
@@ -527,7 +531,7 @@
                                 complete: false,
                                 outcome: Outcome::Cancelled,
                                 cause: Cause::Unknown,
-                                wait: None,
+                                retry_after: None,
                                 report: Report::default(),
                             });
                         }
--- a/crates/faults/src/world/budget.rs
+++ b/crates/faults/src/world/budget.rs
@@ -40,7 +40,7 @@
         ready_at: 0.0,
         district: Some(1),
     };
-    crossing.hear(now, &Heard::List { kind: ListKind::Full, entries: vec![entry] });
+    crossing.on_event(now, &Heard::List { kind: ListKind::Full, entries: vec![entry] });
     crossing
 }
 
@@ -92,15 +92,16 @@
             Candidate { call, class: 0, pool: PoolId(0), attempt: 0, first_tried: local, last_resort: false };
         match crossing.may_send(local, &candidate) {
             Ok(()) => {
-                crossing.sent(local, &candidate);
+                crossing.on_sent(local, &candidate);
                 let (pool, outcome, cause) = (PoolId(0), Outcome::Done, Cause::Unknown);
-                let (attempt, complete, wait, report) = (0, true, None, Default::default());
-                let ended = Heard::Ended { call, pool, attempt, complete, outcome, cause, wait, report };
-                crossing.hear(local, &ended);
+                let (attempt, complete, retry_after, report) = (0, true, None, Default::default());
+                let ended =
+                    Heard::Ended { call, pool, attempt, complete, outcome, cause, retry_after, report };
+                crossing.on_event(local, &ended);
                 self.sent.push((self.now, n));
             }
             Err(denial) => {
-                crossing.turned_away(local, &candidate, &denial);
+                crossing.on_refused(local, &candidate, &denial);
                 self.turned_away += 1;
             }
         }
--- a/crates/gatekeeper/src/node/config.rs
+++ b/crates/gatekeeper/src/node/config.rs
@@ -246,17 +246,17 @@
         check(format!("settings.tenants[{n}].quotaPerS"), tenant.quota_per_s, WORTH)?;
     }
     let figures = [
-        ("settings.peersTotal", f64::from(settings.fronts), COUNT),
-        ("settings.period", settings.period, SPAN),
+        ("settings.peersTotal", f64::from(settings.gatekeepers), COUNT),
+        ("settings.period", settings.min_batch_interval, SPAN),
         ("settings.overShareWorth", settings.over_share_worth, WORTH),
-        ("settings.familyInfo.release", settings.release, SPAN),
-        ("settings.familyInfo.retransmit", settings.retransmit, SPAN),
+        ("settings.familyInfo.release", settings.release_time, SPAN),
+        ("settings.familyInfo.retransmit", settings.retransmit_time, SPAN),
         ("settings.limits.tryLimit", f64::from(settings.try_limit), COUNT),
-        ("settings.limits.maxRetryAfter", settings.retry_after.unwrap_or(0.0), SPAN),
+        ("settings.limits.maxRetryAfter", settings.max_retry_after.unwrap_or(0.0), SPAN),
         ("settings.limits.connectTimeout", link.limits.connect_timeout, TIME),
         ("settings.safety.drainGrace", link.safety.drain_grace, SPAN),
-        ("settings.safety.cold", settings.cold, SPAN),
-        ("settings.safety.coldFrom", settings.cold_from, SHARE),
+        ("settings.safety.cold", settings.warm_up_time, SPAN),
+        ("settings.safety.coldFrom", settings.initial_capacity_ratio, SHARE),
         ("settings.safety.overloadFactor", settings.overload_factor, COUNT),
         ("limits.sockets", limits.sockets.unwrap_or(SOCKETS) as f64, SOCKETS_SOUND),
         ("limits.memory_mb", limits.memory_mb.unwrap_or(MEMORY_MB), MEMORY_SOUND),
@@ -311,7 +311,7 @@
         let address = |field, text: &str| {
             text.parse::<SocketAddr>().map_err(|_| ConfigError::Field(field, text.to_string()))
         };
-        let (mut settings, telemetry) = settings::read(file.settings.to_string().as_bytes())?;
+        let (mut settings, telemetry) = settings::parse(file.settings.to_string().as_bytes())?;
         let link: LinkSettings = serde_json::from_value(file.settings)?;
         sound(&settings, &link, &file.limits)?;
         settings.try_limit = settings.try_limit.min(MOST_ATTEMPTS);
@@ -330,9 +330,9 @@
             districts: link.zones.clone(),
             own: link.zone.filter(|zone| *zone < link.zones.len()),
             classes: names.zip(settings.classes.iter().map(|c| c.goal_time)).collect(),
-            fronts: settings.fronts,
+            fronts: settings.gatekeepers,
         };
-        let states = telemetry.any();
+        let states = telemetry.has_fields();
         let goal = settings.classes.iter().map(|c| c.goal_time).fold(LONGEST_GOAL, f64::min);
         Ok(Config {
             name,
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -58,7 +58,7 @@
             servers: &mut $node.servers,
             clients: &mut $node.clients,
             resolver: &mut $node.resolver,
-            gates: $node.controller.gate(),
+            gates: $node.controller.gate_mut(),
             list_at: $node.list_at,
             platform: &$node.platform,
             seed: $node.seed,
@@ -175,14 +175,14 @@
         let names = config.names();
         let given = config.settings;
         let mut settings = given.clone();
-        settings.release += SOCKET_SLACK;
+        settings.release_time += SOCKET_SLACK;
         let ask_every = (config.link.drain_grace * ASK_PART).clamp(ASK_LEAST, ASK_MOST);
         let last = config.link.longest().min(LONGEST_WAIT) + KILL_AFTER - KILL_RESERVE;
         let mut node = Gatekeeper {
             clock,
             watch,
             wheel: Wheel::new(now, TICK),
-            controller: Controller::gated(settings, config.seed, Gates::default()),
+            controller: Controller::with_gate(settings, config.seed, Gates::default()),
             calls: Calls::new(now, config.memory / HELD_SHARE),
             clients,
             servers: Servers::new(config.link, config.telemetry, descriptors, config.seed),
@@ -210,8 +210,8 @@
             #[cfg(test)]
             before_writing: None,
         };
-        node.calls.calls_last(node.settings.hold);
-        node.clients.set_stay_away(node.settings.retry_after);
+        node.calls.calls_last(node.settings.mean_holding_time);
+        node.clients.set_stay_away(node.settings.max_retry_after);
         node.take_own(now, config.own)?;
         let mut turn = Turn { now, watch: &mut node.watch, calls: &mut node.calls };
         node.servers.list(&config.known, ListKind::Cached, &mut turn);
@@ -234,7 +234,7 @@
 
     /// Account and budgets of what crosses districts, where configured.
     pub fn crossing(&mut self) -> Option<&mut Crossing> {
-        self.controller.gate().crossing.as_mut()
+        self.controller.gate_mut().crossing.as_mut()
     }
 
     /// The time.
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -144,10 +144,10 @@
     fn retune(&mut self, mut settings: Settings, table: Table<(ClassSettings, LinkClass)>) {
         let entries = table.entries();
         settings.classes = entries.iter().map(|e| e.settings.0.clone()).collect();
-        settings.release += SOCKET_SLACK;
-        self.calls.calls_last(settings.hold);
-        self.clients.set_stay_away(settings.retry_after);
-        self.controller.retune(settings);
+        settings.release_time += SOCKET_SLACK;
+        self.calls.calls_last(settings.mean_holding_time);
+        self.clients.set_stay_away(settings.max_retry_after);
+        self.controller.update_settings(settings);
         let link = |e: &hollypaddle_service::classes::Entry<(ClassSettings, LinkClass)>| LinkClass {
             live: e.live,
             ..e.settings.1.clone()
--- a/crates/gatekeeper/src/node/gates.rs
+++ b/crates/gatekeeper/src/node/gates.rs
@@ -19,12 +19,12 @@
 }
 
 impl Gate for Gates {
-    fn hear(&mut self, now: f64, event: &Event) {
+    fn on_event(&mut self, now: f64, event: &Event) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.hear(now, event);
+            fleet.on_event(now, event);
         }
         if let Some(crossing) = &mut self.crossing {
-            crossing.hear(now, event);
+            crossing.on_event(now, event);
         }
     }
 
@@ -33,13 +33,13 @@
         self.crossing.as_mut().map_or(Ok(()), |crossing| crossing.may_send(now, candidate))
     }
 
-    fn sent(&mut self, now: f64, candidate: &Candidate) {
+    fn on_sent(&mut self, now: f64, candidate: &Candidate) {
         if let Some(crossing) = &mut self.crossing {
-            crossing.sent(now, candidate);
+            crossing.on_sent(now, candidate);
         }
     }
 
-    fn turned_away(&mut self, now: f64, candidate: &Candidate, denial: &Denial) {
+    fn on_refused(&mut self, now: f64, candidate: &Candidate, denial: &Denial) {
         log::debug!(
             call = candidate.call, class = candidate.class, reason = denial.reason,
             retry_after_s = denial.retry_after;
@@ -47,12 +47,12 @@
         );
         match &mut self.fleet {
             Some(fleet) if denial.reason.starts_with("fleet-") => {
-                return fleet.turned_away(now, candidate, denial);
+                return fleet.on_refused(now, candidate, denial);
             }
             _ => {}
         }
         if let Some(crossing) = &mut self.crossing {
-            crossing.turned_away(now, candidate, denial);
+            crossing.on_refused(now, candidate, denial);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/incoming.rs
+++ b/crates/gatekeeper/src/node/servers/incoming.rs
@@ -61,7 +61,7 @@
         turn: &mut Turn,
     ) -> Result<(), Over> {
         let id = message.call;
-        let report = message.text(code::REPORT).map_or(Report::default(), |t| telemetry.report_text(t));
+        let report = message.text(code::REPORT).map_or(Report::default(), |t| telemetry.decode_text(t));
         let told = message.bytes(code::REPORT).is_some();
         let description = message.bytes(code::DESCRIPTION).map(<[u8]>::to_vec);
         // Guards against spoilt answers that still have the form of a message. The call may stand at the
@@ -132,14 +132,14 @@
     let outcome = match message.cause() {
         Some(cause::NORMAL) => Outcome::Done,
         Some(cause::FULL) => Outcome::Full,
-        Some(cause::MOOT) => Outcome::Moot,
+        Some(cause::MOOT) => Outcome::NotSent,
         Some(cause::TEMPORARY_FAILURE) => Outcome::Reset,
         // Busy (17), a fault (47), and what no server should say: it ends the attempt all the same.
         _ => Outcome::Error,
     };
     let cause = match message.text(code::NOTE) {
         Some("congestion") => Cause::NoLine,
-        Some("crankback" | "remote_throttled") => Cause::TurnedBack,
+        Some("crankback" | "remote_throttled") => Cause::Crankback,
         Some("throttled") => Cause::ProcessorFull,
         Some("engaged") => Cause::NumberBusy,
         _ => Cause::Unknown,
--- a/crates/gatekeeper/src/node/servers/tests.rs
+++ b/crates/gatekeeper/src/node/servers/tests.rs
@@ -27,7 +27,7 @@
             connections: 3,
             districts: Vec::new(),
         };
-        let (_, telemetry) = hollypaddle_policy::settings::read(
+        let (_, telemetry) = hollypaddle_policy::settings::parse(
             br#"{"peersTotal":1,"period":0.005,"familyInfo":{"release":0.3},"limits":{"tryLimit":6},
             "requestClasses":[],"safety":{"cold":14,"coldFrom":0.3,"overloadFactor":3}}"#,
         )
--- a/crates/gatekeeper/src/node/subjects.rs
+++ b/crates/gatekeeper/src/node/subjects.rs
@@ -277,7 +277,7 @@
                 let mut crossing = Crossing::new(conf.settings(room.platform), room.now);
                 // It was not there when the list came.
                 let entries = room.servers.entries();
-                crossing.hear(room.now, &Event::List { kind: ListKind::Full, entries });
+                crossing.on_event(room.now, &Event::List { kind: ListKind::Full, entries });
                 *gate = Some(crossing);
                 "on"
             }
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -9,7 +9,7 @@
     Amount, BendSettings, ClassInfo, Crossing, District, Rate, Rule, Scope, Settings as GateSettings,
 };
 use hollypaddle_policy::{
-    Action, CallId, Cause, ClassSettings, Controller, Event, Gate, GoalWeights, ListKind, Open, Outcome,
+    Action, AllowAll, CallId, Cause, ClassSettings, Controller, Event, Gate, GoalWeights, ListKind, Outcome,
     PoolEntry, PoolId, Readiness, Report, Settings,
 };
 
@@ -29,20 +29,20 @@
         repeatable: true,
     };
     Settings {
-        fronts: 8,
-        period: 0.005,
+        gatekeepers: 8,
+        min_batch_interval: 0.005,
         classes: vec![class(1.0), class(8.0)],
         tenants: Vec::new(),
         over_share_worth: 1.0,
         goal: GoalWeights::default(),
-        hold: Some(8.0),
-        retransmit: 0.4,
-        release: 0.3,
+        mean_holding_time: Some(8.0),
+        retransmit_time: 0.4,
+        release_time: 0.3,
         try_limit: 6,
         may_cancel: true,
-        retry_after: Some(2.0),
-        cold: 14.0,
-        cold_from: 0.3,
+        max_retry_after: Some(2.0),
+        warm_up_time: 14.0,
+        initial_capacity_ratio: 0.3,
         overload_factor: 3.0,
         must_subscribe: false,
     }
@@ -96,7 +96,7 @@
 
 impl<G: Gate> Feed<G> {
     fn new(gate: G, servers: u32, with_core: bool) -> Self {
-        let mut controller = Controller::gated(settings(), 1, gate);
+        let mut controller = Controller::with_gate(settings(), 1, gate);
         let entry = |n: u32| PoolEntry {
             pool: PoolId(u64::from(n)),
             number: n,
@@ -140,10 +140,19 @@
                 }
             }
             if let Some(pool) = sent {
-                self.tell(Event::Stood { call, pool, lag: 0.02, attempt: 0 });
-                let (cause, wait, report) = (Cause::Unknown, None, Report::default());
+                self.tell(Event::Established { call, pool, delay: 0.02, attempt: 0 });
+                let (cause, retry_after, report) = (Cause::Unknown, None, Report::default());
                 let (complete, outcome) = (true, Outcome::Done);
-                self.tell(Event::Ended { call, pool, attempt: 0, complete, outcome, cause, wait, report });
+                self.tell(Event::Ended {
+                    call,
+                    pool,
+                    attempt: 0,
+                    complete,
+                    outcome,
+                    cause,
+                    retry_after,
+                    report,
+                });
             }
             if let Some(token) = timer {
                 self.tell(Event::Timer { token });
@@ -276,7 +285,7 @@
 
 /// Measures one pair, the two turn about.
 pub fn cost(servers: u32, rules: usize, with_core: bool) -> Cost {
-    let mut open = Feed::new(Open, servers, with_core);
+    let mut open = Feed::new(AllowAll, servers, with_core);
     let mut gated = Feed::new(gate(rules), servers, with_core);
     let mut pairs = Vec::new();
     // The first stretches fill caches and tables.
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -10,7 +10,7 @@
 use rand_core::{RngCore, SeedableRng};
 
 use crate::interface::{
-    Action, CallId, Candidate, Cause, Denial, Event, Gate, ListKind, Open, Outcome, PoolEntry, PoolId,
+    Action, AllowAll, CallId, Candidate, Cause, Denial, Event, Gate, ListKind, Outcome, PoolEntry, PoolId,
     Readiness, Report, Settings,
 };
 
@@ -211,7 +211,7 @@
 }
 
 /// The call controller of one front, with the gate that its set-ups have to pass.
-pub struct Controller<G = Open> {
+pub struct Controller<G = AllowAll> {
     settings: Settings,
     gate: G,
     /// Times derived from the settings, so that every threshold follows the deployment: the wait unit, the
@@ -254,21 +254,21 @@
 impl Controller {
     /// A controller that knows nothing yet; `seed` feeds all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Controller::gated(settings, seed, Open)
+        Controller::with_gate(settings, seed, AllowAll)
     }
 }
 
 impl<G: Gate> Controller<G> {
     /// The same, with a gate.
-    pub fn gated(settings: Settings, seed: u64, gate: G) -> Self {
+    pub fn with_gate(settings: Settings, seed: u64, gate: G) -> Self {
         let goal = settings.classes.iter().map(|c| c.goal_time).filter(|g| *g > 0.0).fold(f64::MAX, f64::min);
         let mut unit = if goal < f64::MAX { goal * UNIT_OF_GOAL } else { 1.0 };
-        if settings.retransmit > 0.0 {
-            unit = unit.min(settings.retransmit.max(unit / 2.0));
+        if settings.retransmit_time > 0.0 {
+            unit = unit.min(settings.retransmit_time.max(unit / 2.0));
         }
-        unit = unit.max(settings.period).max(1e-3);
-        let tick = (unit * TICK).max(settings.period);
-        let window = (settings.cold * RATE_WINDOW).max(unit);
+        unit = unit.max(settings.min_batch_interval).max(1e-3);
+        let tick = (unit * TICK).max(settings.min_batch_interval);
+        let window = (settings.warm_up_time * RATE_WINDOW).max(unit);
         let mix = vec![0.0; settings.tenants.len()];
         Controller {
             settings,
@@ -294,18 +294,18 @@
     }
 
     /// The gate.
-    pub fn gate(&mut self) -> &mut G {
+    pub fn gate_mut(&mut self) -> &mut G {
         &mut self.gate
     }
 
     /// Settings read anew; a call's class keeps its number, so numbers are never given twice.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
-        self.gate.hear(now, &event);
+        self.gate.on_event(now, &event);
         match event {
             Event::List { kind, entries } => self.list(now, kind, &entries, out),
             Event::Call { call, class, tenant, time_left, dialled, first_choice } => {
@@ -314,14 +314,14 @@
                 let new = Call { first_tried: now, held_from: Some(now), ..new };
                 self.offered(now, call, new, tenant, out)
             }
-            Event::Stood { call, pool, lag, attempt: _ } => self.stood(now, call, pool, lag, out),
-            Event::Ended { call, pool, attempt, complete, outcome, cause, wait, report } => {
+            Event::Established { call, pool, delay, attempt: _ } => self.stood(now, call, pool, delay, out),
+            Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after, report } => {
                 self.reported(now, pool, &report, out);
                 let index = self.index(pool);
                 if let Some(i) = index {
                     self.attempt_over(now, i, call, outcome, out);
                     if cause == Cause::ProcessorFull {
-                        self.pressed(now, i, wait.unwrap_or(0.0));
+                        self.pressed(now, i, retry_after.unwrap_or(0.0));
                     }
                 }
                 let last = |c: &Call| c.attempts == u32::from(attempt) + 1 && c.held_from.is_none();
@@ -406,18 +406,18 @@
     fn reported(&mut self, now: f64, id: PoolId, report: &Report, out: &mut Vec<Action>) {
         let Some(i) = self.index(id) else { return };
         let pool = &mut self.pools[i];
-        pool.lines = report.free.zip(report.lines).or(pool.lines);
-        pool.can_take = report.can_take.or(pool.can_take);
-        if let Some(q) = report.hold_back {
+        pool.lines = report.free_lines.zip(report.total_lines).or(pool.lines);
+        pool.can_take = report.max_set_up_rate.or(pool.can_take);
+        if let Some(q) = report.hold_back_ratio {
             (pool.hold_back, pool.hold_back_at) = (Some(q.min(1.0)), now);
         }
         // Without a wait, a busy share serves: ABATE at the one edge, ONSET at the other.
         let scaled = |util: f64| ABATE + (ONSET - ABATE) * (util - UTIL_ABATE) / (UTIL_ONSET - UTIL_ABATE);
-        let wait = report.wait.or(report.util.map(|util| scaled(util).max(0.0) * self.unit));
+        let wait = report.wait.or(report.utilization.map(|util| scaled(util).max(0.0) * self.unit));
         if let Some(wait) = wait {
             (pool.report, pool.report_at) = (wait, now);
         }
-        if wait.is_some() || report.hold_back.is_some() {
+        if wait.is_some() || report.hold_back_ratio.is_some() {
             self.judge(now, i, 0.0, out);
         }
     }
@@ -429,7 +429,7 @@
         let pool = &self.pools[i];
         let fresh = FRESH * self.unit;
         let heard = KEPT_CALLS / self.carries(now, pool.number).max(1e-9);
-        let lasts = fresh.max(heard.min(self.settings.cold));
+        let lasts = fresh.max(heard.min(self.settings.warm_up_time));
         let faded = |wait: f64, at: f64| (wait - (now - at - lasts).max(0.0)).max(0.0);
         let silent = pool.out.first().map_or(0.0, |(sent, _)| now - sent - pool.base.min(fresh));
         faded(pool.report, pool.report_at).max(faded(pool.own, pool.own_at)).max(silent) / self.unit
@@ -534,7 +534,7 @@
     /// A pool loses answers. Calls one attempt there off if the call can still stand in time after the
     /// release (or, once late, before the caller goes).
     fn recall(&mut self, now: f64, i: usize, id: CallId, out: &mut Vec<Action>) {
-        self.pools[i].loses_until = now + self.settings.cold;
+        self.pools[i].loses_until = now + self.settings.warm_up_time;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(class) = self.settings.classes.get(call.class) else { return };
         let in_time = call.first_tried + class.goal_time;
@@ -543,7 +543,7 @@
             && class.repeatable
             && !call.called_off
             && call.attempts < self.settings.try_limit
-            && now + self.settings.release + self.unit / 2.0 < limit
+            && now + self.settings.release_time + self.unit / 2.0 < limit
         {
             call.called_off = true;
             out.push(Action::Cancel { call: id, attempt: (call.attempts - 1) as u8 });
@@ -572,11 +572,11 @@
     /// shift to a pool that has room only as fast as the budget lets them.
     fn cold_share(&self, now: f64, i: usize) -> Option<f64> {
         let age = now - self.pools[i].ready_at;
-        if age >= self.settings.cold || self.settings.cold.is_nan() {
+        if age >= self.settings.warm_up_time || self.settings.warm_up_time.is_nan() {
             return None;
         }
-        let from = self.settings.cold_from.clamp(0.0, 1.0);
-        let warm = from + (1.0 - from) * age.max(0.0) / self.settings.cold;
+        let from = self.settings.initial_capacity_ratio.clamp(0.0, 1.0);
+        let warm = from + (1.0 - from) * age.max(0.0) / self.settings.warm_up_time;
         Some(warm * self.settings.overload_factor.max(1.0) * COLD_USE)
     }
 
@@ -601,7 +601,7 @@
     }
 
     fn note_carried(&mut self, now: f64, elapsed: f64) {
-        let fade = (-elapsed / (CARRIED_LASTS * self.settings.cold).max(1.0)).exp();
+        let fade = (-elapsed / (CARRIED_LASTS * self.settings.warm_up_time).max(1.0)).exp();
         for i in (0..self.pools.len()).filter(|i| self.steady(now, *i)).collect::<Vec<_>>() {
             let c = self.carried.entry(self.pools[i].number).or_default();
             c.most *= fade;
@@ -635,10 +635,10 @@
     /// over, and no more than its processor says that it can take beyond what its busy lines turn over.
     fn room(&self, i: usize) -> Option<f64> {
         let (free, lines) = self.pools[i].lines?;
-        let hold = self.settings.hold?;
+        let hold = self.settings.mean_holding_time?;
         let taken = (lines - free).max(0.0) / hold;
         let room = self.pools[i].can_take.map_or(f64::MAX, |t| t - taken).min(free / hold).max(0.0);
-        (self.settings.fronts > 0).then_some(room / f64::from(self.settings.fronts))
+        (self.settings.gatekeepers > 0).then_some(room / f64::from(self.settings.gatekeepers))
     }
 
     fn admits(&mut self, now: f64, i: usize, call: &Call) -> bool {
@@ -729,7 +729,7 @@
         }
         self.rate.count(now, self.window);
         if self.number_busy(now, call.dialled) {
-            out.push(Action::Refuse { call: id, retry_after: self.settings.retry_after.unwrap_or(0.0) });
+            out.push(Action::Refuse { call: id, retry_after: self.settings.max_retry_after.unwrap_or(0.0) });
             return;
         }
         match self.turned_away.get(&call.dialled).filter(|t| t.1 > now) {
@@ -782,7 +782,7 @@
     }
 
     fn note_tenant(&mut self, now: f64, tenant: usize) {
-        let fade = (-(now - self.mix_at) / self.settings.cold.max(1.0)).exp();
+        let fade = (-(now - self.mix_at) / self.settings.warm_up_time.max(1.0)).exp();
         self.mix_at = now;
         for calls in &mut self.mix {
             *calls *= fade;
@@ -845,10 +845,10 @@
             || (call.may_have_run && !self.repeatable(call.class));
         let choice = if hopeless || from > now { Choice::Nowhere } else { self.choose(now, id, &call) };
         if let Choice::Denied(ask, denial) = choice {
-            self.gate.turned_away(now, &ask, &denial);
+            self.gate.on_refused(now, &ask, &denial);
             return self.refuse(now, id, &call, denial.retry_after, out);
         } else if let Choice::Pool(i, ask) = choice {
-            self.gate.sent(now, &ask);
+            self.gate.on_sent(now, &ask);
             let number = self.pools[i].number;
             if let (true, Some(carried)) = (self.steady(now, i), self.carried.get_mut(&number)) {
                 carried.calls += 1.0;
@@ -878,7 +878,7 @@
             // Pools open again at their next report at the earliest; callers told one and the same time
             // would come back in step and push them back over, so the rank, which is random, spreads them.
             let soon = (self.unit * (RETRY_FIRST + call.rank)).max(least);
-            let retry_after = self.settings.retry_after.map_or(0.0, |most| soon.min(most));
+            let retry_after = self.settings.max_retry_after.map_or(0.0, |most| soon.min(most));
             out.push(Action::Refuse { call: id, retry_after });
         }
     }
@@ -939,7 +939,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         let resting = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         call.may_have_run |= resting || outcome == Outcome::Error;
-        let from = if resting { now + self.settings.release } else { now };
+        let from = if resting { now + self.settings.release_time } else { now };
         call.held_from = Some(from);
         call.hold_until = call.hold_until.max(from + self.unit);
         // Lines come free all the time, and a pool that lost one set-up, or the connection that it was on,
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many fronts share the pools.
-    pub fronts: u32,
+    pub gatekeepers: u32,
     /// Least spacing of two batches of events.
-    pub period: f64,
+    pub min_batch_interval: f64,
     /// The classes of call.
     pub classes: Vec<ClassSettings>,
     /// The tenants; may be empty.
@@ -62,21 +62,21 @@
     /// How the result is weighted.
     pub goal: GoalWeights,
     /// How long a call stands on average, if told.
-    pub hold: Option<f64>,
+    pub mean_holding_time: Option<f64>,
     /// After this time a set-up waiting at a processor is sent again; 0 is never.
-    pub retransmit: f64,
+    pub retransmit_time: f64,
     /// A call whose attempt timed out, was reset or cancelled is not sent again for this long.
-    pub release: f64,
+    pub release_time: f64,
     /// Attempts allowed for one call.
     pub try_limit: u32,
     /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
     /// Whether callers are told for how long to stay away, and the longest that they heed.
-    pub retry_after: Option<f64>,
+    pub max_retry_after: Option<f64>,
     /// Time in which a restarted pool has become warm.
-    pub cold: f64,
+    pub warm_up_time: f64,
     /// Share of its capacity with which a restarted pool begins.
-    pub cold_from: f64,
+    pub initial_capacity_ratio: f64,
     /// How far beyond its capacity of the moment a cold pool may be driven.
     pub overload_factor: f64,
     /// Whether the list of pools must be asked for.
@@ -128,17 +128,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Free lines.
-    pub free: Option<f64>,
+    pub free_lines: Option<f64>,
     /// Lines in all.
-    pub lines: Option<f64>,
+    pub total_lines: Option<f64>,
     /// The wait at the processor, in seconds.
     pub wait: Option<f64>,
     /// Busy share of the processor.
-    pub util: Option<f64>,
+    pub utilization: Option<f64>,
     /// New set-ups a second that it can take from all senders together.
-    pub can_take: Option<f64>,
+    pub max_set_up_rate: Option<f64>,
     /// Share of new set-ups that it asks each sender to hold back.
-    pub hold_back: Option<f64>,
+    pub hold_back_ratio: Option<f64>,
 }
 
 /// How an attempt ended.
@@ -159,7 +159,7 @@
     /// Called off.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// Why an attempt was turned back.
@@ -170,7 +170,7 @@
     /// No circuit or agent was free.
     NoLine,
     /// Turned back on the way.
-    TurnedBack,
+    Crankback,
     /// The processor was full.
     ProcessorFull,
     /// Every line of the number is busy.
@@ -203,13 +203,13 @@
         first_choice: u32,
     },
     /// A call stands.
-    Stood {
+    Established {
         /// Which call.
         call: CallId,
         /// Where.
         pool: PoolId,
         /// Time since it was sent.
-        lag: f64,
+        delay: f64,
         /// Which attempt, from 0.
         attempt: u8,
     },
@@ -228,7 +228,7 @@
         /// Why it was turned back.
         cause: Cause,
         /// How long a full processor asks to be left alone.
-        wait: Option<f64>,
+        retry_after: Option<f64>,
         /// The pool's load.
         report: Report,
     },
@@ -336,30 +336,30 @@
 /// each in a fixed order.
 pub trait Gate {
     /// Hears every event, before the module acts on it.
-    fn hear(&mut self, now: f64, event: &Event);
+    fn on_event(&mut self, now: f64, event: &Event);
 
     /// Whether a set-up may go now. Asking takes nothing.
     fn may_send(&mut self, now: f64, candidate: &Candidate) -> Result<(), Denial>;
 
     /// A set-up that was let pass is sent.
-    fn sent(&mut self, now: f64, candidate: &Candidate);
+    fn on_sent(&mut self, now: f64, candidate: &Candidate);
 
     /// A call is refused because its set-up, the first in the module's order, was denied.
-    fn turned_away(&mut self, now: f64, candidate: &Candidate, denial: &Denial);
+    fn on_refused(&mut self, now: f64, candidate: &Candidate, denial: &Denial);
 }
 
 /// The gate that lets everything pass.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Open;
+pub struct AllowAll;
 
-impl Gate for Open {
-    fn hear(&mut self, _: f64, _: &Event) {}
+impl Gate for AllowAll {
+    fn on_event(&mut self, _: f64, _: &Event) {}
 
     fn may_send(&mut self, _: f64, _: &Candidate) -> Result<(), Denial> {
         Ok(())
     }
 
-    fn sent(&mut self, _: f64, _: &Candidate) {}
+    fn on_sent(&mut self, _: f64, _: &Candidate) {}
 
-    fn turned_away(&mut self, _: f64, _: &Candidate, _: &Denial) {}
+    fn on_refused(&mut self, _: f64, _: &Candidate, _: &Denial) {}
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,6 +12,6 @@
 
 pub use controller::Controller;
 pub use interface::{
-    Action, CallId, Candidate, Cause, ClassSettings, Denial, Event, Gate, GoalWeights, ListKind, Open,
+    Action, AllowAll, CallId, Candidate, Cause, ClassSettings, Denial, Event, Gate, GoalWeights, ListKind,
     Outcome, PoolEntry, PoolId, Readiness, Report, Settings, TenantSettings,
 };
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -95,12 +95,12 @@
 
 impl Telemetry {
     /// Whether servers tell anything of themselves.
-    pub fn any(&self) -> bool {
+    pub fn has_fields(&self) -> bool {
         !self.names.is_empty()
     }
 
     /// Names the values of one report; values beyond the names and names beyond the values are left out.
-    pub fn report(&self, values: &[f32]) -> Report {
+    pub fn decode(&self, values: &[f32]) -> Report {
         let mut report = Report::default();
         for (name, value) in self.names.iter().zip(values) {
             tell(&mut report, name, f64::from(*value));
@@ -110,7 +110,7 @@
 
     /// Reads a report as text, `free:12;size:40`. Fields that the settings do not name count as well
     /// where they are known: a report says itself what its fields are.
-    pub fn report_text(&self, text: &str) -> Report {
+    pub fn decode_text(&self, text: &str) -> Report {
         let mut report = Report::default();
         for (name, value) in text.split(';').filter_map(|field| field.split_once(':')) {
             if let Ok(value) = value.trim().parse() {
@@ -127,18 +127,18 @@
         return;
     }
     match name {
-        "free" | "x0" => report.free = Some(value),
-        "size" | "x1" => report.lines = Some(value),
+        "free" | "x0" => report.free_lines = Some(value),
+        "size" | "x1" => report.total_lines = Some(value),
         "latency_ms" => report.wait = Some(value / 1000.0),
-        "util" => report.util = Some(value),
-        "can_take" | "qps" => report.can_take = Some(value),
-        "hold_back" | "eps" => report.hold_back = Some(value),
+        "util" => report.utilization = Some(value),
+        "can_take" | "qps" => report.max_set_up_rate = Some(value),
+        "hold_back" | "eps" => report.hold_back_ratio = Some(value),
         _ => {}
     }
 }
 
 /// Reads the settings' JSON text.
-pub fn read(text: &[u8]) -> Result<(Settings, Telemetry), serde_json::Error> {
+pub fn parse(text: &[u8]) -> Result<(Settings, Telemetry), serde_json::Error> {
     let profile: Profile = serde_json::from_slice(text)?;
     let pools = profile.family_info.pools_by_class;
     let classes = profile.request_classes.iter().enumerate().map(|(i, class)| ClassSettings {
@@ -152,8 +152,8 @@
     });
     let limits = profile.limits;
     let settings = Settings {
-        fronts: profile.peers_total,
-        period: profile.period,
+        gatekeepers: profile.peers_total,
+        min_batch_interval: profile.period,
         classes: classes.collect(),
         tenants: profile.tenants.iter().map(|t| TenantSettings { quota_per_s: t.quota_per_s }).collect(),
         over_share_worth: profile.over_share_worth.unwrap_or(1.0),
@@ -163,14 +163,14 @@
             worst_class: profile.goal.worst_class,
             worst_tenant: profile.goal.worst_tenant,
         },
-        hold: mean(&profile.family_info.holding),
-        retransmit: profile.family_info.retransmit,
-        release: profile.family_info.release,
+        mean_holding_time: mean(&profile.family_info.holding),
+        retransmit_time: profile.family_info.retransmit,
+        release_time: profile.family_info.release,
         try_limit: limits.try_limit,
         may_cancel: limits.may_cancel,
-        retry_after: limits.retry_after.then_some(limits.max_retry_after),
-        cold: profile.safety.cold,
-        cold_from: profile.safety.cold_from,
+        max_retry_after: limits.retry_after.then_some(limits.max_retry_after),
+        warm_up_time: profile.safety.cold,
+        initial_capacity_ratio: profile.safety.cold_from,
         overload_factor: profile.safety.overload_factor,
         must_subscribe: profile.discovery == "ask",
     };
@@ -190,11 +190,16 @@
     fn a_report_as_text_tells_what_it_names_and_nothing_else() {
         let telemetry = Telemetry { names: Vec::new() };
         let report =
-            telemetry.report_text("x0:12;x1: 40;eps:0.25;queue:3;latency_ms:-1;util:nan;can_take:x;;qps");
-        let told = Report { free: Some(12.0), lines: Some(40.0), hold_back: Some(0.25), ..Report::default() };
+            telemetry.decode_text("x0:12;x1: 40;eps:0.25;queue:3;latency_ms:-1;util:nan;can_take:x;;qps");
+        let told = Report {
+            free_lines: Some(12.0),
+            total_lines: Some(40.0),
+            hold_back_ratio: Some(0.25),
+            ..Report::default()
+        };
         assert_eq!(report, told);
-        assert_eq!(telemetry.report_text("free:1;size:2;hold_back:-1"), {
-            Report { free: Some(1.0), lines: Some(2.0), ..Report::default() }
+        assert_eq!(telemetry.decode_text("free:1;size:2;hold_back:-1"), {
+            Report { free_lines: Some(1.0), total_lines: Some(2.0), ..Report::default() }
         });
     }
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -20,7 +20,7 @@
 
 impl Fleet {
     fn new() -> Self {
-        let shape = Shape { fronts: FRONTS as u32, ..Shape::default() };
+        let shape = Shape { gatekeepers: FRONTS as u32, ..Shape::default() };
         let fronts = (0..FRONTS).map(|seed| {
             let mut front = Front::new(settings(&shape), seed);
             let pools = (1..=POOLS).map(|n| entry(n as u32, Readiness::Ready, 0.0)).collect();
@@ -155,9 +155,9 @@
 fn calls_of_a_drained_pool_go_where_there_is_room_and_not_to_a_pool_without() {
     let mut fleet = Fleet::new();
     fleet.fronts.clear();
-    let shape = Shape { fronts: FRONTS as u32, ..Shape::default() };
+    let shape = Shape { gatekeepers: FRONTS as u32, ..Shape::default() };
     for seed in 0..FRONTS {
-        let settings = hollypaddle_policy::Settings { hold: Some(8.0), ..settings(&shape) };
+        let settings = hollypaddle_policy::Settings { mean_holding_time: Some(8.0), ..settings(&shape) };
         let mut front = Front::new(settings, seed);
         front.list(ListKind::Cached, (1..=POOLS).map(|n| entry(n as u32, Readiness::Ready, 0.0)).collect());
         front.answers.extend((1..=POOLS).map(|n| (PoolId(n), 0.03)));
@@ -165,7 +165,7 @@
     }
     let tell = |f: &mut Front| {
         for (pool, free) in [(3, 0.0), (4, 300.0)] {
-            let report = Report { free: Some(free), lines: Some(800.0), ..Report::default() };
+            let report = Report { free_lines: Some(free), total_lines: Some(800.0), ..Report::default() };
             f.event(Event::Load { pool: PoolId(pool), report });
         }
     };
@@ -207,14 +207,19 @@
 #[test]
 fn settings_without_fronts_and_reports_of_no_lines_break_nothing() {
     for fronts in [0, u32::MAX] {
-        let shape = Shape { fronts, ..Shape::default() };
+        let shape = Shape { gatekeepers: fronts, ..Shape::default() };
         let hold = if fronts == 0 { Some(f64::NAN) } else { Some(0.0) };
-        let mut front = Front::new(hollypaddle_policy::Settings { hold, ..settings(&shape) }, 3);
+        let mut front =
+            Front::new(hollypaddle_policy::Settings { mean_holding_time: hold, ..settings(&shape) }, 3);
         front.list(ListKind::Cached, (1..=3).map(|n| entry(n, Readiness::Ready, 0.0)).collect());
         for free in [0.0, -5.0, f64::NAN, f64::INFINITY, 9.0] {
             for pool in 1..=3 {
-                let report =
-                    Report { free: Some(free), lines: Some(0.0), can_take: Some(free), ..Report::default() };
+                let report = Report {
+                    free_lines: Some(free),
+                    total_lines: Some(0.0),
+                    max_set_up_rate: Some(free),
+                    ..Report::default()
+                };
                 front.event(Event::Load { pool: PoolId(pool), report });
             }
             let call = front.call(0, 1);
--- a/crates/policy/tests/front/mod.rs
+++ b/crates/policy/tests/front/mod.rs
@@ -15,12 +15,12 @@
     pub retransmit: f64,
     pub try_limit: u32,
     pub may_cancel: bool,
-    pub fronts: u32,
+    pub gatekeepers: u32,
 }
 
 impl Default for Shape {
     fn default() -> Self {
-        Shape { tenants: 0, retransmit: 0.4, try_limit: 6, may_cancel: true, fronts: 4 }
+        Shape { tenants: 0, retransmit: 0.4, try_limit: 6, may_cancel: true, gatekeepers: 4 }
     }
 }
 
@@ -34,20 +34,20 @@
         repeatable: true,
     };
     Settings {
-        fronts: shape.fronts,
-        period: 0.005,
+        gatekeepers: shape.gatekeepers,
+        min_batch_interval: 0.005,
         classes: vec![class(2.0, 1.0), class(1.2, 3.0)],
         tenants: (0..shape.tenants).map(|i| TenantSettings { quota_per_s: 10.0 + i as f64 }).collect(),
         over_share_worth: 0.2,
         goal: GoalWeights { whole: 0.5, worst_window: 0.2, worst_class: 0.2, worst_tenant: 0.1 },
-        hold: None,
-        retransmit: shape.retransmit,
-        release: 0.3,
+        mean_holding_time: None,
+        retransmit_time: shape.retransmit,
+        release_time: 0.3,
         try_limit: shape.try_limit,
         may_cancel: shape.may_cancel,
-        retry_after: Some(2.0),
-        cold: 14.0,
-        cold_from: 0.3,
+        max_retry_after: Some(2.0),
+        warm_up_time: 14.0,
+        initial_capacity_ratio: 0.3,
         overload_factor: 2.5,
         must_subscribe: false,
     }
@@ -107,7 +107,7 @@
 impl Front {
     pub fn new(settings: Settings, seed: u64) -> Self {
         Front {
-            release: settings.release,
+            release: settings.release_time,
             try_limit: settings.try_limit,
             may_cancel: settings.may_cancel,
             controller: Controller::new(settings, seed),
@@ -244,13 +244,13 @@
         }
     }
 
-    pub fn stand(&mut self, call: CallId, lag: f64) {
+    pub fn stand(&mut self, call: CallId, delay: f64) {
         let state = self.calls.get_mut(&call).expect("known");
         let Some(pool) = state.out.take() else { return };
         assert_eq!(state.answer, None);
         state.answer = Some(Final::Stood);
         let attempt = state.attempts - 1;
-        self.event(Event::Stood { call, pool, lag, attempt });
+        self.event(Event::Established { call, pool, delay, attempt });
     }
 
     pub fn end(&mut self, call: CallId, outcome: Outcome, cause: Cause) {
@@ -265,16 +265,16 @@
         }
         let attempt = state.attempts - 1;
         let complete = state.answer.is_some();
-        self.event(Event::Ended { call, pool, attempt, complete, outcome, cause, wait: None, report });
+        self.event(Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after: None, report });
     }
 
     /// A processor turned the attempt away as full and perhaps named a wait.
-    pub fn end_full(&mut self, call: CallId, wait: Option<f64>, report: Report) {
+    pub fn end_full(&mut self, call: CallId, retry_after: Option<f64>, report: Report) {
         let state = self.calls.get_mut(&call).expect("known");
         let Some(pool) = state.out.take() else { return };
         let attempt = state.attempts - 1;
         let (outcome, cause, complete) = (Outcome::Full, Cause::ProcessorFull, state.answer.is_some());
-        self.event(Event::Ended { call, pool, attempt, complete, outcome, cause, wait, report });
+        self.event(Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after, report });
     }
 
     /// The caller goes; an attempt that is out still brings its end.
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -22,7 +22,7 @@
 }
 
 impl Gate for Scripted {
-    fn hear(&mut self, _: f64, _: &Event) {}
+    fn on_event(&mut self, _: f64, _: &Event) {}
 
     fn may_send(&mut self, _: f64, c: &Candidate) -> Result<(), Denial> {
         self.asked.push((c.pool, c.last_resort));
@@ -32,11 +32,11 @@
         }
     }
 
-    fn sent(&mut self, _: f64, c: &Candidate) {
+    fn on_sent(&mut self, _: f64, c: &Candidate) {
         self.sent.push((c.call, c.pool, c.attempt));
     }
 
-    fn turned_away(&mut self, _: f64, c: &Candidate, denial: &Denial) {
+    fn on_refused(&mut self, _: f64, c: &Candidate, denial: &Denial) {
         assert_eq!(denial.reason, "scripted");
         self.away.push((c.call, c.pool));
     }
@@ -55,22 +55,22 @@
 impl World {
     fn new(shut: &[PoolId]) -> World {
         let gate = Scripted { shut: shut.iter().copied().collect(), ..Scripted::default() };
-        let shape = Shape { fronts: 1, ..Shape::default() };
-        let controller = Controller::gated(settings(&shape), 1, gate);
+        let shape = Shape { gatekeepers: 1, ..Shape::default() };
+        let controller = Controller::with_gate(settings(&shape), 1, gate);
         let mut world = World { controller, now: 100.0, next: 0, timer: None };
         let entries = vec![entry(1, Readiness::Ready, 0.0), entry(2, Readiness::Ready, 0.0)];
         world.tell(Event::List { kind: ListKind::Cached, entries });
         // Pools that have carried calls admit those of another first choice.
-        let open = std::mem::take(&mut world.controller.gate().shut);
+        let open = std::mem::take(&mut world.controller.gate_mut().shut);
         for n in 0..400 {
             let call = world.next + 1;
             world.call(1 + n % 2);
             world.now += 0.02;
             let pool = PoolId(u64::from(1 + n % 2));
-            world.tell(Event::Stood { call, pool, lag: 0.02, attempt: 0 });
+            world.tell(Event::Established { call, pool, delay: 0.02, attempt: 0 });
             world.now += 0.03;
         }
-        let gate = world.controller.gate();
+        let gate = world.controller.gate_mut();
         (gate.shut, gate.asked, gate.sent) = (open, Vec::new(), Vec::new());
         world
     }
@@ -120,7 +120,7 @@
     let mut world = World::new(&[A]);
     let actions = world.call(1);
     assert_eq!(sent_to(&actions), Some(B));
-    let gate = world.controller.gate();
+    let gate = world.controller.gate_mut();
     assert_eq!(gate.asked, [(A, false), (B, false)], "the first choice first, and no last resort");
     assert_eq!(gate.away, []);
 }
@@ -135,7 +135,7 @@
         "{actions:?}"
     );
     let call = world.next;
-    let gate = world.controller.gate();
+    let gate = world.controller.gate_mut();
     assert_eq!(gate.asked, [(A, false), (B, false), (A, true), (B, true)]);
     assert_eq!((&gate.away[..], gate.sent.len()), (&[(call, A)][..], 0), "once, for its first choice");
 }
@@ -143,9 +143,9 @@
 #[test]
 fn the_last_resort_is_asked_in_the_modules_order() {
     let mut world = World::new(&[A, B]);
-    world.controller.gate().bends = true;
+    world.controller.gate_mut().bends = true;
     assert_eq!(sent_to(&world.call(2)), Some(B));
-    assert_eq!(world.controller.gate().asked, [(B, false), (A, false), (B, true)]);
+    assert_eq!(world.controller.gate_mut().asked, [(B, false), (A, false), (B, true)]);
 }
 
 /// Guards against further attempts that pass a gate by, or that forget the release time for it.
@@ -155,17 +155,17 @@
     let actions = world.call(1);
     let (call, pool) = (world.next, sent_to(&actions).unwrap());
     let end = |attempt, outcome| {
-        let (cause, wait, report) = (Cause::Unknown, None, Report::default());
-        Event::Ended { call, pool, attempt, complete: false, outcome, cause, wait, report }
+        let (cause, retry_after, report) = (Cause::Unknown, None, Report::default());
+        Event::Ended { call, pool, attempt, complete: false, outcome, cause, retry_after, report }
     };
     world.now += 0.05;
     assert_eq!(sent_to(&world.tell(end(0, Outcome::Reset))), None);
-    world.controller.gate().shut.extend([A, B]);
-    let (asked, reset_at) = (world.controller.gate().asked.len(), world.now);
+    world.controller.gate_mut().shut.extend([A, B]);
+    let (asked, reset_at) = (world.controller.gate_mut().asked.len(), world.now);
     let answer = world.wait();
     assert!(matches!(answer[..], [Action::Refuse { .. }]), "{answer:?}");
     assert!(world.now >= reset_at + 0.3, "before the release time");
-    let gate = world.controller.gate();
+    let gate = world.controller.gate_mut();
     assert!(gate.asked.len() > asked, "not asked");
     assert_eq!((gate.sent.len(), gate.away.len()), (1, 1));
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -65,7 +65,7 @@
     let (least, most) = front.advised.iter().fold((f64::MAX, 0.0f64), |(l, m), a| (l.min(*a), m.max(*a)));
     assert_eq!(front.advised.len(), 20);
     assert!(least >= 0.1 && most <= 1.0 && most > 1.3 * least, "between {least} and {most} s");
-    let quiet = Settings { retry_after: None, ..settings(&Shape::default()) };
+    let quiet = Settings { max_retry_after: None, ..settings(&Shape::default()) };
     let mut front = Front::new(quiet, 2);
     front.call(0, 1);
     front.run(1.0);
@@ -240,8 +240,17 @@
         front.call(0, 1 + n % 2);
         // A standing call ends: a release got through pool 1's processor.
         let (outcome, cause, report) = (Outcome::Done, Cause::Unknown, Report::default());
-        let (call, pool, wait) = (1, POOL_A, None);
-        front.event(Event::Ended { call, pool, attempt: 0, complete: true, outcome, cause, wait, report });
+        let (call, pool, retry_after) = (1, POOL_A, None);
+        front.event(Event::Ended {
+            call,
+            pool,
+            attempt: 0,
+            complete: true,
+            outcome,
+            cause,
+            retry_after,
+            report,
+        });
         front.run(0.1);
     }
     assert_eq!(front.cancels, 0);
@@ -330,7 +339,7 @@
     let mut front = two_pools(21);
     front.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
     front.answers.insert(POOL_A, 0.03);
-    let report = Report { hold_back: Some(0.5), ..Report::default() };
+    let report = Report { hold_back_ratio: Some(0.5), ..Report::default() };
     let calls: Vec<u32> = (0..400)
         .map(|_| {
             front.event(Event::Load { pool: POOL_A, report });
@@ -347,7 +356,7 @@
 #[test]
 fn a_share_to_hold_back_that_is_not_renewed_no_longer_counts() {
     let mut front = two_used_pools(34);
-    let report = Report { hold_back: Some(1.0), ..Report::default() };
+    let report = Report { hold_back_ratio: Some(1.0), ..Report::default() };
     front.event(Event::Load { pool: POOL_A, report });
     let call = front.call(0, 1);
     assert_ne!(front.out_to(call), Some(POOL_A), "it asked for all to be held back");
@@ -366,7 +375,7 @@
     let mut refused_under = |util: f64| {
         let calls: Vec<u32> = (0..200)
             .map(|_| {
-                let report = Report { util: Some(util), ..Report::default() };
+                let report = Report { utilization: Some(util), ..Report::default() };
                 front.event(Event::Load { pool: POOL_A, report });
                 let call = front.call(0, 1);
                 front.run(0.05);
@@ -558,7 +567,7 @@
     let report = Report::default();
     let (outcome, cause) = (Outcome::Full, Cause::ProcessorFull);
     let events = [
-        Event::Stood { call: 99, pool: PoolId(77), lag: f64::NAN, attempt: 3 },
+        Event::Established { call: 99, pool: PoolId(77), delay: f64::NAN, attempt: 3 },
         Event::Ended {
             call: 99,
             pool: PoolId(77),
@@ -566,7 +575,7 @@
             complete: false,
             outcome,
             cause,
-            wait: None,
+            retry_after: None,
             report,
         },
         Event::Load { pool: PoolId(77), report },
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -26,12 +26,12 @@
         return Report::default();
     }
     Report {
-        free: Some(dice.below(50) as f64),
-        lines: (dice.below(3) > 0).then(|| dice.below(60) as f64),
+        free_lines: Some(dice.below(50) as f64),
+        total_lines: (dice.below(3) > 0).then(|| dice.below(60) as f64),
         wait: Some(dice.unit() * if dice.below(8) == 0 { 4.0 } else { 0.3 }),
-        util: (dice.below(2) == 0).then(|| dice.unit()),
-        can_take: Some(dice.unit() * 60.0),
-        hold_back: (dice.below(4) == 0).then(|| dice.unit()),
+        utilization: (dice.below(2) == 0).then(|| dice.unit()),
+        max_set_up_rate: Some(dice.unit() * 60.0),
+        hold_back_ratio: (dice.below(4) == 0).then(|| dice.unit()),
     }
 }
 
@@ -66,7 +66,7 @@
                     3 => front.end_with(call, Outcome::Error, Cause::Unknown, report),
                     4 => front.end_with(call, Outcome::ConnectFailed, Cause::Unknown, report),
                     5 => front.end_with(call, Outcome::Reset, Cause::Unknown, report),
-                    6 => front.end_with(call, Outcome::Moot, Cause::Unknown, report),
+                    6 => front.end_with(call, Outcome::NotSent, Cause::Unknown, report),
                     _ if front.calls[&call].answer.is_some() => {
                         front.end_with(call, Outcome::Cancelled, Cause::Unknown, report)
                     }
@@ -119,11 +119,11 @@
     let mut all = Vec::new();
     for tenants in [0, 3] {
         for (reports, hints) in [(true, true), (true, false), (false, true), (false, false)] {
-            for (retransmit, may_cancel, try_limit, fronts) in
+            for (retransmit, may_cancel, try_limit, gatekeepers) in
                 [(0.4, true, 6, 4), (0.8, false, 5, 8), (0.0, true, 2, 1), (0.0, false, 1, 1)]
             {
                 let seed = 101 + all.len() as u64;
-                let shape = Shape { tenants, retransmit, try_limit, may_cancel, fronts };
+                let shape = Shape { tenants, retransmit, try_limit, may_cancel, gatekeepers };
                 let front = stream(&shape, reports, hints, seed);
                 all.push((shape, seed, front));
             }
@@ -146,7 +146,7 @@
 }
 
 impl Gate for Watching {
-    fn hear(&mut self, _: f64, _: &Event) {
+    fn on_event(&mut self, _: f64, _: &Event) {
         self.heard += 1;
     }
 
@@ -155,11 +155,11 @@
         Ok(())
     }
 
-    fn sent(&mut self, _: f64, candidate: &Candidate) {
+    fn on_sent(&mut self, _: f64, candidate: &Candidate) {
         self.sent.push(*candidate);
     }
 
-    fn turned_away(&mut self, _: f64, _: &Candidate, _: &Denial) {
+    fn on_refused(&mut self, _: f64, _: &Candidate, _: &Denial) {
         panic!("nothing is denied");
     }
 }
@@ -176,7 +176,7 @@
 fn the_five_rules_hold_and_an_open_gate_changes_nothing() {
     let mut before = String::new();
     for (shape, seed, front) in streams() {
-        let mut controller = Controller::gated(settings(&shape), seed, Watching::default());
+        let mut controller = Controller::with_gate(settings(&shape), seed, Watching::default());
         let mut sends = Vec::new();
         for (now, event, actions) in &front.record {
             let mut out = Vec::new();
@@ -188,7 +188,7 @@
                 _ => None,
             }));
         }
-        let gate = controller.gate();
+        let gate = controller.gate_mut();
         let told: Vec<_> = gate.sent.iter().map(|c| (c.call, c.pool)).collect();
         assert_eq!((gate.heard, &gate.asked, told), (front.record.len(), &gate.sent, sends));
         assert!(gate.asked.iter().all(|c| !c.last_resort));
@@ -200,12 +200,12 @@
 fn settings_without_sense_do_not_break_the_controller() {
     let mut odd = settings(&Shape::default());
     odd.classes.clear();
-    odd.fronts = 0;
-    odd.retransmit = f64::NAN;
-    odd.cold = f64::NAN;
-    odd.cold_from = -1.0;
-    odd.period = 0.0;
-    odd.release = -3.0;
+    odd.gatekeepers = 0;
+    odd.retransmit_time = f64::NAN;
+    odd.warm_up_time = f64::NAN;
+    odd.initial_capacity_ratio = -1.0;
+    odd.min_batch_interval = 0.0;
+    odd.release_time = -3.0;
     let mut controller = Controller::new(odd, 1);
     let mut out = Vec::new();
     let entries = vec![entry(1, Readiness::Ready, f64::NAN)];
--- a/crates/replica/src/guard.rs
+++ b/crates/replica/src/guard.rs
@@ -71,9 +71,9 @@
 }
 
 impl Gate for Guard {
-    fn hear(&mut self, _: f64, event: &Event) {
+    fn on_event(&mut self, _: f64, event: &Event) {
         // Its own word ends what others say.
-        if let Event::Stood { pool, .. } | Event::Load { pool, .. } = event {
+        if let Event::Established { pool, .. } | Event::Load { pool, .. } = event {
             self.heard(*pool);
         }
     }
@@ -92,9 +92,9 @@
         Err(denial)
     }
 
-    fn sent(&mut self, _: f64, _: &Candidate) {}
+    fn on_sent(&mut self, _: f64, _: &Candidate) {}
 
-    fn turned_away(&mut self, _: f64, _: &Candidate, _: &Denial) {
+    fn on_refused(&mut self, _: f64, _: &Candidate, _: &Denial) {
         self.turned_away += 1;
     }
 }
@@ -171,7 +171,7 @@
         guard.silence(10.0, PoolId(1), Some(9.5), 9.6);
         assert!(guard.may_send(10.0, &candidate).is_ok(), "heard since");
         guard.silence(10.0, PoolId(1), Some(9.5), 9.0);
-        guard.hear(10.1, &Event::Load { pool: PoolId(1), report: Default::default() });
+        guard.on_event(10.1, &Event::Load { pool: PoolId(1), report: Default::default() });
         assert!(guard.may_send(10.1, &candidate).is_ok(), "heard now");
         guard.hold(true);
         assert_eq!(guard.may_send(10.2, &candidate).unwrap_err().reason, "fleet-catching-up");
--- a/crates/wirehost/src/codec.rs
+++ b/crates/wirehost/src/codec.rs
@@ -231,20 +231,22 @@
                     252 => Outcome::ConnectFailed,
                     251 => Outcome::Reset,
                     250 => Outcome::Cancelled,
-                    249 => Outcome::Moot,
+                    249 => Outcome::NotSent,
                     other => return Err(self.bad("stateCode", u64::from(other))),
                 };
                 let cause = match why % 16 {
                     1 => Cause::NoLine,
-                    2 => Cause::TurnedBack,
+                    2 => Cause::Crankback,
                     3 => Cause::ProcessorFull,
                     4 => Cause::NumberBusy,
                     _ => Cause::Unknown,
                 };
-                let wait = (cause == Cause::ProcessorFull && why >= 16).then(|| f64::from(why / 16) / 1000.0);
+                let retry_after =
+                    (cause == Cause::ProcessorFull && why >= 16).then(|| f64::from(why / 16) / 1000.0);
                 let values = self.figures()?;
                 let report = Report::default();
-                let event = Event::Ended { call, pool, attempt, complete, outcome, cause, wait, report };
+                let event =
+                    Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after, report };
                 Record::Figures { who, make: NeedsReport::Ended(event), values }
             }
             2 => {
@@ -276,9 +278,9 @@
                 let who = self.u16()?;
                 let call = self.u32()?;
                 let pool = self.pool()?;
-                let lag = self.f64()?;
+                let delay = self.f64()?;
                 let attempt = self.u8()?;
-                Record::Event { who, event: Event::Stood { call, pool, lag, attempt } }
+                Record::Event { who, event: Event::Established { call, pool, delay, attempt } }
             }
             6 => {
                 let number = self.u8()?;
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -21,7 +21,7 @@
         let mut reader = codec::Reader::new(body);
         while let Some(record) = reader.record()? {
             match record {
-                Record::Create { who, seed, settings } => match settings::read(settings) {
+                Record::Create { who, seed, settings } => match settings::parse(settings) {
                     Ok((settings, telemetry)) => {
                         let controller = Controller::new(settings, seed);
                         self.instances.insert(who, (controller, telemetry));
@@ -45,7 +45,7 @@
                 Record::Event { who, event } => self.event(now, who, event, reply),
                 Record::Figures { who, make, values } => {
                     let report = match self.instances.get(&who) {
-                        Some((_, telemetry)) => telemetry.report(&values),
+                        Some((_, telemetry)) => telemetry.decode(&values),
                         None => continue,
                     };
                     self.event(now, who, make.with(report), reply);
