--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -20,7 +20,7 @@
 use super::clients::Clients;
 use super::clock::Clock;
 use super::events::{log_member_event, Lines};
-use super::hearsay::{Hearsay, Told};
+use super::observations::{Hearsay, Told};
 use super::peers::Peers;
 use super::poller::{Ready, Watch};
 use super::servers::Servers;
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -23,7 +23,7 @@
 use super::control::Question;
 use super::events::{log_member_event, Lines};
 use super::fleet::new_life;
-use super::hearsay::{Hearsay, Told};
+use super::observations::{Hearsay, Told};
 use super::poller::Ready;
 use super::relays::{most_links, most_links_of_leaf, Links};
 use super::subjects::{Room, Subject};
