--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -164,8 +164,8 @@
                 named = Some(own);
             }
             ("listen", [address]) => fleet.listen = take(address, socket, problems),
-            ("suspect", [time]) => set(&mut s.membership.suspect, take(time, duration, problems)),
-            ("gone", [time]) => set(&mut s.membership.gone, take(time, duration, problems)),
+            ("suspect", [time]) => set(&mut s.membership.suspect_after_s, take(time, duration, problems)),
+            ("gone", [time]) => set(&mut s.membership.gone_after_s, take(time, duration, problems)),
             ("digest", [time]) => set(&mut s.digest, take(time, duration, problems)),
             ("lists-late", [time]) => set(&mut s.lists_late, take(time, duration, problems)),
             ("forget", [time]) => set(&mut s.forget, take(time, duration, problems)),
@@ -223,12 +223,12 @@
         wrong(&own.place, text, problems);
     }
     let s = &fleet.settings;
-    if s.membership.gone < 2.0 * s.membership.suspect {
+    if s.membership.gone_after_s < 2.0 * s.membership.suspect_after_s {
         let text =
             "a member is gone before its silence is suspect, expected `gone` of twice `suspect` or more";
         wrong(place, text, problems);
     }
-    if s.forget < 2.0 * s.membership.gone {
+    if s.forget < 2.0 * s.membership.gone_after_s {
         let text =
             "what a member held is forgotten before it is gone, expected `forget` of twice `gone` or more";
         wrong(place, text, problems);
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -256,7 +256,10 @@
     let fleet = conf.fleet.unwrap();
     let s = fleet.settings;
     assert_eq!((s.within, s.catch_up.rate, s.catch_up.most), (5.0, 2097152.0, 5000));
-    assert_eq!((s.membership.suspect, s.membership.gone, s.forget, s.digest), (0.5, 3.0, 300.0, 1.0));
+    assert_eq!(
+        (s.membership.suspect_after_s, s.membership.gone_after_s, s.forget, s.digest),
+        (0.5, 3.0, 300.0, 1.0)
+    );
     assert_eq!(fleet.lend, 0.4);
     assert_eq!(fleet.own("platform").map(|m| m.name.as_str()), Some("a"), "the block's name wins");
     assert_eq!(fleet.listen.map(|l| l.to_string()), Some("0.0.0.0:7100".into()));
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_ownership::owner;
 
 use crate::acceptor::{Acceptor, Asked};
@@ -51,10 +51,16 @@
 
 impl Duties {
     /// A member that has just started.
-    pub fn new(now: f64, own: MemberId, life: Life, settings: Settings, members: &[MemberId]) -> Duties {
+    pub fn new(
+        now: f64,
+        own: MemberId,
+        life: Incarnation,
+        settings: Settings,
+        members: &[MemberId],
+    ) -> Duties {
         Duties {
             own,
-            incarnation: life.incarnation,
+            incarnation: life.number,
             settings,
             members: members.to_vec(),
             acceptor: Acceptor::new(now, settings),
--- a/crates/faults/src/clock.rs
+++ b/crates/faults/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of a simulated process: off from the world's time by up to an hour, and a little too fast or too slow.
 
-use hollypaddle_membership::Life;
+use hollypaddle_membership::Incarnation;
 use rand::Rng;
 
 /// Where the clocks of processes stand on average as the world starts, in seconds.
@@ -37,7 +37,7 @@
     }
 
     /// The life of a process that starts now, while its clock is set back by so many seconds.
-    pub(crate) fn life(&self, world_time: f64, set_back_s: f64, nonce: u64) -> Life {
-        Life { incarnation: ((self.local(world_time) - set_back_s) * 1e3) as u64, nonce }
+    pub(crate) fn life(&self, world_time: f64, set_back_s: f64, nonce: u64) -> Incarnation {
+        Incarnation { number: ((self.local(world_time) - set_back_s) * 1e3) as u64, nonce }
     }
 }
--- a/crates/faults/tests/duties.rs
+++ b/crates/faults/tests/duties.rs
@@ -296,7 +296,7 @@
 fn rendezvous_hashing_alone_names_a_holder_on_each_side_of_a_split() {
     let of = |living: &[usize], key| {
         let mine = |n: &&usize| {
-            let life = hollypaddle_membership::Life { incarnation: 1, nonce: 1 };
+            let life = hollypaddle_membership::Incarnation { number: 1, nonce: 1 };
             let all: Vec<_> = (0..8).map(id).collect();
             let duties = hollypaddle_duties::Duties::new(0.0, id(**n), life, Settings::default(), &all);
             duties.is_mine(key, living.iter().map(|n| id(*n)))
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -147,8 +147,11 @@
             Resolver::new(config.dns, config.known.position, config.seed, config.link.districts.clone())?;
         let resolver_key = watch.add(resolver.socket(), false)?;
         // The links to other gatekeepers come off what callers share with the rest, and so does the control address.
-        let links =
-            config.own.fleet.as_ref().map_or(0, |fleet| super::tier::descriptors(fleet, &config.name));
+        let links = config
+            .own
+            .fleet
+            .as_ref()
+            .map_or(0, |fleet| super::tier::max_link_descriptors(fleet, &config.name));
         let control = config.control.map_or(0, |_| super::http::MOST_CONNECTIONS + 1);
         let fixed = descriptors::FIXED + control;
         let descriptors = Descriptors { all: config.sockets.saturating_sub(links), fixed };
@@ -364,7 +367,7 @@
                 }
             }
         }
-        if let Some(set) = self.subjects.tier.offered() {
+        if let Some(set) = self.subjects.tier.take_offered_settings() {
             self.take_settings(now, &set);
         }
         #[cfg(test)]
@@ -453,14 +456,19 @@
             Effect::Stray { id } => self.servers.release_anywhere(now, id, &self.watch),
             Effect::EndOfUnknown { id, cut, earlier, .. } => {
                 // Of a call that another gatekeeper took: whoever hears of its end tells its caller.
-                if self.subjects.fellows.fleet.as_mut().is_some_and(|fleet| fleet.end(now, id, cut, earlier))
+                if self
+                    .subjects
+                    .fellows
+                    .fleet
+                    .as_mut()
+                    .is_some_and(|fleet| fleet.handle_unknown_end(now, id, cut, earlier))
                 {
                     self.calls.tell_end(id, cut);
                 }
             }
             Effect::ReleaseOfUnknown { id, stray } => {
                 let Some(fleet) = &self.subjects.fellows.fleet else { return };
-                match fleet.call(id).and_then(|call| fleet.pool(call.fact.server)) {
+                match fleet.adopted_call(id).and_then(|call| fleet.pool_of(call.fact.server)) {
                     Some(pool) => {
                         self.calls.released_elsewhere(id);
                         let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -93,7 +93,7 @@
             log::warn!("platform-changed");
         }
         // What did not fit the file as it was may fit it now.
-        if let Some(set) = self.subjects.tier.turned_down() {
+        if let Some(set) = self.subjects.tier.rejected_settings() {
             self.take_settings(now, &set);
         }
     }
@@ -129,7 +129,7 @@
                 log::warn!(version, reason = reason.as_str(); "fleet-settings-not-taken");
             }
         }
-        self.subjects.tier.verdict(version, taken.map(drop));
+        self.subjects.tier.report_verdict(version, taken.map(drop));
     }
 
     /// Takes what the own configuration file says now, all of it or nothing; returns what has changed in a word.
--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -7,7 +7,7 @@
 
 use hollypaddle_config::Fleet as Conf;
 use hollypaddle_core::calls::{Calls, Change};
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_policy::{PoolEntry, PoolId};
 use hollypaddle_replica::adoption::Adopted;
 use hollypaddle_replica::guard::Guard;
@@ -19,34 +19,34 @@
 
 use super::clients::Clients;
 use super::clock::Clock;
-use super::events::{log_member_event, Lines};
-use super::observations::{Hearsay, Told};
+use super::events::{log_member_event, EventLogLimiter};
+use super::observations::{PeerObservations, ReportedServers};
 use super::peers::Peers;
 use super::poller::{Ready, Watch};
 use super::servers::Servers;
-use hollypaddle_membership::view::{Change as Seen, State};
+use hollypaddle_membership::view::{Change as MembershipChange, State};
 
 /// The end of a call that is not known is kept for so long while this member catches up, in seconds: it may learn that
 /// the caller was told. It is owed within 1 s. Of so many at most; beyond that they are told at once.
-const KEPT_FOR: f64 = 0.5;
-const MOST_KEPT: usize = 4096;
+const HOLD_UNKNOWN_END_S: f64 = 0.5;
+const MAX_HELD_ENDS: usize = 4096;
 /// This gatekeeper as a member of a fleet.
 pub struct Fleet {
     conf: Conf,
     member: Member,
     peers: Peers,
-    told: Told,
-    hearsay: Hearsay,
+    reported: ReportedServers,
+    observations: PeerObservations,
     /// Calls of members that are gone whose server is not known here, and since when: the list may name it late. After that
     /// the server counts as gone, and the call as cut.
     unplaced: BTreeMap<u64, (Adopted, f64)>,
     /// Ends of calls that are not known yet, while this member catches up: when they came, and whether cut.
-    kept: VecDeque<(f64, u64, bool)>,
-    lines: Lines,
+    held_ends: VecDeque<(f64, u64, bool)>,
+    log_limiter: EventLogLimiter,
     /// The classes by number, as others know them.
     classes: Vec<u32>,
     /// Nothing may be sent, as this member was paused and what was believed is old.
-    woken: bool,
+    held: bool,
 }
 
 impl Fleet {
@@ -65,38 +65,38 @@
             return Err(io::Error::new(io::ErrorKind::InvalidInput, what));
         };
         let id = MemberId::of(&own.name);
-        let life = new_life(now, seed);
+        let incarnation = new_incarnation(now, seed);
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
-        let mut member = Member::new(now, id, life, conf.settings, members);
+        let mut member = Member::new(now, id, incarnation, conf.settings, members);
         let mut peers = Peers::listen(id, conf.listen.unwrap_or(own.address), watch)?;
-        peers.members(now, named(conf), &mut member, watch);
+        peers.set_members(now, named(conf), &mut member, watch);
         calls.note_changes(true);
-        log::info!(name = own.name.as_str(), listen:% = peers.address(), members = conf.members.len(), life:%; "fleet-joined");
+        log::info!(name = own.name.as_str(), listen:% = peers.address(), members = conf.members.len(), life:% = incarnation; "fleet-joined");
         Ok(Fleet {
             conf: conf.clone(),
             member,
             peers,
-            told: Told::default(),
-            hearsay: Hearsay::new(now),
+            reported: ReportedServers::default(),
+            observations: PeerObservations::new(now),
             unplaced: BTreeMap::new(),
-            kept: VecDeque::new(),
-            lines: Lines::new(now),
+            held_ends: VecDeque::new(),
+            log_limiter: EventLogLimiter::new(now),
             classes: Vec::new(),
-            woken: false,
+            held: false,
         })
     }
 
     /// Whether a configuration read anew needs another listener or name, and so another life.
-    pub fn stays(&self, conf: &Conf, name: &str) -> bool {
+    pub fn keeps_identity(&self, conf: &Conf, name: &str) -> bool {
         let own = |c: &Conf| c.own(name).map(|own| (own.name.clone(), c.listen.unwrap_or(own.address)));
         own(conf) == own(&self.conf)
     }
 
     /// Takes members and settings read anew.
-    pub fn change(&mut self, now: f64, conf: &Conf, watch: &Watch) {
+    pub fn reconfigure(&mut self, now: f64, conf: &Conf, watch: &Watch) {
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         self.member.change(conf.settings, &members);
-        self.peers.members(now, named(conf), &mut self.member, watch);
+        self.peers.set_members(now, named(conf), &mut self.member, watch);
         self.conf = conf.clone();
     }
 
@@ -107,17 +107,17 @@
 
     /// Leaves: says so, closes all links, and notes no more.
     pub fn leave(mut self, now: f64, calls: &mut Calls, watch: &Watch) {
-        self.tell(now, calls);
-        self.peers.say(now, &mut self.member, watch);
-        self.peers.leave(watch);
-        self.peers.shut(now, &mut self.member, watch);
+        self.record_call_changes(now, calls);
+        self.peers.send_due(now, &mut self.member, watch);
+        self.peers.send_leave(watch);
+        self.peers.close_all(now, &mut self.member, watch);
         calls.note_changes(false);
     }
 
     /// One that was joined and is not to count after all: closes its sockets, and touches nothing else.
-    pub fn undo(mut self, now: f64, watch: &Watch) {
-        self.peers.leave(watch);
-        self.peers.shut(now, &mut self.member, watch);
+    pub fn discard(mut self, now: f64, watch: &Watch) {
+        self.peers.send_leave(watch);
+        self.peers.close_all(now, &mut self.member, watch);
     }
 
     /// Whether it may be said to be ready.
@@ -126,36 +126,38 @@
     }
 
     /// When more may be said to a member that waits for it, if one does.
-    pub fn gives_at(&self) -> Option<f64> {
+    pub fn next_send_at(&self) -> Option<f64> {
         self.member.gives_at()
     }
 
     /// A call of which another member said that it stands.
-    pub fn call(&self, id: u64) -> Option<Adopted> {
+    pub fn adopted_call(&self, id: u64) -> Option<Adopted> {
         self.member.call(id)
     }
 
     /// A server told the end of a call that is not known here; returns whether its caller is to be told now. It is
     /// where the call stood through another gatekeeper, or may have stood here `earlier`, and nobody told it yet.
-    pub fn end(&mut self, now: f64, id: u64, cut: bool, earlier: bool) -> bool {
+    pub fn handle_unknown_end(&mut self, now: f64, id: u64, cut: bool, earlier: bool) -> bool {
         if self.member.call(id).is_some() {
             return true;
         }
         if !earlier || self.member.store().told(id) {
             return false;
         }
-        let keep = !self.member.ready() && self.kept.len() < MOST_KEPT;
+        let keep = !self.member.ready() && self.held_ends.len() < MAX_HELD_ENDS;
         // A server says an end again on each new connection.
-        if keep && !self.kept.iter().any(|(_, kept, _)| *kept == id) {
-            self.kept.push_back((now, id, cut));
+        if keep && !self.held_ends.iter().any(|(_, kept, _)| *kept == id) {
+            self.held_ends.push_back((now, id, cut));
         }
         !keep
     }
 
     /// Tells the ends that were kept, but for those that somebody else told.
-    fn tell_kept(&mut self, now: f64, calls: &mut Calls) {
+    fn deliver_held_ends(&mut self, now: f64, calls: &mut Calls) {
         let ready = self.member.ready();
-        while let Some((_, id, cut)) = self.kept.pop_front_if(|(at, ..)| ready || now - *at >= KEPT_FOR) {
+        while let Some((_, id, cut)) =
+            self.held_ends.pop_front_if(|(at, ..)| ready || now - *at >= HOLD_UNKNOWN_END_S)
+        {
             if !self.member.store().told(id) {
                 calls.tell_end(id, cut);
             }
@@ -163,8 +165,8 @@
     }
 
     /// Where a call's server is here.
-    pub fn pool(&self, server: ServerKey) -> Option<PoolId> {
-        self.told.pool(server)
+    pub fn pool_of(&self, server: ServerKey) -> Option<PoolId> {
+        self.reported.pool_of(server)
     }
 
     /// Whether other members have callers whom they could tell the ends of calls.
@@ -173,7 +175,7 @@
     }
 
     /// Hands the ends for which no caller is here to members that have some.
-    pub fn hand_over(&mut self, now: f64, clients: &mut Clients) {
+    pub fn hand_over_ends(&mut self, now: f64, clients: &mut Clients) {
         let here = clients.has_successor();
         self.member.callers(here);
         if !here && self.member.others_have_callers() {
@@ -189,22 +191,22 @@
     // ---- The three places of a turn
 
     /// Takes what is ready, if it is a link's.
-    pub fn heard(&mut self, now: f64, ready: Ready, watch: &mut Watch) {
-        self.peers.ready(now, ready, &mut self.member, watch);
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, watch: &mut Watch) {
+        self.peers.handle_ready(now, ready, &mut self.member, watch);
     }
 
     /// What time brings, before anything that came is taken: after a pause nothing may be sent by what was believed.
     pub fn tick(&mut self, now: f64, guard: &mut Guard) -> bool {
         self.member.tick(now);
-        let woke = self.events(now);
-        self.woken = (self.woken || woke) && !self.member.ready();
-        guard.hold(self.woken);
-        woke
+        let resumed = self.log_events(now);
+        self.held = (self.held || resumed) && !self.member.ready();
+        guard.hold(self.held);
+        resumed
     }
 
     /// Looks after links, tells what is known here and takes over what others know; returns the lines of the list that
     /// this changes. Called now and then.
-    pub fn beat(
+    pub fn maintain(
         &mut self,
         now: f64,
         list_at: f64,
@@ -213,32 +215,32 @@
         guard: &mut Guard,
         watch: &mut Watch,
     ) -> Vec<PoolEntry> {
-        self.peers.beat(now, &mut self.member, watch);
+        self.peers.maintain(now, &mut self.member, watch);
         if self.member.view().superseded() {
-            self.peers.shut(now, &mut self.member, watch);
+            self.peers.close_all(now, &mut self.member, watch);
         }
-        self.told.tell(now, servers, &mut self.member);
-        self.acts(now, calls);
-        self.place(now, calls);
-        self.tell_kept(now, calls);
+        self.reported.report_changes(now, servers, &mut self.member);
+        self.apply_actions(now, calls);
+        self.adopt_unplaced(now, calls);
+        self.deliver_held_ends(now, calls);
         let late = self.conf.settings.lists_late;
-        self.hearsay.listen(now, &self.member.hearsay(), (list_at, late), servers, guard)
+        self.observations.update(now, &self.member.hearsay(), (list_at, late), servers, guard)
     }
 
     /// Carries out: tells what has become of calls, and says what is due on every link that has room.
-    pub fn carry_out(&mut self, now: f64, calls: &mut Calls, watch: &Watch) {
-        self.tell(now, calls);
-        self.acts(now, calls);
-        self.peers.say(now, &mut self.member, watch);
+    pub fn send_pending(&mut self, now: f64, calls: &mut Calls, watch: &Watch) {
+        self.record_call_changes(now, calls);
+        self.apply_actions(now, calls);
+        self.peers.send_due(now, &mut self.member, watch);
     }
 
     // ---- What is told
 
-    fn tell(&mut self, now: f64, calls: &mut Calls) {
+    fn record_call_changes(&mut self, now: f64, calls: &mut Calls) {
         for change in calls.changes() {
             match change {
                 Change::Stands { id, class, pool, since } => {
-                    if let Some(server) = self.told.server(pool) {
+                    if let Some(server) = self.reported.server_of(pool) {
                         let fact = CallFact { server, class: self.classes.get(class).copied().unwrap_or(0) };
                         self.member.stands(since, id, fact);
                     }
@@ -255,13 +257,13 @@
 
     /// The lines of a list, with what others know.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
-        self.hearsay.overlay(entries, list_at, self.conf.settings.lists_late);
+        self.observations.overlay(entries, list_at, self.conf.settings.lists_late);
     }
 
-    fn acts(&mut self, now: f64, calls: &mut Calls) {
+    fn apply_actions(&mut self, now: f64, calls: &mut Calls) {
         for act in self.member.acts() {
             match act {
-                Act::Adopt(id, call) => match self.pool(call.fact.server) {
+                Act::Adopt(id, call) => match self.pool_of(call.fact.server) {
                     Some(pool) => calls.adopt(id, pool, call.since),
                     None => drop(self.unplaced.insert(id, (call, now))),
                 },
@@ -276,10 +278,10 @@
     }
 
     /// Finds the servers of calls that were adopted before their server was known here.
-    fn place(&mut self, now: f64, calls: &mut Calls) {
+    fn adopt_unplaced(&mut self, now: f64, calls: &mut Calls) {
         let mut placed = Vec::new();
         for (id, (call, since)) in &self.unplaced {
-            match self.pool(call.fact.server) {
+            match self.pool_of(call.fact.server) {
                 Some(pool) => {
                     calls.adopt(*id, pool, call.since);
                     placed.push(*id);
@@ -295,15 +297,15 @@
     }
 
     /// Writes events to the log, as far as that may be; returns whether this member was paused.
-    fn events(&mut self, now: f64) -> bool {
-        let mut woke = false;
+    fn log_events(&mut self, now: f64) -> bool {
+        let mut resumed = false;
         for event in self.member.events() {
-            woke |= matches!(event, Event::Member(Seen::Woke(_)));
-            if self.lines.take_for(now, &event) {
+            resumed |= matches!(event, Event::Member(MembershipChange::Resumed(_)));
+            if self.log_limiter.may_log_event(now, &event) {
                 log_member_event(&event, |id| self.peers.name(id));
             }
         }
-        woke
+        resumed
     }
 
     // ---- Reports
@@ -326,7 +328,7 @@
             copies_mended: counts.mended,
             records_left_out: counts.left_out,
             links_refused: self.peers.counts.refused,
-            bytes_said: self.peers.counts.bytes,
+            bytes_said: self.peers.counts.bytes_sent,
         }
     }
 
@@ -338,15 +340,15 @@
             json!({
                 "name": self.peers.name(r.member), "state": r.state.name(),
                 "district": district.and_then(|m| m.district.clone()),
-                "life": r.life.map(|l| l.to_string()), "silent_ms": r.silent.map(|s| (s * 1000.0).round()),
-                "others_ms": r.others.map(|s| (s * 1000.0).round()), "linked": r.linked,
-                "hears_us": !r.deaf, "ready": r.ready,
+                "life": r.incarnation.map(|i| i.to_string()), "silent_ms": r.silent_s.map(|s| (s * 1000.0).round()),
+                "others_ms": r.observed_ago_s.map(|s| (s * 1000.0).round()), "linked": r.linked,
+                "hears_us": !r.not_receiving, "ready": r.ready,
             })
         };
         json!({
-            "name": self.conf.members.iter().find(|m| MemberId::of(&m.name) == view.own()).map(|m| &m.name),
-            "life": view.life().to_string(), "ready": self.member.ready(), "held": self.woken,
-            "quorum": view.quorum(), "superseded": view.superseded(),
+            "name": self.conf.members.iter().find(|m| MemberId::of(&m.name) == view.own_id()).map(|m| &m.name),
+            "life": view.incarnation().to_string(), "ready": self.member.ready(), "held": self.held,
+            "quorum": view.has_quorum(), "superseded": view.superseded(),
             "members": view.snapshot(now).iter().map(row).collect::<Vec<_>>(),
         })
     }
@@ -355,14 +357,14 @@
     pub fn report_replica(&self, calls: &Calls) -> Value {
         let row = |r: &hollypaddle_replica::member::Row| {
             json!({
-                "member": self.peers.name(r.origin.member), "own": r.origin.member == self.member.view().own(),
+                "member": self.peers.name(r.origin.member), "own": r.origin.member == self.member.view().own_id(),
                 "life": r.origin.life.to_string(), "version": r.version, "hash": format!("{:016x}", r.hash),
                 KINDS[0]: r.counts[0], KINDS[1]: r.counts[1], KINDS[2]: r.counts[2], KINDS[3]: r.counts[3],
                 KINDS[4]: r.counts[4], KINDS[5]: r.counts[5], KINDS[6]: r.counts[6], "lag": r.lag,
             })
         };
         let (given, taken, fetching) = self.member.caught();
-        let said = &self.peers.counts.split.records;
+        let said = &self.peers.counts.by_kind.records;
         let records: serde_json::Map<String, Value> =
             KINDS.iter().zip(said).map(|(kind, bytes)| (kind.to_string(), json!(bytes))).collect();
         json!({
@@ -374,10 +376,10 @@
 }
 
 /// The life that begins now.
-pub fn new_life(now: f64, seed: u64) -> Life {
+pub fn new_incarnation(now: f64, seed: u64) -> Incarnation {
     // The seed is new with each start, and so is the process.
     let nonce = seed ^ u64::from(std::process::id()).rotate_left(40) ^ Clock::new().now().to_bits();
-    Life { incarnation: (now.max(0.0) * 1e6) as u64, nonce }
+    Incarnation { number: (now.max(0.0) * 1e6) as u64, nonce }
 }
 
 fn named(conf: &Conf) -> impl Iterator<Item = (MemberId, String, std::net::SocketAddr)> + '_ {
--- a/crates/gatekeeper/src/node/observations.rs
+++ b/crates/gatekeeper/src/node/observations.rs
@@ -14,41 +14,46 @@
 use super::servers::Servers;
 
 /// Whoever tells others of the servers.
-pub trait Tells {
+pub trait ServerReporter {
     /// What the own list says of a server, as of then.
-    fn server(&mut self, at: f64, server: ServerKey, fact: ServerFact);
+    fn report_server(&mut self, at: f64, server: ServerKey, fact: ServerFact);
 
     /// A server of that start is silent since then, or it is not.
-    fn silent(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>);
+    fn report_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>);
 }
 
-impl Tells for Member {
-    fn server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
+impl ServerReporter for Member {
+    fn report_server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
         Member::server(self, at, server, fact);
     }
 
-    fn silent(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
+    fn report_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
         Member::silent(self, now, server, started_ms, since);
     }
 }
 
-impl Tells for Leaf {
-    fn server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
+impl ServerReporter for Leaf {
+    fn report_server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
         Leaf::server(self, at, server, Some(fact));
     }
 
-    fn silent(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
+    fn report_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
         Leaf::silent(self, now, server, started_ms, since);
     }
 }
 
 /// What was told of each server, to tell what changes.
 #[derive(Default)]
-pub struct Told(BTreeMap<PoolId, (ServerKey, ServerFact, bool)>);
+pub struct ReportedServers(BTreeMap<PoolId, (ServerKey, ServerFact, bool)>);
 
-impl Told {
+impl ReportedServers {
     /// Tells what has changed; returns the servers that are gone from the list.
-    pub fn tell(&mut self, now: f64, servers: &Servers, to: &mut dyn Tells) -> Vec<ServerKey> {
+    pub fn report_changes(
+        &mut self,
+        now: f64,
+        servers: &Servers,
+        reporter: &mut dyn ServerReporter,
+    ) -> Vec<ServerKey> {
         let mut gone: Vec<PoolId> = self.0.keys().copied().collect();
         for known in servers.known() {
             gone.retain(|pool| *pool != known.pool);
@@ -60,79 +65,79 @@
             let started_ms = (known.listed.started.max(0.0) * 1000.0) as u64;
             let (fact, silent) = (ServerFact { started_ms, place }, known.silent_at.is_some());
             let old = self.0.insert(known.pool, (server, fact, silent));
-            if old.is_none_or(|(_, told, _)| told != fact) {
-                to.server(now, server, fact);
+            if old.is_none_or(|(_, reported, _)| reported != fact) {
+                reporter.report_server(now, server, fact);
             }
-            if old.map_or(silent, |(_, told, was)| was != silent || silent && told != fact) {
+            if old.map_or(silent, |(_, reported, was)| was != silent || silent && reported != fact) {
                 // The time counts at which what was not answered was sent.
-                to.silent(now, server, started_ms, known.silent_at);
+                reporter.report_silence(now, server, started_ms, known.silent_at);
             }
         }
         let mut left = Vec::new();
         for pool in gone {
             let Some((server, fact, _)) = self.0.remove(&pool) else { continue };
-            to.server(now, server, ServerFact { place: Place::Gone, ..fact });
-            to.silent(now, server, fact.started_ms, None);
+            reporter.report_server(now, server, ServerFact { place: Place::Gone, ..fact });
+            reporter.report_silence(now, server, fact.started_ms, None);
             left.push(server);
         }
         left
     }
 
     /// What was told of a pool's server.
-    pub fn server(&self, pool: PoolId) -> Option<ServerKey> {
+    pub fn server_of(&self, pool: PoolId) -> Option<ServerKey> {
         self.0.get(&pool).map(|(server, ..)| *server)
     }
 
     /// Where a server is here.
-    pub fn pool(&self, server: ServerKey) -> Option<PoolId> {
-        self.0.iter().find(|(_, told)| told.0 == server).map(|(pool, _)| *pool)
+    pub fn pool_of(&self, server: ServerKey) -> Option<PoolId> {
+        self.0.iter().find(|(_, reported)| reported.0 == server).map(|(pool, _)| *pool)
     }
 }
 
 /// What others say of each server, and when the own list was heard, as it was last looked at.
-pub struct Hearsay {
-    said: HashMap<PoolId, Said>,
+pub struct PeerObservations {
+    by_pool: HashMap<PoolId, Said>,
     list_at: f64,
 }
 
-impl Hearsay {
+impl PeerObservations {
     /// Nothing was heard.
-    pub fn new(now: f64) -> Hearsay {
-        Hearsay { said: HashMap::new(), list_at: now }
+    pub fn new(now: f64) -> PeerObservations {
+        PeerObservations { by_pool: HashMap::new(), list_at: now }
     }
 
     /// Takes over what others say of the servers; returns the lines of the list that change by it. Lists may come so much
     /// later at one than at another.
-    pub fn listen(
+    pub fn update(
         &mut self,
         now: f64,
-        hearsay: &BTreeMap<ServerKey, Said>,
+        observations: &BTreeMap<ServerKey, Said>,
         (list_at, late): (f64, f64),
         servers: &Servers,
         guard: &mut Guard,
     ) -> Vec<PoolEntry> {
-        let mut said = HashMap::new();
+        let mut by_pool = HashMap::new();
         for known in servers.known() {
-            let of = hearsay.get(&ServerKey::of(known.name));
+            let of = observations.get(&ServerKey::of(known.name));
             let started_ms = (known.listed.started.max(0.0) * 1000.0) as u64;
             let silent = of.filter(|s| s.fact.started_ms >= started_ms).and_then(|s| s.silent);
             guard.silence(now, known.pool, silent.map(|(at, _)| at), known.last_message_at);
-            said.extend(of.map(|of| (known.pool, *of)));
+            by_pool.extend(of.map(|of| (known.pool, *of)));
         }
         let ready = servers.known().filter(|k| k.listed.readiness == Readiness::Ready).map(|k| k.pool);
         guard.in_service(&ready.collect::<Vec<PoolId>>());
-        let old = std::mem::replace(&mut self.said, said);
+        let old = std::mem::replace(&mut self.by_pool, by_pool);
         let old_at = std::mem::replace(&mut self.list_at, list_at);
         let entries = servers.entries().into_iter();
         let was = |e: &PoolEntry| overlay(*e, old.get(&e.pool), old_at, late);
-        let is = |e: &PoolEntry| overlay(*e, self.said.get(&e.pool), list_at, late);
+        let is = |e: &PoolEntry| overlay(*e, self.by_pool.get(&e.pool), list_at, late);
         entries.filter(|e| was(e) != is(e)).map(|e| is(&e)).collect()
     }
 
     /// The lines of a list, with what others know.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64, late: f64) {
         for entry in entries {
-            *entry = overlay(*entry, self.said.get(&entry.pool), list_at, late);
+            *entry = overlay(*entry, self.by_pool.get(&entry.pool), list_at, late);
         }
     }
 }
--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -24,33 +24,33 @@
 use super::servers::dial;
 
 /// Longest frame, with its length. The longest word is a piece of a stream, of some 15 KiB.
-const MOST: usize = 64 * 1024;
-const LENGTH: usize = 4;
+const MAX_FRAME_BYTES: usize = 64 * 1024;
+const LENGTH_PREFIX_BYTES: usize = 4;
 /// Bytes that may wait on a link; beyond it the peer is taken to be stuck.
-const MOST_WAITING: usize = 2 * MOST;
+const MAX_QUEUED_BYTES: usize = 2 * MAX_FRAME_BYTES;
 /// A link that is not up, or says no hello, for so long is closed, in seconds.
-const GREETING: f64 = 1.0;
+const HANDSHAKE_TIMEOUT_S: f64 = 1.0;
 /// Between two tries of a link, the first and the longest, in seconds. Refused ones are tried at the first pace: that
 /// a process has ended is to be known soon.
-const DIAL: f64 = 0.1;
-const DIAL_MOST: f64 = 1.0;
+const MIN_REDIAL_DELAY_S: f64 = 0.1;
+const MAX_REDIAL_DELAY_S: f64 = 1.0;
 /// The member of the higher id leaves the other so long to make a link.
-const LEAVES: f64 = 0.2;
+const PASSIVE_DIAL_DELAY_S: f64 = 0.2;
 /// A link on which nothing came for so long yields to a new one, whoever made it.
-const STALE: f64 = 0.5;
+const STALE_LINK_S: f64 = 0.5;
 /// Links that wait to be taken.
-const BACKLOG: i32 = 128;
+const LISTEN_BACKLOG: i32 = 128;
 /// Links that have said no hello yet, at most; the oldest makes room.
-const MOST_STRANGERS: usize = 16;
+const MAX_UNIDENTIFIED_LINKS: usize = 16;
 /// Words said on one link in a turn at most.
-const MOST_SAID: usize = 32;
+const MAX_MESSAGES_PER_ITERATION: usize = 32;
 
 /// A word in its frame.
 struct Framed(Word);
 
 /// A frame that is longer than one may be.
 #[derive(Debug, thiserror::Error)]
-#[error("a frame of {0} bytes, of which {MOST} may be")]
+#[error("a frame of {0} bytes, of which {MAX_FRAME_BYTES} may be")]
 struct TooLong(usize);
 
 /// Why a link to another gatekeeper is closed for what came on it. It is made anew by itself; meanwhile that member is not
@@ -66,7 +66,7 @@
          files"
     )]
     AnotherMember,
-    /// Bytes that are no words.
+    /// Bytes that are no messages.
     #[error("{0}: a stranger, or another version of the program; see who connects to the links' address")]
     Unreadable(String),
     /// What a word said.
@@ -75,7 +75,7 @@
 }
 
 impl LinkError {
-    /// In a word, for the log and the page for on-call staff.
+    /// In a message, for the log and the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             LinkError::SecondLink => "second-link",
@@ -90,7 +90,7 @@
     fn encode(&self, out: &mut Vec<u8>) {
         // Nothing of a word has a form that could not be told; one that had is left out.
         let Ok(bytes) = postcard::to_allocvec(&self.0) else { return };
-        if bytes.len() + LENGTH > MOST {
+        if bytes.len() + LENGTH_PREFIX_BYTES > MAX_FRAME_BYTES {
             return log::error!(bytes = bytes.len(); "fleet-word-too-long");
         }
         out.extend((bytes.len() as u32).to_be_bytes());
@@ -98,19 +98,19 @@
     }
 
     fn decode(data: &[u8]) -> Result<Option<(Self, usize)>, Box<dyn Error + Send + Sync>> {
-        let Some(length) = data.first_chunk::<LENGTH>() else { return Ok(None) };
-        let whole = LENGTH.saturating_add(u32::from_be_bytes(*length) as usize);
-        if whole > MOST {
+        let Some(length) = data.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
+        let whole = LENGTH_PREFIX_BYTES.saturating_add(u32::from_be_bytes(*length) as usize);
+        if whole > MAX_FRAME_BYTES {
             return Err(Box::new(TooLong(whole)));
         }
-        let Some(body) = data.get(LENGTH..whole) else { return Ok(None) };
+        let Some(body) = data.get(LENGTH_PREFIX_BYTES..whole) else { return Ok(None) };
         Ok(Some((Framed(postcard::from_bytes(body)?), whole)))
     }
 }
 
 /// Descriptors that the links to so many members may take, the listener and strangers among them.
-pub fn most_links(members: usize) -> usize {
-    members + MOST_STRANGERS + 1
+pub fn max_links(members: usize) -> usize {
+    members + MAX_UNIDENTIFIED_LINKS + 1
 }
 
 struct Link {
@@ -119,19 +119,19 @@
     member: Option<MemberId>,
     dialed: bool,
     up: bool,
-    greeted: bool,
+    identified: bool,
     since: f64,
-    heard_at: f64,
+    last_received_at: f64,
     writing: bool,
 }
 
 /// A member as the configuration names it.
 #[derive(Clone, Debug)]
-struct Named {
+struct PeerConfig {
     name: String,
     address: SocketAddr,
     next_dial: f64,
-    pause: f64,
+    redial_delay: f64,
 }
 
 /// What happened on the links since the start.
@@ -140,28 +140,35 @@
     /// Links that were closed for what came on them.
     pub refused: u64,
     /// Words said and heard.
-    pub said: u64,
+    #[serde(rename = "said")]
+    pub sent: u64,
     /// The same, heard.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub received: u64,
     /// Bytes said.
-    pub bytes: u64,
+    #[serde(rename = "bytes")]
+    pub bytes_sent: u64,
     /// The same, by what they say.
-    pub split: Split,
+    #[serde(rename = "split")]
+    pub by_kind: BytesByKind,
 }
 
 /// Bytes said, by what they say. A word's frame and the rest of it counts with the word; together they are all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Split {
+pub struct BytesByKind {
     /// Hellos and leaves.
     pub greetings: u64,
     /// Beats without their observations.
-    pub beats: u64,
+    #[serde(rename = "beats")]
+    pub heartbeats: u64,
     /// Observations: what a beat says of others.
-    pub sights: u64,
+    #[serde(rename = "sights")]
+    pub observations: u64,
     /// Digests.
     pub digests: u64,
     /// Questions for what is lacking.
-    pub asks: u64,
+    #[serde(rename = "asks")]
+    pub requests: u64,
     /// Pieces without their records.
     pub pieces: u64,
     /// The records of pieces, by kind, in the order of [`KINDS`]; reports name the kinds.
@@ -169,23 +176,23 @@
     pub records: [u64; KINDS.len()],
 }
 
-impl Split {
+impl BytesByKind {
     /// Counts a word that took so many bytes, its frame among them.
-    pub fn count(&mut self, word: &Word, bytes: u64) {
-        let rest = match word {
+    pub fn count(&mut self, message: &Word, bytes: u64) {
+        let rest = match message {
             Word::Hello { .. } | Word::Leave => &mut self.greetings,
             Word::Beat(beat) => {
-                let sights: u64 = beat.observations.iter().map(size).sum();
-                self.sights += sights;
-                self.beats += bytes.saturating_sub(sights);
+                let observations: u64 = beat.observations.iter().map(encoded_size).sum();
+                self.observations += observations;
+                self.heartbeats += bytes.saturating_sub(observations);
                 return;
             }
             Word::Digest(..) => &mut self.digests,
-            Word::Ask(_) => &mut self.asks,
+            Word::Ask(_) => &mut self.requests,
             Word::Piece(piece) => {
                 let mut records = 0;
                 for record in &piece.records {
-                    let bytes = size(record);
+                    let bytes = encoded_size(record);
                     records += bytes;
                     if let Some(count) = self.records.get_mut(record.key.kind()) {
                         *count += bytes;
@@ -200,7 +207,7 @@
 }
 
 /// Bytes of a part of a word.
-fn size<T: serde::Serialize>(part: &T) -> u64 {
+fn encoded_size<T: serde::Serialize>(part: &T) -> u64 {
     // Nothing of a word has a form that could not be told.
     postcard::serialize_with_flavor(part, Size::default()).map_or(0, |bytes| bytes as u64)
 }
@@ -210,8 +217,8 @@
     own: MemberId,
     listener: Option<(TcpListener, Key)>,
     address: SocketAddr,
-    paused: bool,
-    members: BTreeMap<MemberId, Named>,
+    accept_paused: bool,
+    members: BTreeMap<MemberId, PeerConfig>,
     links: BTreeMap<Key, Link>,
     /// The link of each member that has said hello.
     by_member: BTreeMap<MemberId, Key>,
@@ -222,14 +229,14 @@
 impl Peers {
     /// Listens.
     pub fn listen(own: MemberId, address: SocketAddr, watch: &mut Watch) -> io::Result<Peers> {
-        let listener = bind(address, BACKLOG)?;
+        let listener = bind(address, LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
         let key = watch.add(&listener, false)?;
         Ok(Peers {
             own,
             listener: Some((listener, key)),
             address,
-            paused: false,
+            accept_paused: false,
             members: BTreeMap::new(),
             links: BTreeMap::new(),
             by_member: BTreeMap::new(),
@@ -243,7 +250,7 @@
     }
 
     /// Takes the members of a configuration; links to those that are none any more are closed.
-    pub fn members(
+    pub fn set_members(
         &mut self,
         now: f64,
         all: impl Iterator<Item = (MemberId, String, SocketAddr)>,
@@ -253,11 +260,12 @@
         let others = all.filter(|(id, ..)| *id != self.own);
         let old = std::mem::take(&mut self.members);
         for (id, name, address) in others {
-            let (next_dial, pause) = old.get(&id).map_or((now, DIAL), |n| (n.next_dial, n.pause));
-            self.members.insert(id, Named { name, address, next_dial, pause });
+            let (next_dial, redial_delay) =
+                old.get(&id).map_or((now, MIN_REDIAL_DELAY_S), |n| (n.next_dial, n.redial_delay));
+            self.members.insert(id, PeerConfig { name, address, next_dial, redial_delay });
         }
         let moved = |id: &MemberId| {
-            let address = |all: &BTreeMap<MemberId, Named>| all.get(id).map(|n| n.address);
+            let address = |all: &BTreeMap<MemberId, PeerConfig>| all.get(id).map(|n| n.address);
             address(&old) != address(&self.members)
         };
         let gone: Vec<Key> = (self.links.iter())
@@ -273,7 +281,7 @@
     }
 
     /// Takes no more links and closes those there are.
-    pub fn shut(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn close_all(&mut self, now: f64, member: &mut Member, watch: &Watch) {
         if let Some((listener, _)) = self.listener.take() {
             watch.remove(&listener);
         }
@@ -283,16 +291,16 @@
     }
 
     /// Says that this member ends, to all.
-    pub fn leave(&mut self, watch: &Watch) {
-        for (key, link) in self.links.iter_mut().filter(|(_, link)| link.greeted) {
-            link.say(*key, Word::Leave, watch, &mut self.counts);
+    pub fn send_leave(&mut self, watch: &Watch) {
+        for (key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
+            link.send_message(*key, Word::Leave, watch, &mut self.counts);
         }
     }
 
     // ---- What happens on the sockets
 
     /// Takes what is ready, if it is a link's.
-    pub fn ready(&mut self, now: f64, ready: Ready, member: &mut Member, watch: &mut Watch) {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, member: &mut Member, watch: &mut Watch) {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
             return self.accept(now, watch, member);
         }
@@ -307,17 +315,17 @@
         if !ready.readable {
             return;
         }
-        let mut words = Vec::new();
-        let end = link.connection.read(&mut words);
-        if !words.is_empty() {
-            link.heard_at = now;
+        let mut messages = Vec::new();
+        let end = link.connection.read(&mut messages);
+        if !messages.is_empty() {
+            link.last_received_at = now;
         }
-        for Framed(word) in words {
+        for Framed(message) in messages {
             if !self.links.contains_key(&ready.key) {
                 return;
             }
-            self.counts.heard += 1;
-            if let Err(reason) = self.heard(now, ready.key, &word, member, watch) {
+            self.counts.received += 1;
+            if let Err(reason) = self.handle_message(now, ready.key, &message, member, watch) {
                 return self.refuse(now, ready.key, &reason, member, watch);
             }
         }
@@ -331,43 +339,43 @@
         }
     }
 
-    fn heard(
+    fn handle_message(
         &mut self,
         now: f64,
         key: Key,
-        word: &Word,
+        message: &Word,
         member: &mut Member,
         watch: &Watch,
     ) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
-        if let (true, Some(from)) = (link.greeted, link.member) {
-            return Ok(member.hear(now, from, word)?);
+        if let (true, Some(from)) = (link.identified, link.member) {
+            return Ok(member.hear(now, from, message)?);
         }
         // Both may have made a link in one moment: the one of the lower id's stays, at both ends.
-        if let Word::Hello { from, .. } = word {
+        if let Word::Hello { from, .. } = message {
             let older = self.by_member.get(from).and_then(|key| self.links.get(key));
             let by_lower = |dialed: bool| dialed == (self.own < *from);
-            let keeps = |old: &Link| by_lower(old.dialed) && now - old.heard_at < STALE;
+            let keeps = |old: &Link| by_lower(old.dialed) && now - old.last_received_at < STALE_LINK_S;
             let made_here = self.links.get(&key).is_some_and(|l| l.dialed);
             if !by_lower(made_here) && older.is_some_and(keeps) {
                 return Err(LinkError::SecondLink);
             }
         }
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
-        let greeted = member.greeted(now, word);
+        let identified = member.greeted(now, message);
         // Whoever makes the link says hello first, and hears which life of it is known here also if it is refused.
-        if let (false, Word::Hello { from, .. }) = (link.dialed, word) {
+        if let (false, Word::Hello { from, .. }) = (link.dialed, message) {
             if self.members.contains_key(from) {
-                link.say(key, member.hello(now, *from), watch, &mut self.counts);
+                link.send_message(key, member.hello(now, *from), watch, &mut self.counts);
             }
         }
-        let from = greeted?;
+        let from = identified?;
         if link.member.is_some_and(|to| to != from) {
             return Err(LinkError::AnotherMember);
         }
-        (link.member, link.greeted) = (Some(from), true);
-        if let Some(named) = self.members.get_mut(&from) {
-            named.pause = DIAL;
+        (link.member, link.identified) = (Some(from), true);
+        if let Some(peer) = self.members.get_mut(&from) {
+            peer.redial_delay = MIN_REDIAL_DELAY_S;
         }
         // The end of an earlier one was not heard.
         if let Some(old) = self.by_member.insert(from, key).filter(|old| *old != key) {
@@ -395,17 +403,17 @@
             self.by_member.remove(&of);
             member.unlinked(of);
         }
-        if let Some(named) = self.members.get_mut(&of) {
-            named.next_dial = now + named.pause;
+        if let Some(peer) = self.members.get_mut(&of) {
+            peer.next_dial = now + peer.redial_delay;
         }
     }
 
     fn accept(&mut self, now: f64, watch: &mut Watch, member: &mut Member) {
         loop {
-            let strangers = self.links.iter().filter(|(_, l)| !l.greeted && !l.dialed);
+            let strangers = self.links.iter().filter(|(_, l)| !l.identified && !l.dialed);
             let oldest =
                 strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| *key);
-            if let Some(oldest) = oldest.filter(|_| strangers.count() >= MOST_STRANGERS) {
+            if let Some(oldest) = oldest.filter(|_| strangers.count() >= MAX_UNIDENTIFIED_LINKS) {
                 self.counts.refused += 1;
                 self.drop_link(now, oldest, member, watch);
             }
@@ -425,7 +433,7 @@
                     ) => {}
                 // Descriptors are short: those who wait are taken at the next beat.
                 Err(_) => {
-                    self.paused = true;
+                    self.accept_paused = true;
                     return watch.set(*listener_key, listener, false, false);
                 }
             }
@@ -445,7 +453,7 @@
             Ok(()) => {
                 let Some(to) = link.member else { return };
                 (link.up, link.since) = (true, now);
-                link.say(key, member.hello(now, to), watch, &mut self.counts);
+                link.send_message(key, member.hello(now, to), watch, &mut self.counts);
             }
         }
     }
@@ -456,19 +464,20 @@
         if refused {
             member.refused(now, of);
         }
-        if let Some(named) = self.members.get_mut(&of) {
-            named.pause = if refused { DIAL } else { (named.pause * 2.0).min(DIAL_MOST) };
+        if let Some(peer) = self.members.get_mut(&of) {
+            peer.redial_delay =
+                if refused { MIN_REDIAL_DELAY_S } else { (peer.redial_delay * 2.0).min(MAX_REDIAL_DELAY_S) };
         }
         self.drop_link(now, key, member, watch);
     }
 
     /// Makes links that are lacking and closes those that come to nothing. Called now and then.
-    pub fn beat(&mut self, now: f64, member: &mut Member, watch: &mut Watch) {
-        if let (true, Some((listener, key))) = (self.paused, &self.listener) {
-            self.paused = false;
+    pub fn maintain(&mut self, now: f64, member: &mut Member, watch: &mut Watch) {
+        if let (true, Some((listener, key))) = (self.accept_paused, &self.listener) {
+            self.accept_paused = false;
             watch.set(*key, listener, true, false);
         }
-        let late = |l: &Link| !l.greeted && now - l.since >= GREETING;
+        let late = |l: &Link| !l.identified && now - l.since >= HANDSHAKE_TIMEOUT_S;
         let late: Vec<Key> = self.links.iter().filter(|(_, l)| late(l)).map(|(key, _)| *key).collect();
         for key in late {
             self.failed(now, key, &ErrorKind::TimedOut.into(), member, watch);
@@ -481,14 +490,14 @@
         let linked: Vec<MemberId> = self.links.values().filter_map(|l| l.member).collect();
         let due: Vec<(MemberId, SocketAddr)> = (self.members.iter())
             .filter(|(id, n)| {
-                let leaves = if own < **id { 0.0 } else { LEAVES };
+                let leaves = if own < **id { 0.0 } else { PASSIVE_DIAL_DELAY_S };
                 now >= n.next_dial + leaves && !linked.contains(id)
             })
             .map(|(id, n)| (*id, n.address))
             .collect();
         for (id, address) in due {
-            if let Some(named) = self.members.get_mut(&id) {
-                named.next_dial = now + named.pause;
+            if let Some(peer) = self.members.get_mut(&id) {
+                peer.next_dial = now + peer.redial_delay;
             }
             match dial(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
@@ -500,16 +509,16 @@
     }
 
     /// Says what is due on every link that has room.
-    pub fn say(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn send_due(&mut self, now: f64, member: &mut Member, watch: &Watch) {
         let mut stuck = Vec::new();
-        for (&key, link) in self.links.iter_mut().filter(|(_, link)| link.greeted) {
+        for (&key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
             let Some(to) = link.member else { continue };
-            for _ in 0..MOST_SAID {
+            for _ in 0..MAX_MESSAGES_PER_ITERATION {
                 if link.connection.blocked() {
                     break;
                 }
-                let Some(word) = member.say(now, to) else { break };
-                if !link.say(key, word, watch, &mut self.counts) {
+                let Some(message) = member.say(now, to) else { break };
+                if !link.send_message(key, message, watch, &mut self.counts) {
                     stuck.push(key);
                     break;
                 }
@@ -521,29 +530,29 @@
 
 impl Link {
     fn new(now: f64, stream: TcpStream, to: Option<MemberId>) -> Link {
-        let connection = Connection::new(stream, MOST_WAITING);
+        let connection = Connection::new(stream, MAX_QUEUED_BYTES);
         let dialed = to.is_some();
         Link {
             connection,
             member: to,
             dialed,
             up: !dialed,
-            greeted: false,
+            identified: false,
             since: now,
-            heard_at: now,
+            last_received_at: now,
             writing: dialed,
         }
     }
 
     /// Says a word; returns whether the link still is of use.
-    fn say(&mut self, key: Key, word: Word, watch: &Watch, counts: &mut Counts) -> bool {
+    fn send_message(&mut self, key: Key, message: Word, watch: &Watch, counts: &mut Counts) -> bool {
         let before = self.connection.queued();
-        let framed = Framed(word);
+        let framed = Framed(message);
         let sent = self.connection.send(&framed);
         let bytes = self.connection.queued() - before;
-        counts.said += 1;
-        counts.bytes += bytes;
-        counts.split.count(&framed.0, bytes);
+        counts.sent += 1;
+        counts.bytes_sent += bytes;
+        counts.by_kind.count(&framed.0, bytes);
         self.watch(key, watch);
         sent.is_ok()
     }
@@ -560,21 +569,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use hollypaddle_membership::{view, Life};
+    use hollypaddle_membership::{view, Incarnation};
     use hollypaddle_replica::catch_up::PieceError;
 
     /// Each error of the links has a row of its own on the page for on-call staff, and says what can be done.
     #[test]
     fn every_error_of_a_link_is_on_the_page_for_on_call_staff() {
         let page = include_str!("../../../../docs/ONCALL.md");
-        let life = Life { incarnation: 7, nonce: 7 };
+        let incarnation = Incarnation { number: 7, nonce: 7 };
         let rejections = [
             Rejection::Protocol(1),
             Rejection::NotForUs,
             Rejection::OutOfPlace,
             Rejection::Stranger,
             Rejection::Membership(view::Rejection::NotAMember),
-            Rejection::Membership(view::Rejection::StaleIncarnation(life)),
+            Rejection::Membership(view::Rejection::StaleIncarnation(incarnation)),
             Rejection::Piece(PieceError::Versions),
             Rejection::Piece(PieceError::Kind),
             Rejection::Piece(PieceError::TooMany),
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -23,34 +23,34 @@
 use super::servers::dial;
 
 /// Bytes of a message that may wait for a link to take them.
-const MOST_WAITING: usize = 2 * message::MOST;
+const MAX_QUEUED_BYTES: usize = 2 * message::MOST;
 /// Bytes that the system keeps for a link that does not read, about: it doubles the figure for its own needs.
-const SEND_BUFFER: usize = 32 * 1024;
+const SEND_BUFFER_BYTES: usize = 32 * 1024;
 /// A link that takes none of what waits for so long is closed, in seconds.
-const STUCK: f64 = 3.0;
+const STUCK_TIMEOUT_S: f64 = 3.0;
 /// A link that is not up, or on which nobody says who they are, for so long is closed, in seconds.
-const GREETING: f64 = 1.0;
+const HANDSHAKE_TIMEOUT_S: f64 = 1.0;
 /// What is said on a link that is to be closed has so long to be written and read, in seconds.
-const CLOSING: f64 = 0.5;
+const CLOSE_TIMEOUT_S: f64 = 0.5;
 /// Links that wait to be taken.
-const BACKLOG: i32 = 512;
+const LISTEN_BACKLOG: i32 = 512;
 /// Links on which nobody has said yet who they are, at most. The oldest makes room once it has had this time; until then
 /// further ones wait: after a relay's end many leaves come at once, and what they say is on its way.
-const MOST_STRANGERS: usize = 64;
-const STRANGER: f64 = 0.2;
+const MAX_UNIDENTIFIED_LINKS: usize = 64;
+const MIN_IDENTIFY_TIME_S: f64 = 0.2;
 /// Messages said on one link in a turn at most.
-const MOST_SAID: usize = 32;
+const MAX_MESSAGES_PER_ITERATION: usize = 32;
 /// Links that a leaf has at once: its own relay, its second choice, one to come and one to go.
-const LEAF_LINKS: usize = 4;
+const MAX_LEAF_LINKS: usize = 4;
 
 /// Descriptors that the links of a relay may take: each leaf is attached to one relay and keeps a link to a second.
-pub fn most_links(leaves: usize, relays: usize) -> usize {
-    2 * leaves + relays + MOST_STRANGERS + 1
+pub fn max_links(leaves: usize, relays: usize) -> usize {
+    2 * leaves + relays + MAX_UNIDENTIFIED_LINKS + 1
 }
 
 /// The same, of a leaf.
-pub fn most_links_of_leaf() -> usize {
-    LEAF_LINKS
+pub fn max_leaf_links() -> usize {
+    MAX_LEAF_LINKS
 }
 
 /// Why a link between a leaf and a relay, or two relays, is closed. It is made anew by itself.
@@ -63,17 +63,17 @@
     #[error("{0}: a stranger, or another version of the program; see who connects to the relay's address")]
     Unreadable(String),
     /// Nobody said who they are.
-    #[error("nobody said who they are within {GREETING} s: a stranger, or a machine that pauses; see who connects there")]
+    #[error("nobody said who they are within {HANDSHAKE_TIMEOUT_S} s: a stranger, or a machine that pauses; see who connects there")]
     NoHello,
     /// It does not come up.
-    #[error("not up within {GREETING} s: see whether the relay's machine runs and its address can be reached from here")]
+    #[error("not up within {HANDSHAKE_TIMEOUT_S} s: see whether the relay's machine runs and its address can be reached from here")]
     NotUp,
     /// The peer takes nothing.
-    #[error("nothing was taken for {STUCK} s of what waits: the peer is paused or overloaded, or the way is cut; see its machine")]
+    #[error("nothing was taken for {STUCK_TIMEOUT_S} s of what waits: the peer is paused or overloaded, or the way is cut; see its machine")]
     Stuck,
     /// So many strangers that this one had to make room.
     #[error(
-        "{MOST_STRANGERS} links on which nobody says who they are: see who connects to the relay's address"
+        "{MAX_UNIDENTIFIED_LINKS} links on which nobody says who they are: see who connects to the relay's address"
     )]
     Strangers,
 }
@@ -111,15 +111,19 @@
     /// Links that were closed for what came on them, or for what did not.
     pub refused: u64,
     /// Messages said.
-    pub said: u64,
+    #[serde(rename = "said")]
+    pub sent: u64,
     /// Messages heard.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub received: u64,
     /// Messages heard of a kind that is not known here.
     pub unknown: u64,
     /// Bytes said.
-    pub bytes: u64,
+    #[serde(rename = "bytes")]
+    pub bytes_sent: u64,
     /// Bytes heard.
-    pub bytes_heard: u64,
+    #[serde(rename = "bytes_heard")]
+    pub bytes_received: u64,
     /// Links that took nothing for too long.
     pub stuck: u64,
 }
@@ -131,22 +135,22 @@
     connection: Connection<TcpStream, Framed>,
     up: bool,
     /// A message was taken on it.
-    known: bool,
+    identified: bool,
     since: f64,
     /// Bytes that were written, and when that last changed or nothing waited.
     written: (u64, f64),
     writing: bool,
     /// The node has no more to do with it, since then.
-    closing: Option<f64>,
+    closing_since: Option<f64>,
 }
 
 /// All links of a node.
 pub struct Links {
     listener: Option<(TcpListener, Key)>,
     address: Option<SocketAddr>,
-    paused: bool,
+    accept_paused: bool,
     /// Links at once, at most.
-    most: usize,
+    max_links: usize,
     addresses: BTreeMap<MemberId, SocketAddr>,
     links: BTreeMap<Key, Link>,
     by_id: BTreeMap<LinkId, Key>,
@@ -156,10 +160,10 @@
 
 impl Links {
     /// Opens the listener, where there is one, for so many links at once.
-    pub fn open(listen: Option<SocketAddr>, most: usize, watch: &mut Watch) -> io::Result<Links> {
+    pub fn open(listen: Option<SocketAddr>, max_links: usize, watch: &mut Watch) -> io::Result<Links> {
         let (mut listener, mut address) = (None, None);
         if let Some(listen) = listen {
-            let opened = bind(listen, BACKLOG)?;
+            let opened = bind(listen, LISTEN_BACKLOG)?;
             address = Some(opened.local_addr()?);
             let key = watch.add(&opened, false)?;
             listener = Some((opened, key));
@@ -167,8 +171,8 @@
         Ok(Links {
             listener,
             address,
-            paused: false,
-            most,
+            accept_paused: false,
+            max_links,
             addresses: BTreeMap::new(),
             links: BTreeMap::new(),
             by_id: BTreeMap::new(),
@@ -182,19 +186,19 @@
     }
 
     /// Takes the addresses of the relays, and how many links there may be. Links to one that has moved are closed.
-    pub fn change(
+    pub fn reconfigure(
         &mut self,
         now: f64,
-        most: usize,
+        max_links: usize,
         addresses: BTreeMap<MemberId, SocketAddr>,
         node: &mut dyn Node,
         watch: &Watch,
     ) {
-        self.most = most;
+        self.max_links = max_links;
         let moved = |link: &Link| link.to.is_some_and(|to| self.addresses.get(&to) != addresses.get(&to));
         let keys: Vec<Key> = self.links.iter().filter(|(_, l)| moved(l)).map(|(key, _)| *key).collect();
         self.addresses = addresses;
-        keys.into_iter().for_each(|key| self.lose(now, key, false, node, watch));
+        keys.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
     }
 
     /// How many links there are.
@@ -208,8 +212,8 @@
     }
 
     /// Says the same on every link that is up and takes something now.
-    pub fn say_to_all(&mut self, message: &Message) {
-        for link in self.links.values_mut().filter(|l| l.up && l.closing.is_none()) {
+    pub fn send_to_all(&mut self, message: &Message) {
+        for link in self.links.values_mut().filter(|l| l.up && l.closing_since.is_none()) {
             if !link.connection.blocked() {
                 // A link that is broken is found so by whoever has its other end.
                 let _ = link.connection.send(&Framed(message.clone(), 0));
@@ -218,7 +222,7 @@
     }
 
     /// Closes all sockets, with what can be written of what was said.
-    pub fn shut(mut self, watch: &Watch) {
+    pub fn close_all(mut self, watch: &Watch) {
         if let Some((listener, _)) = self.listener.take() {
             watch.remove(&listener);
         }
@@ -237,19 +241,19 @@
     }
 
     /// Takes what is ready, if it is a link's or the listener; returns whether it is.
-    pub fn ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &mut Watch) -> bool {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &mut Watch) -> bool {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
             self.accept(now, node, watch);
             return true;
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return false };
-        if link.closing.is_some() {
+        if link.closing_since.is_some() {
             // The peer's end comes, or an error; what it still says is nobody's business.
             if link.connection.flush().is_err() || link.connection.pass_over().is_err() {
                 self.drop_link(ready.key, watch);
             } else {
                 link.watch(ready.key, watch);
-                self.finish(ready.key);
+                self.shutdown_write(ready.key);
             }
         } else if !link.up {
             self.connected(now, ready.key, node, watch);
@@ -264,9 +268,9 @@
         if ready.writable {
             let waited = link.connection.blocked();
             if link.connection.flush().is_err() {
-                return self.lose(now, ready.key, false, node, watch);
+                return self.handle_link_down(now, ready.key, false, node, watch);
             }
-            link.progress(now);
+            link.record_progress(now);
             if waited && !link.connection.blocked() {
                 node.writable(now, link.id);
             }
@@ -278,19 +282,19 @@
         let (id, mut messages) = (link.id, Vec::new());
         let end = link.connection.read(&mut messages);
         for Framed(message, length) in messages {
-            self.counts.heard += 1;
-            self.counts.bytes_heard += length;
+            self.counts.received += 1;
+            self.counts.bytes_received += length;
             self.counts.unknown += u64::from(matches!(message, Message::Unknown(_)));
             if let Err(error) = node.hear(now, id, &message) {
                 return self.refuse(now, ready.key, &error.into(), node, watch);
             }
             if let Some(link) = self.links.get_mut(&ready.key) {
-                link.known = true;
+                link.identified = true;
             }
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.lose(now, ready.key, false, node, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.handle_link_down(now, ready.key, false, node, watch),
             Err(reason) => {
                 let error = RelayLinkError::Unreadable(reason.to_string());
                 self.refuse(now, ready.key, &error, node, watch);
@@ -300,23 +304,23 @@
 
     fn accept(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         loop {
-            let strangers = self.links.iter().filter(|(_, l)| l.stranger());
+            let strangers = self.links.iter().filter(|(_, l)| l.is_unidentified());
             let oldest = strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since));
             let oldest = oldest.map(|(key, link)| (*key, link.since));
-            if strangers.count() >= MOST_STRANGERS {
-                match oldest.filter(|(_, since)| now - since >= STRANGER) {
+            if strangers.count() >= MAX_UNIDENTIFIED_LINKS {
+                match oldest.filter(|(_, since)| now - since >= MIN_IDENTIFY_TIME_S) {
                     Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, watch),
-                    None => return self.pause(watch),
+                    None => return self.pause_accept(watch),
                 }
             }
-            if self.links.len() >= self.most {
-                return self.pause(watch);
+            if self.links.len() >= self.max_links {
+                return self.pause_accept(watch);
             }
             let Some((listener, _)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
-                SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER)?;
+                SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
                 Ok((watch.add(&stream, false)?, stream))
             });
             match accepted {
@@ -331,15 +335,15 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset
                     ) => {}
                 // Descriptors are short.
-                Err(_) => return self.pause(watch),
+                Err(_) => return self.pause_accept(watch),
             }
         }
     }
 
     /// Those who wait are taken at the next beat.
-    fn pause(&mut self, watch: &Watch) {
+    fn pause_accept(&mut self, watch: &Watch) {
         if let Some((listener, key)) = &self.listener {
-            self.paused = true;
+            self.accept_paused = true;
             watch.set(*key, listener, false, false);
         }
     }
@@ -358,7 +362,9 @@
         };
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
-            Err(error) => self.lose(now, key, error.kind() == ErrorKind::ConnectionRefused, node, watch),
+            Err(error) => {
+                self.handle_link_down(now, key, error.kind() == ErrorKind::ConnectionRefused, node, watch)
+            }
             Ok(()) => {
                 (link.up, link.since) = (true, now);
                 link.watch(key, watch);
@@ -378,13 +384,14 @@
         let (reason, peer) = (error.name(), peer.as_deref().unwrap_or("-"));
         log::debug!(peer, reason, error:%; "relay-link-refused");
         let taken = matches!(error, RelayLinkError::Node(_));
-        let Some(link) = self.links.get_mut(&key).filter(|l| taken && l.up && l.closing.is_none()) else {
-            return self.lose(now, key, false, node, watch);
+        let Some(link) = self.links.get_mut(&key).filter(|l| taken && l.up && l.closing_since.is_none())
+        else {
+            return self.handle_link_down(now, key, false, node, watch);
         };
         // A node may answer what it refuses: another relay hears which life of it is known here.
-        for _ in 0..MOST_SAID {
+        for _ in 0..MAX_MESSAGES_PER_ITERATION {
             let Some(message) = node.say(now, link.id).filter(|_| !link.connection.blocked()) else { break };
-            self.counts.said += 1;
+            self.counts.sent += 1;
             if link.connection.send(&Framed(message, 0)).is_err() {
                 break;
             }
@@ -395,8 +402,8 @@
     }
 
     /// A link is down.
-    fn lose(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, watch: &Watch) {
-        let live = self.links.get(&key).filter(|link| link.closing.is_none()).map(|link| link.id);
+    fn handle_link_down(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, watch: &Watch) {
+        let live = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
         self.drop_link(key, watch);
         if let Some(id) = live {
             node.down(now, id, refused);
@@ -420,14 +427,14 @@
         match link.up {
             false => self.drop_link(key, watch),
             true => {
-                link.closing = Some(now);
-                self.finish(key);
+                link.closing_since = Some(now);
+                self.shutdown_write(key);
             }
         }
     }
 
     /// Says that nothing more comes, once all is written.
-    fn finish(&mut self, key: Key) {
+    fn shutdown_write(&mut self, key: Key) {
         if let Some(link) = self.links.get(&key).filter(|link| !link.connection.blocked()) {
             // One that the peer has closed already is found so when it is read.
             let _ = link.connection.stream().shutdown(std::net::Shutdown::Write);
@@ -437,25 +444,27 @@
     // ---- The two places of a turn
 
     /// Looks after links that come to nothing. Called now and then.
-    pub fn beat(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn maintain(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         let keys: Vec<Key> = self.links.keys().copied().collect();
         for key in keys {
             let Some(link) = self.links.get_mut(&key) else { continue };
-            link.progress(now);
+            link.record_progress(now);
             let error = match () {
-                () if link.closing.is_some_and(|since| now - since >= CLOSING) => {
+                () if link.closing_since.is_some_and(|since| now - since >= CLOSE_TIMEOUT_S) => {
                     self.drop_link(key, watch);
                     continue;
                 }
-                () if link.closing.is_some() => continue,
-                () if !link.up && now - link.since >= GREETING => RelayLinkError::NotUp,
-                () if link.stranger() && now - link.since >= GREETING => RelayLinkError::NoHello,
-                () if now - link.written.1 >= STUCK => RelayLinkError::Stuck,
+                () if link.closing_since.is_some() => continue,
+                () if !link.up && now - link.since >= HANDSHAKE_TIMEOUT_S => RelayLinkError::NotUp,
+                () if link.is_unidentified() && now - link.since >= HANDSHAKE_TIMEOUT_S => {
+                    RelayLinkError::NoHello
+                }
+                () if now - link.written.1 >= STUCK_TIMEOUT_S => RelayLinkError::Stuck,
                 () => continue,
             };
             self.refuse(now, key, &error, node, watch);
         }
-        if std::mem::take(&mut self.paused) {
+        if std::mem::take(&mut self.accept_paused) {
             if let Some((listener, key)) = &self.listener {
                 watch.set(*key, listener, true, false);
             }
@@ -464,14 +473,14 @@
     }
 
     /// Closes, makes and says what the node wants. Called at the end of a turn.
-    pub fn carry_out(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         for (id, to) in node.dials(now) {
             let dialed = match self.addresses.get(&to) {
                 Some(address) => dial(*address),
                 None => Err(ErrorKind::AddrNotAvailable.into()),
             };
             let made = dialed.and_then(|stream| {
-                SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER)?;
+                SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
                 Ok((watch.add(&stream, true)?, stream))
             });
             match made {
@@ -486,14 +495,14 @@
         let mut broken = Vec::new();
         for id in node.due(now) {
             let Some(&key) = self.by_id.get(&id) else { continue };
-            let Some(link) = self.links.get_mut(&key).filter(|l| l.up && l.closing.is_none()) else {
+            let Some(link) = self.links.get_mut(&key).filter(|l| l.up && l.closing_since.is_none()) else {
                 continue;
             };
             for said in 0.. {
                 if link.connection.blocked() {
                     break;
                 }
-                if said == MOST_SAID {
+                if said == MAX_MESSAGES_PER_ITERATION {
                     // It goes on with the next turn.
                     node.writable(now, id);
                     break;
@@ -501,17 +510,17 @@
                 let Some(message) = node.say(now, id) else { break };
                 let before = link.connection.queued();
                 let sent = link.connection.send(&Framed(message, 0));
-                self.counts.said += 1;
-                self.counts.bytes += link.connection.queued() - before;
+                self.counts.sent += 1;
+                self.counts.bytes_sent += link.connection.queued() - before;
                 if sent.is_err() {
                     broken.push(key);
                     break;
                 }
             }
-            link.progress(now);
+            link.record_progress(now);
             link.watch(key, watch);
         }
-        broken.into_iter().for_each(|key| self.lose(now, key, false, node, watch));
+        broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
         for id in node.closes() {
             self.close(now, id, watch);
         }
@@ -524,23 +533,23 @@
         Link {
             id,
             to,
-            connection: Connection::new(stream, MOST_WAITING),
+            connection: Connection::new(stream, MAX_QUEUED_BYTES),
             up: !dialed,
-            known: false,
+            identified: false,
             since: now,
             written: (0, now),
             writing: dialed,
-            closing: None,
+            closing_since: None,
         }
     }
 
     /// Whether it was taken and nobody has said on it yet who they are.
-    fn stranger(&self) -> bool {
-        self.to.is_none() && !self.known && self.closing.is_none()
+    fn is_unidentified(&self) -> bool {
+        self.to.is_none() && !self.identified && self.closing_since.is_none()
     }
 
     /// Notes when something was last written, or nothing waited.
-    fn progress(&mut self, now: f64) {
+    fn record_progress(&mut self, now: f64) {
         let written = self.connection.written();
         if written != self.written.0 || !self.connection.blocked() {
             self.written = (written, now);
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -3,18 +3,18 @@
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-use hollypaddle_membership::Life;
+use hollypaddle_membership::Incarnation;
 use hollypaddle_relay::message::Hello;
 use hollypaddle_relay::settings::Mark;
 use hollypaddle_replica::record::Topic;
 
 use super::*;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A node that notes what it is told and says what it is given.
 #[derive(Default)]
-struct Noted {
+struct RecordingNode {
     next: u64,
     dials: Vec<(LinkId, MemberId)>,
     ups: Vec<LinkId>,
@@ -29,7 +29,7 @@
     refuses: bool,
 }
 
-impl Noted {
+impl RecordingNode {
     fn dial(&mut self, to: MemberId) -> LinkId {
         self.next += 1;
         self.dials.push((LinkId(self.next), to));
@@ -41,7 +41,7 @@
     }
 }
 
-impl Node for Noted {
+impl Node for RecordingNode {
     fn dials(&mut self, _: f64) -> Vec<(LinkId, MemberId)> {
         std::mem::take(&mut self.dials)
     }
@@ -95,60 +95,60 @@
 }
 
 /// A node with its links, and the time.
-struct Front {
+struct TestBed {
     watch: Watch,
     links: Links,
-    node: Noted,
+    node: RecordingNode,
     begun: Instant,
     /// Seconds that were skipped.
     skipped: f64,
 }
 
-impl Front {
-    fn new(listens: bool, most: usize) -> Front {
+impl TestBed {
+    fn new(listens: bool, most: usize) -> TestBed {
         let mut watch = Watch::new().unwrap();
         let listen = listens.then(|| (Ipv4Addr::LOCALHOST, 0).into());
         let links = Links::open(listen, most, &mut watch).unwrap();
-        Front { watch, links, node: Noted::default(), begun: Instant::now(), skipped: 0.0 }
+        TestBed { watch, links, node: RecordingNode::default(), begun: Instant::now(), skipped: 0.0 }
     }
 
     fn now(&self) -> f64 {
         self.begun.elapsed().as_secs_f64() + self.skipped
     }
 
-    fn turn(&mut self) {
+    fn iterate(&mut self) {
         let now = self.now();
         for ready in self.watch.wait(0.002).unwrap() {
-            self.links.ready(now, ready, &mut self.node, &mut self.watch);
+            self.links.handle_ready(now, ready, &mut self.node, &mut self.watch);
         }
-        self.links.beat(now, &mut self.node, &mut self.watch);
-        self.links.carry_out(now, &mut self.node, &mut self.watch);
+        self.links.maintain(now, &mut self.node, &mut self.watch);
+        self.links.apply_node_actions(now, &mut self.node, &mut self.watch);
     }
 
     /// Turns until something holds; fails where it does not in time.
-    fn until(&mut self, what: &str, mut holds: impl FnMut(&mut Front) -> bool) {
+    fn until(&mut self, what: &str, mut holds: impl FnMut(&mut TestBed) -> bool) {
         let begun = Instant::now();
         while !holds(self) {
-            assert!(begun.elapsed() < PATIENCE, "waited in vain for {what}");
-            self.turn();
+            assert!(begun.elapsed() < TIMEOUT, "waited in vain for {what}");
+            self.iterate();
         }
     }
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.links.address().unwrap()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream
     }
 
-    fn knows(&mut self, member: MemberId, address: SocketAddr) {
+    fn set_address(&mut self, member: MemberId, address: SocketAddr) {
         let addresses = BTreeMap::from([(member, address)]);
         let now = self.now();
-        self.links.change(now, 100, addresses, &mut self.node, &self.watch);
+        self.links.reconfigure(now, 100, addresses, &mut self.node, &self.watch);
     }
 }
 
 fn hello() -> Message {
-    let life = Life { incarnation: 1, nonce: 1 };
+    let life = Incarnation { number: 1, nonce: 1 };
     Message::Hello(Hello {
         protocol: (1, 1),
         from: MemberId(1),
@@ -183,34 +183,34 @@
 
 #[test]
 fn a_link_is_made_spoken_on_and_closed() {
-    let (mut relay, mut leaf) = (Front::new(true, 100), Front::new(false, 4));
-    leaf.knows(MemberId(2), relay.links.address().unwrap());
+    let (mut relay, mut leaf) = (TestBed::new(true, 100), TestBed::new(false, 4));
+    leaf.set_address(MemberId(2), relay.links.address().unwrap());
     let link = leaf.node.dial(MemberId(2));
     leaf.until("the link", |f| f.node.ups == [link]);
     leaf.node.say(link, hello());
-    leaf.turn();
+    leaf.iterate();
     relay.until("the hello", |f| f.node.heard == [(LinkId(1), hello())]);
     relay.node.say(LinkId(1), Message::Pong(7));
     relay.node.closes.push(LinkId(1));
     // What was said on a link that is closed arrives before its end.
     leaf.until("the end", |f| {
-        relay.turn();
+        relay.iterate();
         f.node.downs == [(link, false)]
     });
     assert_eq!(leaf.node.heard, [(link, Message::Pong(7))]);
     relay.until("its own end", |f| f.links.is_empty());
     assert_eq!(relay.node.downs, [], "who closes a link is not told that it is down");
-    assert_eq!((leaf.links.counts.said, relay.links.counts.heard), (1, 1));
-    assert_eq!(leaf.links.counts.bytes, frame(&hello()).len() as u64);
+    assert_eq!((leaf.links.counts.sent, relay.links.counts.received), (1, 1));
+    assert_eq!(leaf.links.counts.bytes_sent, frame(&hello()).len() as u64);
 }
 
 #[test]
 fn a_message_in_pieces_and_one_of_an_unknown_kind_are_taken() {
-    let mut relay = Front::new(true, 100);
+    let mut relay = TestBed::new(true, 100);
     let mut stream = relay.connect();
     for byte in frame(&hello()) {
         stream.write_all(&[byte]).unwrap();
-        relay.turn();
+        relay.iterate();
     }
     stream.write_all(&frame(&Message::Unknown(200))).unwrap();
     stream.write_all(&frame(&Message::Ping(9))).unwrap();
@@ -222,9 +222,9 @@
 
 #[test]
 fn an_address_that_refuses_is_told_as_that() {
-    let mut leaf = Front::new(false, 4);
+    let mut leaf = TestBed::new(false, 4);
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    leaf.knows(MemberId(2), closed);
+    leaf.set_address(MemberId(2), closed);
     let link = leaf.node.dial(MemberId(2));
     leaf.until("the refusal", |f| f.node.downs == [(link, true)]);
     let nobody = leaf.node.dial(MemberId(3));
@@ -234,7 +234,7 @@
 
 #[test]
 fn what_is_no_message_and_what_the_node_refuses_closes_the_link() {
-    let mut relay = Front::new(true, 100);
+    let mut relay = TestBed::new(true, 100);
     let mut stream = relay.connect();
     stream.write_all(&[0xff; 64]).unwrap();
     relay.until("the link to go", |f| f.node.downs == [(LinkId(1), false)]);
@@ -254,31 +254,31 @@
 /// Guards against strangers that take all descriptors of a relay, and against leaves that are turned away by them.
 #[test]
 fn strangers_are_bounded_in_number_and_time() {
-    let mut relay = Front::new(true, 1000);
-    let silent: Vec<TcpStream> = (0..MOST_STRANGERS + 8).map(|_| relay.connect()).collect();
-    relay.until("as many as may be", |f| f.links.len() == MOST_STRANGERS);
+    let mut relay = TestBed::new(true, 1000);
+    let silent: Vec<TcpStream> = (0..MAX_UNIDENTIFIED_LINKS + 8).map(|_| relay.connect()).collect();
+    relay.until("as many as may be", |f| f.links.len() == MAX_UNIDENTIFIED_LINKS);
     assert_eq!(relay.links.counts.refused, 0, "those that have just come are not sent away for others");
-    relay.skipped += STRANGER;
+    relay.skipped += MIN_IDENTIFY_TIME_S;
     let mut leaf = relay.connect();
     leaf.write_all(&frame(&hello())).unwrap();
     relay.until("the leaf", |f| f.node.heard.len() == 1);
-    assert!(relay.links.len() <= MOST_STRANGERS + 1);
-    relay.skipped += GREETING;
+    assert!(relay.links.len() <= MAX_UNIDENTIFIED_LINKS + 1);
+    relay.skipped += HANDSHAKE_TIMEOUT_S;
     relay.until("only the leaf", |f| f.links.len() == 1);
     assert_eq!(relay.node.downs.len(), silent.len());
     // It said who it is, and stays.
-    relay.skipped += GREETING;
-    relay.turn();
+    relay.skipped += HANDSHAKE_TIMEOUT_S;
+    relay.iterate();
     assert_eq!(relay.links.len(), 1);
 }
 
 #[test]
 fn links_are_bounded() {
-    let mut relay = Front::new(true, 3);
+    let mut relay = TestBed::new(true, 3);
     let mut all: Vec<TcpStream> = (0..5).map(|_| relay.connect()).collect();
     all.iter_mut().for_each(|s| s.write_all(&frame(&hello())).unwrap());
     relay.until("three", |f| f.node.heard.len() == 3);
-    relay.turn();
+    relay.iterate();
     assert_eq!(relay.links.len(), 3);
     drop(all.drain(..3));
     relay.until("those that waited", |f| f.node.heard.len() == 5);
@@ -287,43 +287,43 @@
 /// A leaf that reads nothing costs its relay a bounded buffer and no other leaf anything.
 #[test]
 fn a_link_that_is_not_read_is_cut_off() {
-    let mut relay = Front::new(true, 100);
+    let mut relay = TestBed::new(true, 100);
     let mut slow = relay.connect();
     slow.write_all(&frame(&hello())).unwrap();
     relay.until("the slow one", |f| f.node.heard.len() == 1);
     relay.node.floods = true;
     let mut said = 0;
     relay.until("it is full", |f| std::mem::replace(&mut said, f.node.said) == f.node.said && said > 0);
-    let bytes = relay.links.counts.bytes;
+    let bytes = relay.links.counts.bytes_sent;
     // What the system keeps at both ends: the reader's buffer is the kernel's default.
     assert!(bytes < 16 << 20, "{bytes} bytes were said to one that reads nothing");
     let waiting =
         relay.links.links.values().map(|l| l.connection.queued() - l.connection.written()).sum::<u64>();
-    assert!(waiting as usize <= MOST_WAITING, "{waiting}");
+    assert!(waiting as usize <= MAX_QUEUED_BYTES, "{waiting}");
     let mut quick = relay.connect();
     quick.write_all(&frame(&hello())).unwrap();
     relay.until("another", |f| f.node.heard.len() == 2);
     relay.node.floods = false;
     relay.node.say(LinkId(2), Message::Pong(1));
-    relay.turn();
+    relay.iterate();
     while !matches!(next(&mut quick), Some(Message::Pong(1))) {}
-    relay.skipped += STUCK;
+    relay.skipped += STUCK_TIMEOUT_S;
     relay.until("the slow one's end", |f| f.node.downs == [(LinkId(1), false)]);
     assert_eq!((relay.links.counts.stuck, relay.links.len()), (1, 1));
 }
 
 #[test]
 fn a_link_that_does_not_come_up_is_given_up() {
-    let mut leaf = Front::new(false, 4);
+    let mut leaf = TestBed::new(false, 4);
     // A listener whose queue is full takes no further ones: they stay on their way.
     let listener = bind((Ipv4Addr::LOCALHOST, 0).into(), 0).unwrap();
     let address = listener.local_addr().unwrap();
     let full: Vec<TcpStream> = (0..4).filter_map(|_| dial(address).ok()).collect();
-    leaf.knows(MemberId(2), address);
+    leaf.set_address(MemberId(2), address);
     let link = leaf.node.dial(MemberId(2));
-    leaf.turn();
+    leaf.iterate();
     assert_eq!((leaf.links.len(), &leaf.node.ups[..]), (1, &[][..]));
-    leaf.skipped += GREETING;
+    leaf.skipped += HANDSHAKE_TIMEOUT_S;
     leaf.until("the end", |f| f.node.downs == [(link, false)]);
     drop(full);
 }
--- a/crates/gatekeeper/src/node/subjects.rs
+++ b/crates/gatekeeper/src/node/subjects.rs
@@ -329,7 +329,7 @@
     fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some(conf) = meshed(new) else { return Ok(()) };
         let name = &room.platform.name;
-        if conf.own(name).is_none() || !self.fleet.as_ref().is_some_and(|f| f.stays(conf, name)) {
+        if conf.own(name).is_none() || !self.fleet.as_ref().is_some_and(|f| f.keeps_identity(conf, name)) {
             self.fresh = Some(Fleet::join(room.now, conf, name, room.seed, room.calls, room.watch)?);
         }
         Ok(())
@@ -337,7 +337,7 @@
 
     fn abandon(&mut self, room: &mut Room) {
         if let Some(fresh) = self.fresh.take() {
-            fresh.undo(room.now, room.watch);
+            fresh.discard(room.now, room.watch);
             // The one that stays goes on noting.
             if self.fleet.is_none() {
                 room.calls.note_changes(false);
@@ -358,7 +358,7 @@
                 "joined"
             }
             (Some(fleet), None, Some(conf)) => {
-                fleet.change(room.now, conf, room.watch);
+                fleet.reconfigure(room.now, conf, room.watch);
                 "changed"
             }
             (old, None, _) => {
@@ -390,7 +390,7 @@
 
     fn heard(&mut self, room: &mut Room, ready: Ready) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.heard(room.now, ready, room.watch);
+            fleet.handle_ready(room.now, ready, room.watch);
         }
     }
 
@@ -402,8 +402,8 @@
             self.shares = None;
         }
         let (Some(fleet), Some(guard)) = (&mut self.fleet, &mut room.gates.fleet) else { return };
-        let entries = fleet.beat(room.now, room.list_at, room.servers, room.calls, guard, room.watch);
-        fleet.hand_over(room.now, room.clients);
+        let entries = fleet.maintain(room.now, room.list_at, room.servers, room.calls, guard, room.watch);
+        fleet.hand_over_ends(room.now, room.clients);
         if !entries.is_empty() {
             room.calls.events.push(Event::List { kind: ListKind::Changes, entries });
         }
@@ -411,7 +411,7 @@
 
     fn carry_out(&mut self, room: &mut Room) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.carry_out(room.now, room.calls, room.watch);
+            fleet.send_pending(room.now, room.calls, room.watch);
         }
     }
 
@@ -423,7 +423,7 @@
 
     /// One that catches up gets a piece a turn, and more turns; what came since the last word follows soon.
     fn wants_turn_at(&self) -> Option<f64> {
-        self.fleet.as_ref().and_then(Fleet::gives_at)
+        self.fleet.as_ref().and_then(Fleet::next_send_at)
     }
 
     fn not_ready(&self) -> Option<&'static str> {
--- a/crates/gatekeeper/src/node/tests/said.rs
+++ b/crates/gatekeeper/src/node/tests/said.rs
@@ -1,22 +1,30 @@
 //! What is said on the links is told apart, and the parts are the whole.
 
-use hollypaddle_membership::{Beat, Life, MemberId, Observation};
+use hollypaddle_membership::{Heartbeat, Incarnation, MemberId, Observation};
 use hollypaddle_replica::catch_up::Piece;
 use hollypaddle_replica::record::{Key, Origin, Record, ServerKey, Value, KINDS};
 use hollypaddle_replica::Word;
 
-use crate::node::peers::Split;
+use crate::node::peers::BytesByKind;
 
 const FRAME: u64 = 4;
 
-fn life() -> Life {
-    Life { incarnation: 3, nonce: 1 << 40 }
+fn life() -> Incarnation {
+    Incarnation { number: 3, nonce: 1 << 40 }
 }
 
 fn beat(others: u64) -> Word {
-    let observation = |n| Observation { member: MemberId(n << 50), life: life(), age_ms: 90, gone: false };
+    let observation =
+        |n| Observation { member: MemberId(n << 50), incarnation: life(), age_ms: 90, gone: false };
     let observations = (1..=others).map(observation).collect();
-    Word::Beat(Beat { life: life(), seq: 9, echo: None, ready: true, callers: true, observations })
+    Word::Beat(Heartbeat {
+        incarnation: life(),
+        seq: 9,
+        echo: None,
+        ready: true,
+        callers: true,
+        observations,
+    })
 }
 
 fn record(version: u64, key: Key, value: Option<Value>) -> Record {
@@ -28,26 +36,27 @@
     Word::Piece(Piece { origin, from: 0, upto: 9, base: None, horizon: 0, last: true, records })
 }
 
-fn counted(word: &Word) -> (Split, u64) {
-    let mut split = Split::default();
+fn counted(word: &Word) -> (BytesByKind, u64) {
+    let mut split = BytesByKind::default();
     let bytes = FRAME + postcard::to_allocvec(word).unwrap().len() as u64;
     split.count(word, bytes);
     (split, bytes)
 }
 
-fn sum(split: &Split) -> u64 {
-    let words = [split.greetings, split.beats, split.sights, split.digests, split.asks, split.pieces];
+fn sum(split: &BytesByKind) -> u64 {
+    let words =
+        [split.greetings, split.heartbeats, split.observations, split.digests, split.requests, split.pieces];
     words.into_iter().chain(split.records).sum()
 }
 
 #[test]
 fn sights_count_apart_from_the_beat_that_carries_them() {
     let (none, few, many) = (counted(&beat(0)).0, counted(&beat(2)), counted(&beat(5)));
-    assert_eq!(none.sights, 0);
+    assert_eq!(none.observations, 0);
     assert_eq!((sum(&few.0), sum(&many.0)), (few.1, many.1));
     // The beat itself does not grow; each observation is as long as the next.
-    assert_eq!((few.0.beats, many.0.beats), (none.beats, none.beats));
-    assert_eq!((few.0.sights * 5, many.0.sights > 0), (many.0.sights * 2, true));
+    assert_eq!((few.0.heartbeats, many.0.heartbeats), (none.heartbeats, none.heartbeats));
+    assert_eq!((few.0.observations * 5, many.0.observations > 0), (many.0.observations * 2, true));
 }
 
 #[test]
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -21,34 +21,34 @@
 use serde_json::{json, Value};
 
 use super::control::Question;
-use super::events::{log_member_event, Lines};
-use super::fleet::new_life;
-use super::observations::{Hearsay, Told};
+use super::events::{log_member_event, EventLogLimiter};
+use super::fleet::new_incarnation;
+use super::observations::{PeerObservations, ReportedServers};
 use super::poller::Ready;
-use super::relays::{most_links, most_links_of_leaf, Links};
+use super::relays::{max_leaf_links, max_links, Links};
 use super::subjects::{Room, Subject};
 
 /// A start waits so long at most for what a relay knows, in seconds, until it says that it is ready.
-const CATCH_UP: f64 = 1.0;
+const MAX_CATCH_UP_WAIT_S: f64 = 1.0;
 /// A turn so long after the one before: this process was paused.
-const WOKE: f64 = 1.0;
+const PAUSE_THRESHOLD_S: f64 = 1.0;
 /// At a start the fleet's settings are proposed for so long, until a majority of relays is heard.
-const PROPOSE: f64 = 10.0;
+const PROPOSE_RETRY_S: f64 = 10.0;
 /// Mistakes in the file with the fleet's settings that are logged one by one.
-const MOST_PROBLEMS: usize = 20;
+const MAX_LOGGED_PROBLEMS: usize = 20;
 
 /// Descriptors that the links of a fleet may take, in its role.
-pub fn descriptors(conf: &FleetConf, platform_name: &str) -> usize {
+pub fn max_link_descriptors(conf: &FleetConf, platform_name: &str) -> usize {
     match &conf.tier {
-        None => super::peers::most_links(conf.members.len()),
-        Some(tier) => links(tier, conf.own_name(platform_name)),
+        None => super::peers::max_links(conf.members.len()),
+        Some(tier) => max_links_in_tier(tier, conf.own_name(platform_name)),
     }
 }
 
-fn links(tier: &TierConf, own: &str) -> usize {
+fn max_links_in_tier(tier: &TierConf, own: &str) -> usize {
     match tier.relay(own) {
-        Some(_) => most_links(tier.leaves, tier.relays.len()),
-        None => most_links_of_leaf(),
+        Some(_) => max_links(tier.leaves, tier.relays.len()),
+        None => max_leaf_links(),
     }
 }
 
@@ -139,18 +139,18 @@
     joined: f64,
     ticked: f64,
     // Of a leaf.
-    told: Told,
+    reported: ReportedServers,
     /// Servers that are gone from the list, and since when: told of as that for a while.
-    gone: VecDeque<(f64, ServerKey)>,
-    hearsay: Hearsay,
+    removed_servers: VecDeque<(f64, ServerKey)>,
+    observations: PeerObservations,
     /// The settings that came last.
-    held: Option<Arc<Set>>,
+    received_settings: Option<Arc<Set>>,
     // Of a relay.
     /// What is to be proposed, and until when that is tried.
     proposal: Option<(Vec<(String, String)>, f64)>,
     /// What became of the last proposal that was refused.
     refused: Option<String>,
-    lines: Lines,
+    log_limiter: EventLogLimiter,
 }
 
 impl Joined {
@@ -158,27 +158,29 @@
         let now = room.now;
         let identity = Identity::of(conf, tier, room.platform);
         let own = MemberId::of(&identity.name);
-        let life = new_life(now, room.seed);
+        let incarnation = new_incarnation(now, room.seed);
         let relays = places(tier);
         let mut role = match tier.relay(&identity.name) {
             Some(_) => {
                 let writer = MemberId::of(&tier.writer);
-                let known = relay::Identity { own, life, relays, writer };
+                let known = relay::Identity { own, life: incarnation, relays, writer };
                 Role::Relay(Box::new(Relay::new(now, known, conf.settings, timing(tier))))
             }
             None => {
                 let (topic, place) = (identity.topic, identity.place.clone());
-                let known = leaf::Identity { own, life, topic, place };
+                let known = leaf::Identity { own, life: incarnation, topic, place };
                 Role::Leaf(Box::new(Leaf::new(now, known, relays, timing(tier)).named(&identity.name)))
             }
         };
-        let most = links(tier, &identity.name);
-        let mut links = Links::open(identity.listen, most, room.watch)?;
-        links.change(now, most, addresses(tier), role.node(), room.watch);
+        let max_links = max_links_in_tier(tier, &identity.name);
+        let mut links = Links::open(identity.listen, max_links, room.watch)?;
+        links.reconfigure(now, max_links, addresses(tier), role.node(), room.watch);
         let name = identity.name.as_str();
         match links.address() {
-            Some(listen) => log::info!(name, listen:%, relays = tier.relays.len(), life:%; "relay-joined"),
-            None => log::info!(name, relays = tier.relays.len(), life:%; "leaf-joined"),
+            Some(listen) => {
+                log::info!(name, listen:%, relays = tier.relays.len(), life:% = incarnation; "relay-joined")
+            }
+            None => log::info!(name, relays = tier.relays.len(), life:% = incarnation; "leaf-joined"),
         }
         Ok(Joined {
             conf: conf.clone(),
@@ -189,13 +191,13 @@
             links,
             joined: now,
             ticked: now,
-            told: Told::default(),
-            gone: VecDeque::new(),
-            hearsay: Hearsay::new(now),
-            held: None,
+            reported: ReportedServers::default(),
+            removed_servers: VecDeque::new(),
+            observations: PeerObservations::new(now),
+            received_settings: None,
             proposal: None,
             refused: None,
-            lines: Lines::new(now),
+            log_limiter: EventLogLimiter::new(now),
         })
     }
 
@@ -210,8 +212,8 @@
                 relay.change(now, known, conf.settings, timing(tier));
             }
         }
-        let most = links(tier, &self.identity.name);
-        self.links.change(now, most, addresses(tier), self.role.node(), room.watch);
+        let max_links = max_links_in_tier(tier, &self.identity.name);
+        self.links.reconfigure(now, max_links, addresses(tier), self.role.node(), room.watch);
         self.names = names(tier, &self.identity.name);
         (self.conf, self.tier) = (conf.clone(), tier.clone());
     }
@@ -219,13 +221,13 @@
     /// Says that it ends, and closes all links.
     fn leave(mut self, room: &mut Room) {
         match &mut self.role {
-            Role::Leaf(_) => self.links.say_to_all(&Message::Leave),
+            Role::Leaf(_) => self.links.send_to_all(&Message::Leave),
             Role::Relay(relay) => {
                 relay.end(room.now);
-                self.links.carry_out(room.now, self.role.node(), room.watch);
+                self.links.apply_node_actions(room.now, self.role.node(), room.watch);
             }
         }
-        self.links.shut(room.watch);
+        self.links.close_all(room.watch);
     }
 
     fn name(&self, member: MemberId) -> String {
@@ -239,7 +241,7 @@
         let wanted = match hollypaddle_config::entries(path) {
             Ok(wanted) => wanted,
             Err(problems) => {
-                for problem in problems.iter().take(MOST_PROBLEMS) {
+                for problem in problems.iter().take(MAX_LOGGED_PROBLEMS) {
                     let (place, what) = (problem.place.to_string(), problem.what.as_str());
                     log::warn!(place = place.as_str(), what; "fleet-settings-problem");
                 }
@@ -254,7 +256,7 @@
                 return;
             }
         }
-        let until = if at_start { now + PROPOSE } else { now };
+        let until = if at_start { now + PROPOSE_RETRY_S } else { now };
         self.proposal = Some((wanted, until));
         self.propose(now);
     }
@@ -286,43 +288,43 @@
 
     /// Returns whether this process was paused.
     fn tick(&mut self, now: f64) -> bool {
-        let woke = now - std::mem::replace(&mut self.ticked, now) >= WOKE;
+        let resumed = now - std::mem::replace(&mut self.ticked, now) >= PAUSE_THRESHOLD_S;
         self.role.node().tick(now);
         self.log(now);
-        woke
+        resumed
     }
 
     fn due(&mut self, room: &mut Room) -> Vec<PoolEntry> {
         let now = room.now;
-        self.links.beat(now, self.role.node(), room.watch);
+        self.links.maintain(now, self.role.node(), room.watch);
         self.propose(now);
         let Role::Leaf(leaf) = &mut self.role else { return Vec::new() };
-        for server in self.told.tell(now, room.servers, leaf.as_mut()) {
-            self.gone.push_back((now, server));
+        for server in self.reported.report_changes(now, room.servers, leaf.as_mut()) {
+            self.removed_servers.push_back((now, server));
         }
         let forget = self.conf.settings.forget;
-        while let Some((_, server)) = self.gone.pop_front_if(|(at, _)| now - *at >= forget) {
-            let listed =
-                self.told.pool(server).is_some() || self.gone.iter().any(|(_, again)| *again == server);
+        while let Some((_, server)) = self.removed_servers.pop_front_if(|(at, _)| now - *at >= forget) {
+            let listed = self.reported.pool_of(server).is_some()
+                || self.removed_servers.iter().any(|(_, again)| *again == server);
             if !listed {
                 leaf.server(now, server, None);
             }
         }
         let Some(guard) = &mut room.gates.fleet else { return Vec::new() };
         let late = self.conf.settings.lists_late;
-        self.hearsay.listen(now, &leaf.hearsay(now), (room.list_at, late), room.servers, guard)
+        self.observations.update(now, &leaf.hearsay(now), (room.list_at, late), room.servers, guard)
     }
 
     /// Settings that came and were not offered before.
-    fn offered(&mut self) -> Option<Arc<Set>> {
+    fn take_offered_settings(&mut self) -> Option<Arc<Set>> {
         let Role::Leaf(leaf) = &mut self.role else { return None };
         let offered = leaf.offered()?;
-        self.held = Some(Arc::clone(&offered));
+        self.received_settings = Some(Arc::clone(&offered));
         Some(offered)
     }
 
     fn ready(&self, now: f64) -> bool {
-        let late = now - self.joined >= CATCH_UP;
+        let late = now - self.joined >= MAX_CATCH_UP_WAIT_S;
         match &self.role {
             Role::Leaf(leaf) => late || leaf.level(),
             Role::Relay(relay) => relay.ready(),
@@ -335,7 +337,7 @@
         match &mut self.role {
             Role::Leaf(leaf) => {
                 for event in leaf.events() {
-                    if self.lines.take(now) {
+                    if self.log_limiter.may_log(now) {
                         log_leaf_event(&event, &self.names);
                     }
                 }
@@ -343,8 +345,8 @@
             Role::Relay(relay) => {
                 for event in relay.events() {
                     let may = match &event {
-                        relay::Event::Mesh(event) => self.lines.take_for(now, event),
-                        _ => self.lines.take(now),
+                        relay::Event::Mesh(event) => self.log_limiter.may_log_event(now, event),
+                        _ => self.log_limiter.may_log(now),
                     };
                     if may {
                         let name =
@@ -401,9 +403,9 @@
         let heard = 1 + view.peers().filter(|m| matches!(view.state(*m), State::Alive)).count();
         let row = |r: &hollypaddle_membership::view::Row| {
             json!({
-                "name": self.name(r.member), "state": r.state.name(), "life": r.life.map(|l| l.to_string()),
-                "silent_ms": r.silent.map(|s| (s * 1000.0).round()), "linked": r.linked,
-                "hears_us": !r.deaf, "ready": r.ready,
+                "name": self.name(r.member), "state": r.state.name(), "life": r.incarnation.map(|i| i.to_string()),
+                "silent_ms": r.silent_s.map(|s| (s * 1000.0).round()), "linked": r.linked,
+                "hears_us": !r.not_receiving, "ready": r.ready,
             })
         };
         let leaf = |r: relay::LeafRow| {
@@ -529,32 +531,32 @@
 pub struct InTier {
     joined: Option<Joined>,
     /// One that was joined and does not count yet.
-    fresh: Option<Joined>,
+    prepared: Option<Joined>,
 }
 
 impl InTier {
     /// The lines of a list, with what others know.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(joined) = &self.joined {
-            joined.hearsay.overlay(entries, list_at, joined.conf.settings.lists_late);
+            joined.observations.overlay(entries, list_at, joined.conf.settings.lists_late);
         }
     }
 
     /// Settings of the fleet that came and were not offered before.
-    pub fn offered(&mut self) -> Option<Arc<Set>> {
-        self.joined.as_mut().and_then(Joined::offered)
+    pub fn take_offered_settings(&mut self) -> Option<Arc<Set>> {
+        self.joined.as_mut().and_then(Joined::take_offered_settings)
     }
 
     /// Settings of the fleet that were turned down, to be tried again as the own configuration has changed.
-    pub fn turned_down(&self) -> Option<Arc<Set>> {
+    pub fn rejected_settings(&self) -> Option<Arc<Set>> {
         let joined = self.joined.as_ref()?;
         let Role::Leaf(leaf) = &joined.role else { return None };
-        let held = joined.held.as_ref()?;
+        let held = joined.received_settings.as_ref()?;
         (leaf.status(joined.ticked).in_force < held.mark().version).then(|| Arc::clone(held))
     }
 
     /// Settings of this version are in force here, or why they are not.
-    pub fn verdict(&mut self, version: u64, verdict: Result<(), String>) {
+    pub fn report_verdict(&mut self, version: u64, verdict: Result<(), String>) {
         let Some(Joined { role: Role::Leaf(leaf), .. }) = &mut self.joined else { return };
         leaf.verdict(version, verdict);
     }
@@ -570,22 +572,22 @@
         let Some((conf, tier)) = of(new) else { return Ok(()) };
         let identity = Identity::of(conf, tier, room.platform);
         if self.joined.as_ref().is_none_or(|joined| joined.identity != identity) {
-            self.fresh = Some(Joined::join(room, conf, tier)?);
+            self.prepared = Some(Joined::join(room, conf, tier)?);
         }
         Ok(())
     }
 
     fn abandon(&mut self, room: &mut Room) {
-        if let Some(fresh) = self.fresh.take() {
-            fresh.links.shut(room.watch);
+        if let Some(prepared) = self.prepared.take() {
+            prepared.links.close_all(room.watch);
         }
     }
 
     fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
-        let (fresh, at_start) = (self.fresh.take(), self.joined.is_none());
-        let word = match (&mut self.joined, fresh, of(new)) {
-            (old, Some(fresh), _) => {
-                if let Some(old) = old.replace(fresh) {
+        let (prepared, at_start) = (self.prepared.take(), self.joined.is_none());
+        let word = match (&mut self.joined, prepared, of(new)) {
+            (old, Some(prepared), _) => {
+                if let Some(old) = old.replace(prepared) {
                     old.leave(room);
                 }
                 Some("joined")
@@ -626,7 +628,7 @@
 
     fn heard(&mut self, room: &mut Room, ready: Ready) {
         if let Some(joined) = &mut self.joined {
-            joined.links.ready(room.now, ready, joined.role.node(), room.watch);
+            joined.links.handle_ready(room.now, ready, joined.role.node(), room.watch);
         }
     }
 
@@ -640,7 +642,7 @@
 
     fn carry_out(&mut self, room: &mut Room) {
         if let Some(joined) = &mut self.joined {
-            joined.links.carry_out(room.now, joined.role.node(), room.watch);
+            joined.links.apply_node_actions(room.now, joined.role.node(), room.watch);
         }
     }
 
--- a/crates/hollow/src/leaves.rs
+++ b/crates/hollow/src/leaves.rs
@@ -8,8 +8,8 @@
 
 use hollypaddle::node::clock::Clock;
 use hollypaddle::node::poller::Watch;
-use hollypaddle::node::relays::{most_links_of_leaf, Links};
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle::node::relays::{max_leaf_links, Links};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_relay::budget::HEADERS;
 use hollypaddle_relay::leaf::{Event, Identity, Leaf};
 use hollypaddle_relay::placement::{Place, RelayPlace};
@@ -213,7 +213,7 @@
             return false;
         }
         self.leaf.tick(now);
-        self.links.ready(now, ready, &mut self.leaf, watch);
+        self.links.handle_ready(now, ready, &mut self.leaf, watch);
         self.next_at = now;
         true
     }
@@ -234,15 +234,15 @@
             let name = format!("h{n}");
             let service = format!("s{}", n % plan.services.max(1));
             let place = plan.zones[n % plan.zones.len()].0.clone();
-            let life = Life { incarnation: (now * 1e6) as u64, nonce: nonce ^ n as u64 };
+            let life = Incarnation { number: (now * 1e6) as u64, nonce: nonce ^ n as u64 };
             let identity = Identity { own: MemberId::of(&name), life, topic: Topic::of(&service), place };
             let mut leaf = Leaf::new(now, identity, places.clone(), Timing::default()).named(&name);
             for server in 0..plan.servers {
                 let key = ServerKey::of(&format!("{service}/{server}"));
                 leaf.server(now, key, Some(ServerFact { started_ms: 0, place: ServerPlace::Ready }));
             }
-            let mut links = Links::open(None, most_links_of_leaf(), &mut watch)?;
-            links.change(now, most_links_of_leaf(), addresses.clone(), &mut leaf, &watch);
+            let mut links = Links::open(None, max_leaf_links(), &mut watch)?;
+            links.reconfigure(now, max_leaf_links(), addresses.clone(), &mut leaf, &watch);
             let refuses = plan.refuse.as_ref() == Some(&name);
             all.push(One { name, leaf, links, next_at: now, refuses });
         }
@@ -253,7 +253,7 @@
     fn turn(&mut self, now: f64) {
         for one in self.all.iter_mut().filter(|one| one.next_at <= now) {
             one.leaf.tick(now);
-            one.links.beat(now, &mut one.leaf, &mut self.watch);
+            one.links.maintain(now, &mut one.leaf, &mut self.watch);
             if let Some(offered) = one.leaf.offered() {
                 let version = offered.mark().version;
                 let verdict = if one.refuses { Err(REFUSAL.to_string()) } else { Ok(()) };
@@ -262,7 +262,7 @@
                     self.took.push(Took { leaf: one.name.clone(), version, at: now });
                 }
             }
-            one.links.carry_out(now, &mut one.leaf, &mut self.watch);
+            one.links.apply_node_actions(now, &mut one.leaf, &mut self.watch);
             for event in one.leaf.events() {
                 let (relay, after) = match event {
                     Event::Attached(relay, after) => (relay, after),
@@ -300,13 +300,14 @@
                 }
                 report.peers += usize::from(fact.presence == Presence::Here);
             }
-            let (messages, bytes) = ([counts.said, counts.heard], [counts.bytes, counts.bytes_heard]);
+            let (messages, bytes) =
+                ([counts.sent, counts.received], [counts.bytes_sent, counts.bytes_received]);
             for way in 0..2 {
                 report.messages[way] += messages[way];
                 report.bytes[way] += bytes[way];
             }
-            let headers = (counts.said + counts.heard) * HEADERS as u64;
-            report.each.push(counts.bytes + counts.bytes_heard + headers);
+            let headers = (counts.sent + counts.received) * HEADERS as u64;
+            report.each.push(counts.bytes_sent + counts.bytes_received + headers);
         }
         report
     }
--- a/crates/lending/src/lib.rs
+++ b/crates/lending/src/lib.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -68,7 +68,7 @@
     /// Who, in which life.
     pub member: MemberId,
     /// The life.
-    pub life: Life,
+    pub life: Incarnation,
     /// Of which budget.
     pub budget: BudgetKey,
     /// How much, in millionths of the whole.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// To which life of its borrower: a later one does not know it and must not count it.
-    pub life: Life,
+    pub life: Incarnation,
     /// How much, in millionths of the whole.
     pub part: u32,
     /// Each renewal has another.
@@ -100,7 +100,7 @@
     /// What was told last; none where that was withdrawn.
     told: Option<Lease>,
     /// To which life the leases that are out went.
-    life: Life,
+    life: Incarnation,
     renew_at: f64,
     /// All that may be counted by the borrower: until when, and how much.
     out: VecDeque<(f64, u32)>,
@@ -246,7 +246,7 @@
             let part = (spare * whole * f64::from(want.part) / sum).min(f64::from(want.part));
             Some((want.member, want.life, part as u32)).filter(|(.., part)| *part >= LEAST)
         };
-        let shares: Vec<(MemberId, Life, u32)> = asked.iter().filter_map(|want| share(want)).collect();
+        let shares: Vec<(MemberId, Incarnation, u32)> = asked.iter().filter_map(|want| share(want)).collect();
         let bound = (demand.part * most * whole) as u32;
         for (member, grant) in &mut book.grants {
             if grant.told.is_some() && !shares.iter().any(|(m, ..)| m == member) {
--- a/crates/lending/tests/laws.rs
+++ b/crates/lending/tests/laws.rs
@@ -1,7 +1,7 @@
 //! What a lender promises, against a model that remembers every lease that was ever told.
 
 use hollypaddle_lending::*;
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use proptest::prelude::*;
 
 const BUDGET: BudgetKey = BudgetKey(7);
@@ -27,11 +27,11 @@
         let begun = 1000.0;
         let mut lending = Lending::new(begun, most);
         // To whom, in which life, until when, and how much: of one borrower the last word counts.
-        let mut told: Vec<(MemberId, Life, f64, u32)> = Vec::new();
+        let mut told: Vec<(MemberId, Incarnation, f64, u32)> = Vec::new();
         let mut now = begun;
         for (later, wanted, owes, wants) in steps {
             now += later;
-            let life = |n: u64| Life { incarnation: n, nonce: 0 };
+            let life = |n: u64| Incarnation { number: n, nonce: 0 };
             let mut by: Vec<Want> = wants
                 .iter()
                 .map(|(who, n, part)| Want { member: MemberId(*who), life: life(*n), budget: BUDGET, part: *part })
@@ -54,7 +54,7 @@
             }
             let lives = |m: &MemberId| {
                 let valid = told.iter().filter(|(who, _, until, _)| who == m && now < *until);
-                valid.map(|t| t.1).collect::<std::collections::BTreeSet<Life>>().len()
+                valid.map(|t| t.1).collect::<std::collections::BTreeSet<Incarnation>>().len()
             };
             prop_assert!(counted.keys().all(|m| lives(m) == 1), "two lives of one would both count theirs");
             let out = f64::from(counted.values().sum::<u32>()) / f64::from(WHOLE);
@@ -80,7 +80,7 @@
 fn a_lease_is_renewed_before_it_runs_out_and_withdrawn_when_it_is_wanted_no_more() {
     let mut lending = Lending::new(0.0, 0.75);
     let idle = [Demand { budget: BUDGET, part: 0.2, wanted: 0.05, owes: false }];
-    let want = Want { member: MemberId(1), life: Life::default(), budget: BUDGET, part: 500_000 };
+    let want = Want { member: MemberId(1), life: Incarnation::default(), budget: BUDGET, part: 500_000 };
     let mut said = Vec::new();
     for n in 0..40 {
         let now = 4.0 + 0.25 * f64::from(n);
@@ -111,7 +111,7 @@
         .flat_map(|m| {
             let want = move |d: &Demand| Want {
                 member: MemberId(m),
-                life: Life::default(),
+                life: Incarnation::default(),
                 budget: d.budget,
                 part: 900,
             };
--- a/crates/measure/src/duties.rs
+++ b/crates/measure/src/duties.rs
@@ -5,7 +5,7 @@
 
 use hollypaddle_duties::{Duties, Settings};
 use hollypaddle_faults::duties::{duty, id, Plan, World, STEP};
-use hollypaddle_membership::{view, Life};
+use hollypaddle_membership::{view, Incarnation};
 use minijinja::{context, Environment};
 use serde::Serialize;
 
@@ -46,13 +46,13 @@
 /// living until membership says that it is gone.
 fn hashing(members: usize) -> f64 {
     let (some, others) = sides(members);
-    let life = Life { incarnation: 1, nonce: 1 };
+    let life = Incarnation { number: 1, nonce: 1 };
     let ids: Vec<_> = (0..members).map(id).collect();
     let all: Vec<Duties> =
         ids.iter().map(|own| Duties::new(0.0, *own, life, Settings::default(), &ids)).collect();
     let (mut doubled, mut at) = (0.0, 0.0);
     while at < SPLIT {
-        let apart = at >= view::Settings::default().gone;
+        let apart = at >= view::Settings::default().gone_after_s;
         let lives = |a: usize, b: usize| !apart || some.contains(&a) == some.contains(&b);
         let holds = |n: &usize| {
             let living = (0..members).filter(|m| lives(*n, *m)).map(id);
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -5,41 +5,41 @@
 //! silent again and again.
 
 /// Gaps remembered.
-const GAPS: usize = 32;
+const MAX_GAPS: usize = 32;
 /// Gaps without which the floor alone counts.
-const FEWEST: usize = 8;
+const MIN_GAPS: usize = 8;
 
 /// The gaps between the beats of one member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Detector {
     gaps: Vec<f64>,
-    at: usize,
-    last: Option<f64>,
+    next_slot: usize,
+    last_at: Option<f64>,
 }
 
 impl Detector {
     /// A beat came.
-    pub fn heard(&mut self, now: f64) {
-        if let Some(last) = self.last {
-            let gap = (now - last).max(0.0);
-            if self.gaps.len() < GAPS {
+    pub fn record_heartbeat(&mut self, now: f64) {
+        if let Some(last_at) = self.last_at {
+            let gap = (now - last_at).max(0.0);
+            if self.gaps.len() < MAX_GAPS {
                 self.gaps.push(gap);
             } else {
-                self.gaps[self.at] = gap;
+                self.gaps[self.next_slot] = gap;
             }
-            self.at = (self.at + 1) % GAPS;
+            self.next_slot = (self.next_slot + 1) % MAX_GAPS;
         }
-        self.last = Some(now);
+        self.last_at = Some(now);
     }
 
     /// The next gap tells nothing: the member was started anew, or this one was paused.
-    pub fn interrupted(&mut self) {
-        self.last = None;
+    pub fn skip_next_gap(&mut self) {
+        self.last_at = None;
     }
 
     /// A silence longer than this is suspect: the mean gap and so many deviations, between a floor and a ceiling.
-    pub fn limit(&self, deviations: f64, floor: f64, ceiling: f64) -> f64 {
-        if self.gaps.len() < FEWEST {
+    pub fn suspicion_timeout_s(&self, deviations: f64, floor: f64, ceiling: f64) -> f64 {
+        if self.gaps.len() < MIN_GAPS {
             return floor.min(ceiling);
         }
         let count = self.gaps.len() as f64;
@@ -55,12 +55,12 @@
 
     fn limit(gaps: &[f64]) -> f64 {
         let (mut detector, mut now) = (Detector::default(), 0.0);
-        detector.heard(now);
+        detector.record_heartbeat(now);
         for gap in gaps {
             now += gap;
-            detector.heard(now);
+            detector.record_heartbeat(now);
         }
-        detector.limit(4.0, 0.35, 1.0)
+        detector.suspicion_timeout_s(4.0, 0.35, 1.0)
     }
 
     #[test]
@@ -82,9 +82,9 @@
     #[test]
     fn a_gap_that_tells_nothing_is_left_out() {
         let mut detector = Detector::default();
-        (0..20).for_each(|n| detector.heard(f64::from(n) * 0.1));
-        detector.interrupted();
-        detector.heard(50.0);
-        assert_eq!(detector.limit(4.0, 0.35, 9.0), 0.35);
+        (0..20).for_each(|n| detector.record_heartbeat(f64::from(n) * 0.1));
+        detector.skip_next_gap();
+        detector.record_heartbeat(50.0);
+        assert_eq!(detector.suspicion_timeout_s(4.0, 0.35, 9.0), 0.35);
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -27,24 +27,24 @@
 /// One life of a member, from a start to its end. A later one has a higher incarnation; of one incarnation
 /// there is one life, and the nonce tells where that fails: two processes under one name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Higher at each start.
-    pub incarnation: u64,
+    pub number: u64,
     /// By chance, at each start.
     pub nonce: u64,
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:04x}", self.incarnation, self.nonce & 0xffff)
+        write!(f, "{}.{:04x}", self.number, self.nonce & 0xffff)
     }
 }
 
 /// What members say to each other all the time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The speaker's life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Counts the speaker's beats on this pair of members.
     pub seq: u32,
     /// The last beat that the speaker heard from whom it speaks to.
@@ -72,7 +72,7 @@
     /// Of whom.
     pub member: MemberId,
     /// The latest life known.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// How long ago it was alive for certain, in milliseconds; [`u32::MAX`] is never.
     pub age_ms: u32,
     /// The speaker holds it to be gone.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -9,7 +9,7 @@
 //! | a process died | its link closes, the next is refused, nobody hears it | gone after `refused` |
 //! | paused, or its machine vanished | its link is open and silent, nobody hears it | suspected, gone after `gone` |
 //! | cut off from here alone | silent here, others hear it | suspected, not gone |
-//! | one way is cut | its beats come and echo nothing new | alive, and deaf: it does not hear us |
+//! | one way is cut | its beats come and echo nothing new | alive, and not_receiving: it does not hear us |
 //! | slow | its beats come unevenly | alive: the detector gives it more time |
 //! | this one was cut off | most are silent at once | all suspected; nobody is gone without a majority that is heard |
 //! | this one was paused | its own turns have a gap | woke: what was believed before counts for nothing |
@@ -20,45 +20,51 @@
 use std::fmt;
 
 use crate::detector::Detector;
-use crate::{Beat, Echo, Life, MemberId, Observation};
+use crate::{Echo, Heartbeat, Incarnation, MemberId, Observation};
 
 /// Own beats of which the time is remembered, for their echoes.
-const MAX_UNECHOED_BEATS: usize = 64;
+const MAX_UNECHOED_HEARTBEATS: usize = 64;
 /// Observations in a beat at most; with more members they take turns.
 const MAX_OBSERVATIONS: usize = 16;
 /// Between two beats to a member that tell what is heard of others, in seconds: they are most of a beat's bytes, and
 /// well within the time after which one is gone.
 const OBSERVATION_INTERVAL_S: f64 = 0.4;
-/// Deviations of a member's gaps beyond their mean after which its silence is suspect.
+/// Deviations of a member's detector beyond their mean after which its silence is suspect.
 const SUSPECT_DEVIATIONS: f64 = 4.0;
 
 /// By how much clocks may differ in pace, and how exact an age is, in seconds.
-const CLOCK_PACE_TOLERANCE: f64 = 1.02;
+const CLOCK_RATE_TOLERANCE_RATIO: f64 = 1.02;
 const AGE_TOLERANCE_S: f64 = 0.05;
 /// A majority must have been heard for so long before a silence is held for an end, in seconds: who was cut off hears some
 /// first when it is back, and learns from them within this whom they hear.
-const QUORUM_STANDS_AFTER_S: f64 = OBSERVATION_INTERVAL_S + 0.1;
+const QUORUM_STABLE_AFTER_S: f64 = OBSERVATION_INTERVAL_S + 0.1;
 /// A second process under the own name must have been told of for so long, in seconds.
-const RIVAL_CONFIRMED_AFTER_S: f64 = 0.5;
+const NAME_CONFLICT_CONFIRMED_AFTER_S: f64 = 0.5;
 
 /// The figures of it, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Between two beats to a member.
-    pub beat: f64,
+    pub heartbeat_interval_s: f64,
     /// A silence shorter than this is never suspect.
-    pub suspect: f64,
+    pub suspect_after_s: f64,
     /// One that nobody has heard for so long is gone.
-    pub gone: f64,
+    pub gone_after_s: f64,
     /// One whose address refuses links for so long is gone: its process has ended.
-    pub refused: f64,
+    pub refused_after_s: f64,
     /// Own turns further apart than this: this member was paused.
-    pub woke: f64,
+    pub pause_threshold_s: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { beat: 0.1, suspect: 0.35, gone: 2.0, refused: 0.3, woke: 1.0 }
+        Settings {
+            heartbeat_interval_s: 0.1,
+            suspect_after_s: 0.35,
+            gone_after_s: 2.0,
+            refused_after_s: 0.3,
+            pause_threshold_s: 1.0,
+        }
     }
 }
 
@@ -87,17 +93,17 @@
     /// It was gone and is heard again, in the same life.
     Returned(MemberId),
     /// Another life of it began: it was started anew.
-    Restarted(MemberId, Life),
+    Restarted(MemberId, Incarnation),
     /// It does not hear us, while we hear it.
-    Deaf(MemberId),
+    NotReceiving(MemberId),
     /// It hears us again.
-    Hears(MemberId),
+    ReceivingAgain(MemberId),
     /// The own incarnation was below one that the fleet knows and was raised to this.
-    Raised(Life),
+    IncarnationRaised(Incarnation),
     /// Another process has this member's name, in this later life: this one is out of the fleet.
-    Superseded(Life),
+    Superseded(Incarnation),
     /// This member was paused for so long.
-    Woke(f64),
+    Resumed(f64),
 }
 
 /// Why a beat counts for nothing, and its link is closed.
@@ -114,7 +120,7 @@
         "a later incarnation of it is known, {0}: this one serves alone and is not told of the fleet; end it, or give it a \
          name of its own"
     )]
-    StaleIncarnation(Life),
+    StaleIncarnation(Incarnation),
 }
 
 impl Rejection {
@@ -131,26 +137,26 @@
 struct Peer {
     state: State,
     /// The latest life known, from itself or from others.
-    life: Option<Life>,
+    incarnation: Option<Incarnation>,
     /// When it was alive for certain, by its own beats; and by what others hear.
     alive_at: f64,
     observed_at: f64,
     /// Its silence before this tells nothing: its link came up then, or this member was paused. No evidence of life.
-    excused: f64,
-    gaps: Detector,
+    silence_ignored_until: f64,
+    detector: Detector,
     linked: bool,
     refused_since: Option<f64>,
-    /// It is gone, and its process has ended: its address refused links, or it said so.
-    ended: bool,
+    /// It is gone, and its process has process_ended: its address refused links, or it said so.
+    process_ended: bool,
     /// Own beats sent to it, and the last one that it told back.
     sent: VecDeque<(u32, f64)>,
     next_seq: u32,
-    next_beat: f64,
-    next_observations: f64,
-    echoed: Option<(u32, f64)>,
+    next_heartbeat_at: f64,
+    next_observations_at: f64,
+    last_echoed: Option<(u32, f64)>,
     /// Its last beat, and when it came.
-    heard: Option<(u32, f64)>,
-    deaf: bool,
+    last_received: Option<(u32, f64)>,
+    not_receiving: bool,
     ready: bool,
     callers: bool,
 }
@@ -160,21 +166,21 @@
         let never = f64::NEG_INFINITY;
         Peer {
             state: State::Unseen,
-            life: None,
+            incarnation: None,
             alive_at: never,
             observed_at: never,
-            excused: never,
-            gaps: Detector::default(),
+            silence_ignored_until: never,
+            detector: Detector::default(),
             linked: false,
             refused_since: None,
-            ended: false,
+            process_ended: false,
             sent: VecDeque::new(),
             next_seq: 1,
-            next_beat: never,
-            next_observations: never,
-            echoed: None,
-            heard: None,
-            deaf: false,
+            next_heartbeat_at: never,
+            next_observations_at: never,
+            last_echoed: None,
+            last_received: None,
+            not_receiving: false,
             ready: false,
             callers: false,
         }
@@ -189,13 +195,13 @@
     /// What is believed.
     pub state: State,
     /// Its latest life, if one was heard of.
-    pub life: Option<Life>,
+    pub incarnation: Option<Incarnation>,
     /// Seconds since it was alive for certain, as heard here; none if never.
-    pub silent: Option<f64>,
+    pub silent_s: Option<f64>,
     /// The same, as others hear it.
-    pub others: Option<f64>,
+    pub observed_ago_s: Option<f64>,
     /// It does not hear us.
-    pub deaf: bool,
+    pub not_receiving: bool,
     /// Its link is up.
     pub linked: bool,
     /// It says that it has caught up.
@@ -205,23 +211,23 @@
 /// What one member believes.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    own: MemberId,
-    life: Life,
+    own_id: MemberId,
+    incarnation: Incarnation,
     settings: Settings,
     peers: BTreeMap<MemberId, Peer>,
     /// Whether callers are there at the own member.
     callers: bool,
     /// When the own life began.
-    started: f64,
+    started_at: f64,
     /// A later life that was alive after the own one began, and since when it is told of.
-    rival: Option<(Life, f64)>,
+    name_conflict: Option<(Incarnation, f64)>,
     superseded: bool,
-    ticked: Option<f64>,
+    last_tick: Option<f64>,
     /// Since when a majority is heard, and whether that was long enough as of the last look.
     quorum_since: Option<f64>,
-    quorum_stands: bool,
+    quorum_is_stable: bool,
     /// Whose turn it is to be told of.
-    turn: usize,
+    next_observed: usize,
     changes: Vec<Change>,
 }
 
@@ -229,38 +235,38 @@
     /// A member that has just started, with those that stand in the configuration beside it.
     pub fn new(
         now: f64,
-        own: MemberId,
-        life: Life,
+        own_id: MemberId,
+        incarnation: Incarnation,
         settings: Settings,
         members: impl IntoIterator<Item = MemberId>,
     ) -> Membership {
-        let peers = members.into_iter().filter(|m| *m != own).map(|m| (m, Peer::new())).collect();
+        let peers = members.into_iter().filter(|m| *m != own_id).map(|m| (m, Peer::new())).collect();
         let (superseded, changes) = (false, Vec::new());
         Membership {
-            own,
-            life,
+            own_id,
+            incarnation,
             settings,
             peers,
             callers: false,
-            started: now,
-            rival: None,
+            started_at: now,
+            name_conflict: None,
             superseded,
-            ticked: None,
+            last_tick: None,
             quorum_since: None,
-            quorum_stands: false,
-            turn: 0,
+            quorum_is_stable: false,
+            next_observed: 0,
             changes,
         }
     }
 
     /// The own id.
-    pub fn own(&self) -> MemberId {
-        self.own
+    pub fn own_id(&self) -> MemberId {
+        self.own_id
     }
 
     /// The own life.
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// Whether another process took the name.
@@ -269,9 +275,9 @@
     }
 
     /// Takes the members of a configuration read anew: those that stay keep what is known of them.
-    pub fn members(&mut self, members: impl IntoIterator<Item = MemberId>) {
+    pub fn set_members(&mut self, members: impl IntoIterator<Item = MemberId>) {
         let mut old = std::mem::take(&mut self.peers);
-        let kept = members.into_iter().filter(|m| *m != self.own);
+        let kept = members.into_iter().filter(|m| *m != self.own_id);
         self.peers = kept.map(|m| (m, old.remove(&m).unwrap_or_else(Peer::new))).collect();
     }
 
@@ -281,37 +287,37 @@
     }
 
     /// What changed since this was last asked.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// The latest life known of a member.
-    pub fn life_of(&self, member: MemberId) -> Option<Life> {
-        match member == self.own {
-            true => Some(self.life),
-            false => self.peers.get(&member)?.life,
+    pub fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
+        match member == self.own_id {
+            true => Some(self.incarnation),
+            false => self.peers.get(&member)?.incarnation,
         }
     }
 
     /// What is believed of a member; of the own one that it is alive.
     pub fn state(&self, member: MemberId) -> State {
-        match member == self.own {
+        match member == self.own_id {
             true => State::Alive,
             false => self.peers.get(&member).map_or(State::Unseen, |p| p.state),
         }
     }
 
     /// Whether a member says that it has caught up.
-    pub fn ready(&self, member: MemberId) -> bool {
+    pub fn is_ready(&self, member: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|p| p.ready)
     }
 
     /// Those who are held to live: heard and not gone, the own one among them. One that is suspected counts: it is
     /// not certain that it acts no more.
-    pub fn living(&self) -> impl Iterator<Item = MemberId> + '_ {
+    pub fn live_members(&self) -> impl Iterator<Item = MemberId> + '_ {
         let living = |p: &Peer| matches!(p.state, State::Alive | State::Suspected(_));
         let peers = self.peers.iter().filter(move |(_, p)| living(p)).map(|(m, _)| *m);
-        std::iter::once(self.own).chain(peers)
+        std::iter::once(self.own_id).chain(peers)
     }
 
     /// Callers are there at the own member, or none are any more; returns whether that is new.
@@ -321,39 +327,39 @@
 
     /// Those of the living who say that callers are there to whom they can tell the end of a call. One that is only
     /// suspected may not hear of it.
-    pub fn with_callers(&self) -> impl Iterator<Item = MemberId> + '_ {
+    pub fn members_with_callers(&self) -> impl Iterator<Item = MemberId> + '_ {
         let has = |p: &Peer| p.state == State::Alive && p.callers;
         let peers = self.peers.iter().filter(move |(_, p)| has(p)).map(|(m, _)| *m);
-        self.callers.then_some(self.own).into_iter().chain(peers)
+        self.callers.then_some(self.own_id).into_iter().chain(peers)
     }
 
     /// Whether a majority of the configured members is heard now, the own one counted.
-    pub fn quorum(&self) -> bool {
+    pub fn has_quorum(&self) -> bool {
         let heard = 1 + self.peers.values().filter(|p| p.state == State::Alive).count();
         2 * heard > self.peers.len() + 1
     }
 
     /// Whether a majority has been heard for so long that a silence counts as an end.
-    pub fn quorum_stands(&self) -> bool {
-        self.quorum_stands
+    pub fn quorum_is_stable(&self) -> bool {
+        self.quorum_is_stable
     }
 
     /// Whether a member is gone for certain: its address refused links, or it said that it ends. One that is gone for its
     /// silence alone may go on where others hear it.
-    pub fn has_ended(&self, member: MemberId) -> bool {
-        self.peers.get(&member).is_some_and(|p| p.ended)
+    pub fn process_ended(&self, member: MemberId) -> bool {
+        self.peers.get(&member).is_some_and(|p| p.process_ended)
     }
 
     /// By how much what a member said last may be older than it says, in seconds: as long as its last beat may have
     /// been on its way. None before anything is known of that.
     pub fn lag(&self, now: f64, member: MemberId) -> Option<f64> {
         let peer = self.peers.get(&member)?;
-        peer.echoed.filter(|_| peer.alive_at.is_finite()).map(|_| (now - peer.alive_at).max(0.0))
+        peer.last_echoed.filter(|_| peer.alive_at.is_finite()).map(|_| (now - peer.alive_at).max(0.0))
     }
 
     /// When the latest own beat was sent that a member has told back: what it says now it says later than that.
-    pub fn told_back(&self, member: MemberId) -> Option<f64> {
-        self.peers.get(&member)?.echoed.map(|(_, at)| at)
+    pub fn last_echoed_at(&self, member: MemberId) -> Option<f64> {
+        self.peers.get(&member)?.last_echoed.map(|(_, at)| at)
     }
 
     /// Whether a link to a member is up.
@@ -362,19 +368,19 @@
     }
 
     /// Since when a member's address refuses links.
-    pub fn refuses(&self, member: MemberId) -> bool {
+    pub fn refuses_links(&self, member: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|p| p.refused_since.is_some())
     }
 
     /// A member said that it ends.
-    pub fn left(&mut self, now: f64, member: MemberId) {
+    pub fn member_left(&mut self, now: f64, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
             if !matches!(peer.state, State::Gone(_)) {
                 (peer.state, peer.alive_at, peer.observed_at) =
                     (State::Gone(now), f64::NEG_INFINITY, f64::NEG_INFINITY);
                 self.changes.push(Change::Gone(member, true));
             }
-            peer.ended = true;
+            peer.process_ended = true;
         }
     }
 
@@ -382,39 +388,39 @@
 
     /// A link to a member is up, and it said which life it is, which life of ours it knows, and how long ago that was
     /// alive, in milliseconds.
-    pub fn linked(
+    pub fn link_up(
         &mut self,
         now: f64,
         member: MemberId,
-        life: Life,
-        known: Option<(Life, u32)>,
+        incarnation: Incarnation,
+        known: Option<(Incarnation, u32)>,
     ) -> Result<(), Rejection> {
         if let Some((known, age_ms)) = known {
-            self.known(now, known, age_ms);
+            self.compare_own_incarnation(now, known, age_ms);
         }
-        self.lives(now, member, life)?;
+        self.update_incarnation(now, member, incarnation)?;
         if let Some(peer) = self.peers.get_mut(&member) {
             (peer.linked, peer.refused_since) = (true, None);
             // Beats count anew on each link, and none of an earlier one is told back.
-            (peer.heard, peer.next_beat, peer.next_observations) = (None, now, now);
-            peer.gaps.interrupted();
-            peer.excused = now;
+            (peer.last_received, peer.next_heartbeat_at, peer.next_observations_at) = (None, now, now);
+            peer.detector.skip_next_gap();
+            peer.silence_ignored_until = now;
         }
-        self.judge(now);
+        self.update_states(now);
         Ok(())
     }
 
     /// A link is down.
-    pub fn unlinked(&mut self, member: MemberId) {
+    pub fn link_down(&mut self, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
-            (peer.linked, peer.deaf, peer.heard) = (false, false, None);
-            peer.gaps.interrupted();
+            (peer.linked, peer.not_receiving, peer.last_received) = (false, false, None);
+            peer.detector.skip_next_gap();
         }
     }
 
     /// A member's address refused a link: no process listens there. Anything else that keeps a link from coming up
     /// tells nothing.
-    pub fn refused(&mut self, now: f64, member: MemberId) {
+    pub fn link_refused(&mut self, now: f64, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
             peer.refused_since.get_or_insert(now);
         }
@@ -422,160 +428,177 @@
 
     /// What another member is told of its own life: the latest that is known here, and how long ago that was
     /// alive for certain, in milliseconds.
-    pub fn known_of(&self, now: f64, member: MemberId) -> Option<(Life, u32)> {
+    pub fn known_incarnation_of(&self, now: f64, member: MemberId) -> Option<(Incarnation, u32)> {
         let peer = self.peers.get(&member)?;
         let at = peer.alive_at.max(peer.observed_at);
-        Some((peer.life?, if at.is_finite() { millis(now - at) } else { u32::MAX }))
+        Some((peer.incarnation?, if at.is_finite() { millis(now - at) } else { u32::MAX }))
     }
 
     /// Somebody knows this life of the own member, alive so long ago. A later life that was alive after the own one
     /// began is another process's, under the same name. One that was not is an earlier one: the clock was set back.
-    fn known(&mut self, now: f64, known: Life, age_ms: u32) {
-        if known <= self.life {
+    fn compare_own_incarnation(&mut self, now: f64, known: Incarnation, age_ms: u32) {
+        if known <= self.incarnation {
             return;
         }
-        let age = f64::from(age_ms) / 1000.0 * CLOCK_PACE_TOLERANCE + AGE_TOLERANCE_S;
-        if age > now - self.started {
-            self.life.incarnation = known.incarnation.saturating_add(1);
-            self.changes.push(Change::Raised(self.life));
+        let age = f64::from(age_ms) / 1000.0 * CLOCK_RATE_TOLERANCE_RATIO + AGE_TOLERANCE_S;
+        if age > now - self.started_at {
+            self.incarnation.number = known.number.saturating_add(1);
+            self.changes.push(Change::IncarnationRaised(self.incarnation));
             return;
         }
         // Told once it may be a word that was frozen on its way. One that is there is told of again.
-        let since = match self.rival {
-            Some((life, since)) if life == known => since,
+        let since = match self.name_conflict {
+            Some((incarnation, since)) if incarnation == known => since,
             _ => now,
         };
-        self.rival = Some((known, since));
-        if now - since >= RIVAL_CONFIRMED_AFTER_S && !self.superseded {
+        self.name_conflict = Some((known, since));
+        if now - since >= NAME_CONFLICT_CONFIRMED_AFTER_S && !self.superseded {
             self.superseded = true;
             self.changes.push(Change::Superseded(known));
         }
     }
 
     /// Takes another life: what was said in the one before is another process's.
-    pub fn relive(&mut self, life: Life) {
-        self.life = life;
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
+        self.incarnation = incarnation;
     }
 
     /// A member lives in this life.
-    fn lives(&mut self, now: f64, member: MemberId, life: Life) -> Result<(), Rejection> {
+    fn update_incarnation(
+        &mut self,
+        now: f64,
+        member: MemberId,
+        incarnation: Incarnation,
+    ) -> Result<(), Rejection> {
         let peer = self.peers.get_mut(&member).ok_or(Rejection::NotAMember)?;
-        match peer.life {
-            Some(known) if known > life => return Err(Rejection::StaleIncarnation(known)),
-            Some(known) if known < life => {
-                self.changes.push(Change::Restarted(member, life));
+        match peer.incarnation {
+            Some(known) if known > incarnation => return Err(Rejection::StaleIncarnation(known)),
+            Some(known) if known < incarnation => {
+                self.changes.push(Change::Restarted(member, incarnation));
                 let (linked, sent, next_seq) = (peer.linked, std::mem::take(&mut peer.sent), peer.next_seq);
                 *peer = Peer { linked, sent, next_seq, state: peer.state, ..Peer::new() };
-                (peer.excused, peer.next_beat) = (now, now);
+                (peer.silence_ignored_until, peer.next_heartbeat_at) = (now, now);
             }
             _ => {}
         }
-        peer.life = Some(life);
+        peer.incarnation = Some(incarnation);
         Ok(())
     }
 
     // ---- Beats
 
     /// Takes a beat.
-    pub fn hear(&mut self, now: f64, from: MemberId, beat: &Beat) -> Result<(), Rejection> {
-        self.lives(now, from, beat.life)?;
+    pub fn receive_heartbeat(&mut self, now: f64, from: MemberId, beat: &Heartbeat) -> Result<(), Rejection> {
+        self.update_incarnation(now, from, beat.incarnation)?;
         let Some(peer) = self.peers.get_mut(&from) else { return Err(Rejection::NotAMember) };
         // Repeated or overtaken: on one link they come in order.
-        if peer.heard.is_some_and(|(seq, _)| beat.seq <= seq) {
+        if peer.last_received.is_some_and(|(seq, _)| beat.seq <= seq) {
             return Ok(());
         }
-        peer.heard = Some((beat.seq, now));
+        peer.last_received = Some((beat.seq, now));
         (peer.ready, peer.callers) = (beat.ready, beat.callers);
-        peer.gaps.heard(now);
+        peer.detector.record_heartbeat(now);
         if let Some(echo) = beat.echo {
             if let Some((seq, at)) = peer.sent.iter().find(|(seq, _)| *seq == echo.seq).copied() {
-                peer.echoed = Some((seq, at));
+                peer.last_echoed = Some((seq, at));
                 peer.sent.retain(|(sent, _)| *sent >= seq);
             }
-            if let Some((_, at)) = peer.echoed.filter(|(seq, _)| *seq == echo.seq) {
+            if let Some((_, at)) = peer.last_echoed.filter(|(seq, _)| *seq == echo.seq) {
                 // Never later than now, however its clock runs.
                 let spoke_at = (at + f64::from(echo.held_ms) / 1000.0).min(now);
                 peer.alive_at = peer.alive_at.max(spoke_at);
             }
-            let limit = self.settings.gone / 2.0;
-            let deaf = f64::from(echo.held_ms) / 1000.0 > limit;
-            if deaf != peer.deaf {
-                peer.deaf = deaf;
-                self.changes.push(if deaf { Change::Deaf(from) } else { Change::Hears(from) });
+            let limit = self.settings.gone_after_s / 2.0;
+            let not_receiving = f64::from(echo.held_ms) / 1000.0 > limit;
+            if not_receiving != peer.not_receiving {
+                peer.not_receiving = not_receiving;
+                self.changes.push(if not_receiving {
+                    Change::NotReceiving(from)
+                } else {
+                    Change::ReceivingAgain(from)
+                });
             }
         }
         let lag = if peer.alive_at.is_finite() { (now - peer.alive_at).max(0.0) } else { 0.0 };
         for observation in &beat.observations {
-            self.observed(now, lag, observation);
+            self.apply_observation(now, lag, observation);
         }
-        self.judge(now);
+        self.update_states(now);
         Ok(())
     }
 
     /// Takes what another member hears of one, told at most `lag` seconds ago.
-    fn observed(&mut self, now: f64, lag: f64, observation: &Observation) {
-        if observation.member == self.own {
-            return self.known(now, observation.life, observation.age_ms);
+    fn apply_observation(&mut self, now: f64, lag: f64, observation: &Observation) {
+        if observation.member == self.own_id {
+            return self.compare_own_incarnation(now, observation.incarnation, observation.age_ms);
         }
         let Some(peer) = self.peers.get_mut(&observation.member) else { return };
-        let known = peer.life.unwrap_or_default();
-        if observation.life > known {
+        let known = peer.incarnation.unwrap_or_default();
+        if observation.incarnation > known {
             // The beats of the earlier life tell nothing of this one.
-            let first = peer.life.is_none();
-            (peer.life, peer.alive_at, peer.observed_at) =
-                (Some(observation.life), f64::NEG_INFINITY, f64::NEG_INFINITY);
+            let first = peer.incarnation.is_none();
+            (peer.incarnation, peer.alive_at, peer.observed_at) =
+                (Some(observation.incarnation), f64::NEG_INFINITY, f64::NEG_INFINITY);
             if !first {
-                self.changes.push(Change::Restarted(observation.member, observation.life));
+                self.changes.push(Change::Restarted(observation.member, observation.incarnation));
             }
         }
-        if observation.life >= known && observation.age_ms != u32::MAX {
+        if observation.incarnation >= known && observation.age_ms != u32::MAX {
             let at = now - lag - f64::from(observation.age_ms) / 1000.0;
             peer.observed_at = peer.observed_at.max(at);
         }
     }
 
     /// The beat that is due to a member, if one is.
-    pub fn beat(&mut self, now: f64, to: MemberId, ready: bool) -> Option<Beat> {
-        let due = |p: &Peer| p.linked && now >= p.next_beat;
+    pub fn next_heartbeat(&mut self, now: f64, to: MemberId, ready: bool) -> Option<Heartbeat> {
+        let due = |p: &Peer| p.linked && now >= p.next_heartbeat_at;
         if self.superseded || !self.peers.get(&to).is_some_and(due) {
             return None;
         }
-        let told = self.peers.get(&to).is_some_and(|p| now >= p.next_observations);
-        let observations = if told { self.observations(now, to) } else { Vec::new() };
+        let told = self.peers.get(&to).is_some_and(|p| now >= p.next_observations_at);
+        let observations = if told { self.next_observations(now, to) } else { Vec::new() };
         let peer = self.peers.get_mut(&to)?;
         if told {
-            peer.next_observations = now + OBSERVATION_INTERVAL_S;
+            peer.next_observations_at = now + OBSERVATION_INTERVAL_S;
         }
         let seq = peer.next_seq;
         peer.next_seq = peer.next_seq.wrapping_add(1).max(1);
         // In step where it can, without a burst after a pause.
-        peer.next_beat = (peer.next_beat + self.settings.beat).max(now + self.settings.beat / 2.0);
+        peer.next_heartbeat_at = (peer.next_heartbeat_at + self.settings.heartbeat_interval_s)
+            .max(now + self.settings.heartbeat_interval_s / 2.0);
         peer.sent.push_back((seq, now));
-        if peer.sent.len() > MAX_UNECHOED_BEATS {
+        if peer.sent.len() > MAX_UNECHOED_HEARTBEATS {
             peer.sent.pop_front();
         }
-        let echo = peer.heard.map(|(seq, at)| Echo { seq, held_ms: millis(now - at) });
-        Some(Beat { life: self.life, seq, echo, ready, callers: self.callers, observations })
-    }
-
-    fn observations(&mut self, now: f64, to: MemberId) -> Vec<Observation> {
+        let echo = peer.last_received.map(|(seq, at)| Echo { seq, held_ms: millis(now - at) });
+        Some(Heartbeat {
+            incarnation: self.incarnation,
+            seq,
+            echo,
+            ready,
+            callers: self.callers,
+            observations,
+        })
+    }
+
+    fn next_observations(&mut self, now: f64, to: MemberId) -> Vec<Observation> {
         let others: Vec<(&MemberId, &Peer)> =
-            self.peers.iter().filter(|(m, p)| **m != to && p.life.is_some()).collect();
+            self.peers.iter().filter(|(m, p)| **m != to && p.incarnation.is_some()).collect();
         let count = others.len().min(MAX_OBSERVATIONS);
-        let from = if others.is_empty() { 0 } else { self.turn % others.len() };
+        let from = if others.is_empty() { 0 } else { self.next_observed % others.len() };
         let mut observations: Vec<Observation> = (others.iter().cycle().skip(from).take(count))
             .map(|(member, p)| Observation {
                 member: **member,
-                life: p.life.unwrap_or_default(),
+                incarnation: p.incarnation.unwrap_or_default(),
                 // What others hear is not passed on: it would live by going round.
                 age_ms: if p.alive_at.is_finite() { millis(now - p.alive_at) } else { u32::MAX },
                 gone: matches!(p.state, State::Gone(_)),
             })
             .collect();
-        self.turn = self.turn.wrapping_add(count);
+        self.next_observed = self.next_observed.wrapping_add(count);
         // The one spoken to is told which life of it is known.
-        if let Some((life, age_ms)) = self.known_of(now, to) {
-            observations.push(Observation { member: to, life, age_ms, gone: false });
+        if let Some((incarnation, age_ms)) = self.known_incarnation_of(now, to) {
+            observations.push(Observation { member: to, incarnation, age_ms, gone: false });
         }
         observations
     }
@@ -584,40 +607,44 @@
 
     /// Looks at the silences. Called at least every few tens of milliseconds.
     pub fn tick(&mut self, now: f64) {
-        let gap = self.ticked.map_or(0.0, |last| now - last);
-        self.ticked = Some(now);
-        if gap >= self.settings.woke {
-            self.changes.push(Change::Woke(gap));
+        let gap = self.last_tick.map_or(0.0, |last| now - last);
+        self.last_tick = Some(now);
+        if gap >= self.settings.pause_threshold_s {
+            self.changes.push(Change::Resumed(gap));
             // The others may have spoken all the while: their silence begins now.
             for peer in self.peers.values_mut() {
-                peer.gaps.interrupted();
+                peer.detector.skip_next_gap();
                 if !matches!(peer.state, State::Gone(_)) && peer.alive_at.is_finite() {
-                    peer.excused = now;
+                    peer.silence_ignored_until = now;
                 }
                 peer.refused_since = None;
             }
             // What the others hear is as old as the pause, until they have told it anew.
             self.quorum_since = None;
         }
-        self.judge(now);
+        self.update_states(now);
     }
 
-    fn judge(&mut self, now: f64) {
+    fn update_states(&mut self, now: f64) {
         let s = self.settings;
-        self.quorum_since = self.quorum().then(|| self.quorum_since.unwrap_or(now));
-        let quorum = self.quorum_since.is_some_and(|since| now - since >= QUORUM_STANDS_AFTER_S);
-        self.quorum_stands = quorum;
+        self.quorum_since = self.has_quorum().then(|| self.quorum_since.unwrap_or(now));
+        let quorum = self.quorum_since.is_some_and(|since| now - since >= QUORUM_STABLE_AFTER_S);
+        self.quorum_is_stable = quorum;
         for (&member, peer) in &mut self.peers {
-            let silent = now - peer.alive_at.max(peer.excused);
+            let silent = now - peer.alive_at.max(peer.silence_ignored_until);
             let others = now - peer.observed_at;
-            let limit = peer.gaps.limit(SUSPECT_DEVIATIONS, s.suspect, s.gone / 2.0);
-            let refused = peer.refused_since.is_some_and(|since| now - since >= s.refused);
+            let limit = peer.detector.suspicion_timeout_s(
+                SUSPECT_DEVIATIONS,
+                s.suspect_after_s,
+                s.gone_after_s / 2.0,
+            );
+            let refused = peer.refused_since.is_some_and(|since| now - since >= s.refused_after_s);
             // One that was never heard of is waited for as long as one that has fallen silent.
-            let unheard = silent.min(others).min(now - self.started);
-            let dead = refused && unheard >= s.refused;
-            let lost = quorum && unheard >= s.gone;
+            let unheard = silent.min(others).min(now - self.started_at);
+            let dead = refused && unheard >= s.refused_after_s;
+            let lost = quorum && unheard >= s.gone_after_s;
             let next = match peer.state {
-                State::Unseen if peer.life.is_some() && silent <= limit => State::Alive,
+                State::Unseen if peer.incarnation.is_some() && silent <= limit => State::Alive,
                 State::Unseen if !dead && !lost => State::Unseen,
                 // What others hear of it brings nobody back here, but nobody is gone whom they hear.
                 State::Gone(_) if silent <= limit => State::Alive,
@@ -639,7 +666,7 @@
                 _ => {}
             }
             peer.state = next;
-            peer.ended = matches!(next, State::Gone(_)) && (peer.ended || dead);
+            peer.process_ended = matches!(next, State::Gone(_)) && (peer.process_ended || dead);
         }
     }
 
@@ -649,10 +676,10 @@
         let row = |(member, p): (&MemberId, &Peer)| Row {
             member: *member,
             state: p.state,
-            life: p.life,
-            silent: since(p.alive_at),
-            others: since(p.observed_at),
-            deaf: p.deaf,
+            incarnation: p.incarnation,
+            silent_s: since(p.alive_at),
+            observed_ago_s: since(p.observed_at),
+            not_receiving: p.not_receiving,
             linked: p.linked,
             ready: p.ready,
         };
@@ -675,17 +702,17 @@
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x} {}", self.member.0, self.state.name())?;
-        if let Some(life) = self.life {
-            write!(f, ", life {life}")?;
+        if let Some(incarnation) = self.incarnation {
+            write!(f, ", life {incarnation}")?;
         }
-        match self.silent {
+        match self.silent_s {
             Some(silent) => write!(f, ", heard {silent:.1} s ago")?,
             None => write!(f, ", never heard")?,
         }
-        if let Some(others) = self.others {
+        if let Some(others) = self.observed_ago_s {
             write!(f, ", by others {others:.1} s ago")?;
         }
-        if self.deaf {
+        if self.not_receiving {
             write!(f, ", does not hear us")?;
         }
         Ok(())
--- a/crates/membership/tests/quorum.rs
+++ b/crates/membership/tests/quorum.rs
@@ -2,7 +2,7 @@
 //! does not hear may go on without it.
 
 use hollypaddle_membership::view::{Change, Membership, Settings, State};
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 
 const STEP: f64 = 0.02;
 
@@ -22,11 +22,11 @@
 
 impl Group {
     fn of(members: usize) -> Group {
-        let life = |n: usize| Life { incarnation: 10 + n as u64, nonce: 1 };
+        let life = |n: usize| Incarnation { number: 10 + n as u64, nonce: 1 };
         let view = |n: usize| Membership::new(0.0, id(n), life(n), Settings::default(), (0..members).map(id));
         let mut views: Vec<Membership> = (0..members).map(view).collect();
         for (a, view) in views.iter_mut().enumerate() {
-            (0..members).filter(|b| *b != a).for_each(|b| view.linked(0.0, id(b), life(b), None).unwrap());
+            (0..members).filter(|b| *b != a).for_each(|b| view.link_up(0.0, id(b), life(b), None).unwrap());
         }
         Group { views, now: 0.0, cut: Vec::new(), down: Vec::new(), gone: Vec::new() }
     }
@@ -45,15 +45,15 @@
             for &a in &up {
                 for b in (0..self.views.len()).filter(|b| *b != a) {
                     if self.down.contains(&b) {
-                        self.views[a].refused(self.now, id(b));
+                        self.views[a].link_refused(self.now, id(b));
                     }
-                    let Some(beat) = self.views[a].beat(self.now, id(b), true) else { continue };
+                    let Some(beat) = self.views[a].next_heartbeat(self.now, id(b), true) else { continue };
                     if !self.cut.contains(&(a, b)) && !self.down.contains(&b) {
-                        self.views[b].hear(self.now, id(a), &beat).unwrap();
+                        self.views[b].receive_heartbeat(self.now, id(a), &beat).unwrap();
                     }
                 }
                 self.views[a].tick(self.now);
-                for change in self.views[a].changes() {
+                for change in self.views[a].take_changes() {
                     if let Change::Gone(who, refused) = change {
                         self.gone.push((a, who, refused));
                     }
@@ -93,7 +93,7 @@
                 let majority = 2 * here.len() > members;
                 let expected = if majority { here.len() * there.len() } else { 0 };
                 assert_eq!(by(here), expected, "{} of {members}", here.len());
-                assert_eq!(group.views[here[0]].quorum(), majority, "{} of {members}", here.len());
+                assert_eq!(group.views[here[0]].has_quorum(), majority, "{} of {members}", here.len());
                 for (a, b) in here.iter().flat_map(|a| there.iter().map(move |b| (*a, *b))) {
                     let state = group.state(a, b);
                     let gone = matches!(state, State::Gone(_));
@@ -127,10 +127,10 @@
     group.pass(1.0);
     group.down = vec![1, 2];
     for n in [1, 2] {
-        group.views[0].unlinked(id(n));
+        group.views[0].link_down(id(n));
     }
     group.pass(1.0);
-    assert!(!group.views[0].quorum());
+    assert!(!group.views[0].has_quorum());
     assert!([1, 2].iter().all(|n| matches!(group.state(0, *n), State::Gone(_))));
     assert!(group.gone.iter().all(|(by, _, refused)| *by == 0 && *refused), "{:?}", group.gone);
 }
@@ -156,19 +156,19 @@
     group.split(&[1], &[0, 2]);
     group.pass(0.34);
     let now = group.now;
-    group.views[0].refused(now, id(1));
+    group.views[0].link_refused(now, id(1));
     group.pass(0.2);
     assert!(group.gone.is_empty(), "{:?}", group.gone);
     // It is there again.
-    let life = Life { incarnation: 99, nonce: 1 };
+    let life = Incarnation { number: 99, nonce: 1 };
     let now = group.now;
-    group.views[0].linked(now, id(1), life, None).unwrap();
+    group.views[0].link_up(now, id(1), life, None).unwrap();
     group.pass(0.2);
     assert!(group.gone.is_empty(), "{:?}", group.gone);
     // One that goes on refusing has ended.
     let now = group.now;
-    group.views[0].unlinked(id(1));
-    group.views[0].refused(now, id(1));
+    group.views[0].link_down(id(1));
+    group.views[0].link_refused(now, id(1));
     group.pass(0.5);
     assert!(group.gone.contains(&(0, id(1), true)), "{:?}", group.gone);
 }
@@ -177,12 +177,12 @@
 #[test]
 fn a_beat_that_was_overtaken_counts_for_nothing() {
     let mut group = Group::of(2);
-    let first = group.views[1].beat(0.0, id(0), false).unwrap();
-    let second = group.views[1].beat(0.2, id(0), true).unwrap();
-    group.views[0].hear(0.2, id(1), &second).unwrap();
-    assert!(group.views[0].ready(id(1)));
-    group.views[0].hear(0.3, id(1), &first).unwrap();
-    assert!(group.views[0].ready(id(1)), "it has caught up since");
+    let first = group.views[1].next_heartbeat(0.0, id(0), false).unwrap();
+    let second = group.views[1].next_heartbeat(0.2, id(0), true).unwrap();
+    group.views[0].receive_heartbeat(0.2, id(1), &second).unwrap();
+    assert!(group.views[0].is_ready(id(1)));
+    group.views[0].receive_heartbeat(0.3, id(1), &first).unwrap();
+    assert!(group.views[0].is_ready(id(1)), "it has caught up since");
 }
 
 /// One that was cut off hears two of four others first when it is back: that is a majority, and still no reason to hold the
--- a/crates/relay/src/leaf.rs
+++ b/crates/relay/src/leaf.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::record::{
     Key, LeafFact, Origin, Place as ServerPlace, Presence, ServerFact, ServerKey, Topic, Value,
 };
@@ -47,7 +47,7 @@
     /// Which gatekeeper.
     pub own: MemberId,
     /// In which life.
-    pub life: Life,
+    pub life: Incarnation,
     /// Its service.
     pub topic: Topic,
     /// Where it stands.
@@ -70,7 +70,7 @@
     /// A stream or the settings were found to differ, and are told anew.
     Resync(Feed),
     /// The relays know of a later life of this leaf that has ended, as its clock was set back: it goes on in this one.
-    Raised(Life),
+    Raised(Incarnation),
 }
 
 /// How a relay was lost.
@@ -555,7 +555,7 @@
         if fact.life <= self.identity.life || !ended {
             return;
         }
-        self.identity.life.incarnation = fact.life.incarnation.saturating_add(1);
+        self.identity.life.number = fact.life.number.saturating_add(1);
         self.tell(Event::Raised(self.identity.life));
         let all: Vec<LinkId> = self.links.keys().copied().collect();
         all.into_iter().for_each(|link| self.close(now, link, Loss::Left));
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -4,7 +4,7 @@
 //! has it. A kind that is not known here is passed over: a newer peer may say more. A known kind that cannot be read, or one
 //! with bytes left over, closes its link.
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::catch_up::Piece;
 use hollypaddle_replica::record::{Origin, Topic};
 use hollypaddle_replica::Word;
@@ -34,7 +34,7 @@
     /// To which relay.
     pub to: MemberId,
     /// In which life.
-    pub life: Life,
+    pub life: Incarnation,
     /// Which records it needs.
     pub topic: Topic,
     /// Its name, for operators; the relays need none. Bytes beyond [`NAME`] are cut.
@@ -112,7 +112,7 @@
         /// Who.
         relay: MemberId,
         /// In which life.
-        life: Life,
+        life: Incarnation,
     },
     /// A leaf asks whether the relay is there.
     Ping(u32),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 use hollypaddle_membership::view::{Change, State};
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::member::{self, Member};
 use hollypaddle_replica::record::{join_servers, Key, LeafFact, Origin, Presence, ServerKey, Topic, Value};
 use hollypaddle_replica::stream::Stream;
@@ -75,7 +75,7 @@
     /// Which.
     pub own: MemberId,
     /// In which life.
-    pub life: Life,
+    pub life: Incarnation,
     /// All relays, the own one among them.
     pub relays: Vec<RelayPlace>,
     /// The one that changes the settings of the fleet.
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Who {
     Stranger,
-    Leaf(MemberId, Life, Topic),
+    Leaf(MemberId, Incarnation, Topic),
     /// A relay; whether both have said who they are.
     Relay(MemberId, bool),
 }
@@ -181,7 +181,7 @@
 /// A leaf that is, or was a moment ago, attached here.
 #[derive(Debug)]
 struct Attached {
-    life: Life,
+    life: Incarnation,
     topic: Topic,
     moves: u32,
     link: Option<LinkId>,
--- a/crates/relay/src/relay/feeds.rs
+++ b/crates/relay/src/relay/feeds.rs
@@ -10,7 +10,7 @@
         }
         let view = self.member.view();
         !matches!(view.state(origin.member), State::Gone(_))
-            && view.life_of(origin.member).is_none_or(|life| life <= origin.life)
+            && view.incarnation_of(origin.member).is_none_or(|life| life <= origin.life)
     }
 
     pub(super) fn said<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = (f64, Value)> + 'a {
--- a/crates/relay/src/relay/fleet_settings.rs
+++ b/crates/relay/src/relay/fleet_settings.rs
@@ -28,7 +28,7 @@
     pub(super) fn mutual(&self, now: f64) -> BTreeSet<MemberId> {
         let rows = self.member.view().snapshot(now);
         rows.into_iter()
-            .filter(|r| r.state == State::Alive && r.linked && !r.deaf)
+            .filter(|r| r.state == State::Alive && r.linked && !r.not_receiving)
             .map(|r| r.member)
             .collect()
     }
--- a/crates/relay/src/relay/leaf_messages.rs
+++ b/crates/relay/src/relay/leaf_messages.rs
@@ -42,7 +42,7 @@
         &mut self,
         now: f64,
         id: LinkId,
-        who: (MemberId, Life, Topic),
+        who: (MemberId, Incarnation, Topic),
         message: &Message,
     ) -> Result<(), LinkError> {
         let (leaf, life, topic) = who;
--- a/crates/relay/src/relay/leaves.rs
+++ b/crates/relay/src/relay/leaves.rs
@@ -16,7 +16,7 @@
         if self.identity.relays.iter().any(|r| r.relay == leaf) {
             return Err(LinkError::OutOfPlace);
         }
-        let later = |life: &Life| *life > hello.life;
+        let later = |life: &Incarnation| *life > hello.life;
         let linked = |l: &Link| matches!(&l.who, Who::Leaf(m, life, _) if *m == leaf && later(life));
         // One whose clock was set back comes with an earlier life than its last, which nobody lives any more.
         if self.links.values().any(linked) {
@@ -75,7 +75,7 @@
         now: f64,
         id: LinkId,
         leaf: MemberId,
-        life: Life,
+        life: Incarnation,
         topic: Topic,
         attach: &Attach,
     ) {
--- a/crates/relay/src/relay/time.rs
+++ b/crates/relay/src/relay/time.rs
@@ -10,7 +10,10 @@
             anew |= matches!(
                 event,
                 member::Event::Member(
-                    Change::Gone(..) | Change::Returned(_) | Change::Restarted(..) | Change::Raised(_)
+                    Change::Gone(..)
+                        | Change::Returned(_)
+                        | Change::Restarted(..)
+                        | Change::IncarnationRaised(_)
                 )
             );
             self.tell(Event::Mesh(event));
--- a/crates/relay/tests/frames.rs
+++ b/crates/relay/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames: what is said is read again; kinds that are not known, garbage and cut frames do no harm. The byte budget over time.
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_relay::budget::{Budget, HEADERS};
 use hollypaddle_relay::message::{cut, FrameError, Hello, Message, Refusal, MOST};
 use hollypaddle_relay::placement::{limit, order, Place, RelayPlace};
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 fn samples() -> Vec<Message> {
-    let life = Life { incarnation: 3, nonce: 4 };
+    let life = Incarnation { number: 3, nonce: 4 };
     let (from, to, topic) = (MemberId(1), MemberId(2), Topic(7));
     let mark = Mark { version: 5, hash: 6 };
     vec![
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,12 +1,12 @@
 //! Streams told on a link as differences, against the stream itself: lost and doubled pieces, tombstones beyond the horizon.
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_relay::copying::{Copy, Cursor, RECORDS};
 use hollypaddle_replica::record::{Key, Origin, Place, ServerFact, ServerKey, Value};
 use hollypaddle_replica::stream::{Stream, TOMBSTONES};
 use proptest::prelude::*;
 
-const ORIGIN: Origin = Origin { member: MemberId(1), life: Life { incarnation: 1, nonce: 1 } };
+const ORIGIN: Origin = Origin { member: MemberId(1), life: Incarnation { number: 1, nonce: 1 } };
 
 fn write(stream: &mut Stream, server: u64, value: Option<u64>) {
     let value = value.map(|started_ms| Value::Server(ServerFact { started_ms, place: Place::Ready }));
--- a/crates/replica/src/adoption.rs
+++ b/crates/replica/src/adoption.rs
@@ -40,7 +40,7 @@
 /// Who sees to the calls of a stream.
 pub fn heir(origin: &Origin, view: &Membership) -> Heir {
     let gone = matches!(view.state(origin.member), State::Gone(_));
-    match view.life_of(origin.member) {
+    match view.incarnation_of(origin.member) {
         _ if gone => Heir::Living,
         Some(life) if life > origin.life => Heir::Later(origin.member),
         _ => Heir::Itself,
@@ -50,13 +50,13 @@
 /// Whether this member may begin to see to calls of an origin. Guards against a member without a majority that takes over the
 /// calls of one that it merely does not hear, and that goes on where others hear it.
 pub fn may_begin(origin: &Origin, view: &Membership) -> bool {
-    origin.member == view.own() || view.quorum_stands() || view.has_ended(origin.member)
+    origin.member == view.own_id() || view.quorum_is_stable() || view.process_ended(origin.member)
 }
 
 /// The calls that are the own member's to see to.
 pub fn adopted(store: &Store, view: &Membership) -> BTreeMap<u64, Adopted> {
-    let (own, owned) = (view.own(), store.stream(&store.own()));
-    let living: Vec<(MemberId, u64)> = view.living().map(|m| (m, m.0)).collect();
+    let (own, owned) = (view.own_id(), store.stream(&store.own()));
+    let living: Vec<(MemberId, u64)> = view.live_members().map(|m| (m, m.0)).collect();
     let mut all = BTreeMap::new();
     for (origin, stream) in store.streams().filter(|(o, _)| **o != store.own()) {
         let mine = match heir(origin, view) {
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -10,7 +10,7 @@
 
 use hollypaddle_lending::{BudgetKey, Tell, Want};
 use hollypaddle_membership::view::{Change, Membership, State};
-use hollypaddle_membership::{view, Beat, Life, MemberId};
+use hollypaddle_membership::{view, Heartbeat, Incarnation, MemberId};
 use hollypaddle_ownership::owner;
 use serde::{Deserialize, Serialize};
 
@@ -79,12 +79,12 @@
         /// To whom.
         to: MemberId,
         /// In which life.
-        life: Life,
+        life: Incarnation,
         /// Which life of the other is known, and how long ago that was alive, in milliseconds.
-        known: Option<(Life, u32)>,
+        known: Option<(Incarnation, u32)>,
     },
     /// All the time.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// What the speaker holds, and below which incarnation each member's streams are over.
     Digest(Vec<Held>, Vec<(MemberId, u64)>),
     /// A question for what is lacking.
@@ -249,7 +249,7 @@
     pub fn new(
         now: f64,
         own: MemberId,
-        life: Life,
+        life: Incarnation,
         settings: Settings,
         members: impl IntoIterator<Item = MemberId>,
     ) -> Member {
@@ -279,7 +279,7 @@
     pub fn change(&mut self, settings: Settings, members: &[MemberId]) {
         self.settings = settings;
         self.catch_up.change(settings.catch_up);
-        self.view.members(members.iter().copied());
+        self.view.set_members(members.iter().copied());
         self.store.keep(members);
         self.stale = true;
     }
@@ -409,7 +409,7 @@
 
     /// Whether another member has callers to tell ends to.
     pub fn others_have_callers(&self) -> bool {
-        self.view.with_callers().any(|member| member != self.view.own())
+        self.view.members_with_callers().any(|member| member != self.view.own_id())
     }
 
     /// An end was heard and there is no caller to tell it to: one of those who have some is to do it.
@@ -423,8 +423,8 @@
     fn tell_owed(&mut self) {
         let owed = self.store.owed();
         self.told.retain(|id| owed.contains_key(id));
-        let own = self.view.own();
-        let may: Vec<(MemberId, u64)> = self.view.with_callers().map(|m| (m, m.0)).collect();
+        let own = self.view.own_id();
+        let may: Vec<(MemberId, u64)> = self.view.members_with_callers().map(|m| (m, m.0)).collect();
         for (id, cut) in owed {
             if !self.told.contains(&id) && owner(id, may.iter().copied()) == Some(own) {
                 self.counts.told += 1;
@@ -462,8 +462,8 @@
 
     /// The first word on a link to a member.
     pub fn hello(&self, now: f64, to: MemberId) -> Word {
-        let known = self.view.known_of(now, to);
-        Word::Hello { protocol: PROTOCOL, from: self.view.own(), to, life: self.view.life(), known }
+        let known = self.view.known_incarnation_of(now, to);
+        Word::Hello { protocol: PROTOCOL, from: self.view.own_id(), to, life: self.view.incarnation(), known }
     }
 
     /// Reads the first word on a link: who speaks.
@@ -474,10 +474,10 @@
         if protocol != PROTOCOL {
             return Err(Rejection::Protocol(protocol));
         }
-        if to != self.view.own() || from == to {
+        if to != self.view.own_id() || from == to {
             return Err(Rejection::NotForUs);
         }
-        self.view.linked(now, from, life, known)?;
+        self.view.link_up(now, from, life, known)?;
         self.catch_up.linked(from);
         self.next_digest.insert(from, now);
         self.settle(now);
@@ -486,25 +486,25 @@
 
     /// A link is down.
     pub fn unlinked(&mut self, member: MemberId) {
-        self.view.unlinked(member);
+        self.view.link_down(member);
         self.catch_up.unlinked(member);
         self.next_digest.remove(&member);
     }
 
     /// A member's address refused a link.
     pub fn refused(&mut self, now: f64, member: MemberId) {
-        self.view.refused(now, member);
+        self.view.link_refused(now, member);
     }
 
     /// Takes a word of a member; an error ends its link.
     pub fn hear(&mut self, now: f64, from: MemberId, word: &Word) -> Result<(), Rejection> {
         match word {
             Word::Hello { .. } => return Err(Rejection::OutOfPlace),
-            Word::Beat(beat) => self.view.hear(now, from, beat)?,
+            Word::Beat(beat) => self.view.receive_heartbeat(now, from, beat)?,
             Word::Digest(held, floors) => self.digest(now, from, held, floors),
             Word::Ask(ask) => self.catch_up.heard_ask(from, ask, &self.store),
             Word::Piece(piece) => self.piece(now, from, piece)?,
-            Word::Leave => self.view.left(now, from),
+            Word::Leave => self.view.member_left(now, from),
         }
         self.settle(now);
         Ok(())
@@ -513,16 +513,16 @@
     fn digest(&mut self, now: f64, from: MemberId, held: &[Held], floors: &[(MemberId, u64)]) {
         for (member, floor) in floors {
             // Nobody but this member says when its own life is over.
-            if self.view.life_of(*member).is_some() && *member != self.view.own() {
+            if self.view.incarnation_of(*member).is_some() && *member != self.view.own_id() {
                 self.forget(*member, *floor);
             }
         }
         let view = &self.view;
-        let known = |h: &&Held| view.life_of(h.origin.member).is_some();
+        let known = |h: &&Held| view.incarnation_of(h.origin.member).is_some();
         let held: Vec<Held> = held.iter().filter(known).copied().collect();
         let fresh = self.resync.as_ref().is_some_and(|r| {
             // What was on its way before counts for nothing: it must have been said after an own beat was heard.
-            self.view.told_back(from).is_some_and(|at| at >= r.since)
+            self.view.last_echoed_at(from).is_some_and(|at| at >= r.since)
         });
         if let (true, Some(resync)) = (fresh, &mut self.resync) {
             resync.goals.entry(from).or_insert_with(|| held.clone());
@@ -542,12 +542,12 @@
     }
 
     fn relive(&mut self, now: f64) {
-        let mut life = self.view.life();
+        let mut life = self.view.incarnation();
         // Also where a word told of the last one there is.
-        life.incarnation = life.incarnation.saturating_add(1);
-        self.view.relive(life);
+        life.number = life.number.saturating_add(1);
+        self.view.set_incarnation(life);
         self.store.relive(life);
-        self.tell(Event::Member(Change::Raised(life)));
+        self.tell(Event::Member(Change::IncarnationRaised(life)));
         self.renew_links(now);
     }
 
@@ -562,7 +562,7 @@
     }
 
     fn piece(&mut self, now: f64, from: MemberId, piece: &Piece) -> Result<(), Rejection> {
-        if self.view.life_of(piece.origin.member).is_none() {
+        if self.view.incarnation_of(piece.origin.member).is_none() {
             return Err(Rejection::Stranger);
         }
         let lag = self.view.lag(now, from);
@@ -597,7 +597,7 @@
         if self.view.superseded() || !self.next_digest.contains_key(&to) {
             return None;
         }
-        if let Some(beat) = self.view.beat(now, to, self.resync.is_none()) {
+        if let Some(beat) = self.view.next_heartbeat(now, to, self.resync.is_none()) {
             return Some(Word::Beat(beat));
         }
         match self.catch_up.say(now, to, &self.store) {
@@ -615,7 +615,7 @@
     /// What time brings. Called at least every few tens of milliseconds, before anything that came is taken.
     pub fn tick(&mut self, now: f64) {
         self.view.tick(now);
-        let had_quorum = std::mem::replace(&mut self.has_quorum, self.view.quorum_stands());
+        let had_quorum = std::mem::replace(&mut self.has_quorum, self.view.quorum_is_stable());
         // What had to wait for a majority may be adopted now.
         self.stale |= self.has_quorum && !had_quorum;
         self.settle(now);
@@ -637,13 +637,13 @@
 
     /// Takes over what membership found.
     fn settle(&mut self, now: f64) {
-        for change in self.view.changes() {
+        for change in self.view.take_changes() {
             match change {
-                Change::Raised(life) => {
+                Change::IncarnationRaised(life) => {
                     self.store.relive(life);
                     self.renew_links(now);
                 }
-                Change::Woke(_) => {
+                Change::Resumed(_) => {
                     self.resync = Some(Resync { since: now, goals: BTreeMap::new() });
                 }
                 Change::Gone(..) | Change::Returned(_) | Change::Restarted(..) => self.stale = true,
@@ -671,7 +671,7 @@
                 }
                 _ if linked => false,
                 // Nobody is there, or nobody comes: a restart of all must not wait for itself.
-                _ => self.view.refuses(member) || waited >= self.settings.grace,
+                _ => self.view.refuses_links(member) || waited >= self.settings.grace,
             }
         });
         let how = match (settled, reached) {
@@ -706,9 +706,9 @@
         for origin in over {
             let since = *self.ended.entry(origin).or_insert(now);
             // As long as a member may come back in that life its stream stays, up to the bound.
-            let later = self.view.life_of(origin.member).is_some_and(|life| life > origin.life);
+            let later = self.view.incarnation_of(origin.member).is_some_and(|life| life > origin.life);
             if now - since >= self.settings.forget && later {
-                self.forget(origin.member, origin.life.incarnation.saturating_add(1));
+                self.forget(origin.member, origin.life.number.saturating_add(1));
             }
         }
         for (member, floor) in self.store.excess() {
@@ -749,7 +749,7 @@
 
     fn forget(&mut self, member: MemberId, below: u64) {
         // Not what its present life writes.
-        let present = self.view.life_of(member).map_or(0, |life| life.incarnation);
+        let present = self.view.incarnation_of(member).map_or(0, |life| life.number);
         for (origin, records) in self.store.forget(member, below.min(present)) {
             self.stale = true;
             self.tell(Event::Forgotten(origin, records));
@@ -780,7 +780,7 @@
 fn heard(view: &Membership, origin: &Origin) -> bool {
     view.state(origin.member) == State::Alive
         && view.is_linked(origin.member)
-        && view.life_of(origin.member) == Some(origin.life)
+        && view.incarnation_of(origin.member) == Some(origin.life)
 }
 
 /// A stream as an operator or a test sees it.
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use hollypaddle_lending::{BudgetKey, Lease};
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -13,7 +13,7 @@
     /// Whose.
     pub member: MemberId,
     /// Of which life.
-    pub life: Life,
+    pub life: Incarnation,
 }
 
 impl fmt::Display for Origin {
@@ -145,7 +145,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeafFact {
     /// Its life.
-    pub life: Life,
+    pub life: Incarnation,
     /// The leaf's own count of its attachments in that life: of two relays' words the one of the later attachment counts,
     /// and nobody but that relay writes under it.
     pub moves: u32,
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use hollypaddle_lending::{BudgetKey, Want};
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 
 use crate::record::{join_servers, CallFact, Key, Origin, Place, ServerFact, ServerKey, Value};
 use crate::stream::Stream;
@@ -37,7 +37,7 @@
 
     /// Gives the own stream another life, with all that it says under new versions. What others may have of it
     /// under the old one stays, as a copy: what ends is to be known as over there, too.
-    pub fn relive(&mut self, life: Life) {
+    pub fn relive(&mut self, life: Incarnation) {
         let old = self.streams.get(&self.own).cloned().unwrap_or_default();
         if old.version() == 0 {
             self.streams.remove(&self.own);
@@ -82,7 +82,7 @@
 
     /// Whether a stream is over and forgotten.
     pub fn forgotten(&self, origin: &Origin) -> bool {
-        self.floors.get(&origin.member).is_some_and(|floor| origin.life.incarnation < *floor)
+        self.floors.get(&origin.member).is_some_and(|floor| origin.life.number < *floor)
     }
 
     /// The floors, to be told to others.
@@ -96,7 +96,7 @@
         let floor = self.floors.entry(member).or_default();
         *floor = (*floor).max(below);
         let (floor, own) = (*floor, self.own);
-        let over = |o: &Origin| o.member == member && o.life.incarnation < floor && *o != own;
+        let over = |o: &Origin| o.member == member && o.life.number < floor && *o != own;
         let gone: Vec<Origin> = self.streams.keys().filter(|o| over(o)).copied().collect();
         let count = |o: Origin| (o, self.streams.remove(&o).map_or(0, |s| s.len()));
         gone.into_iter().map(count).collect()
@@ -113,7 +113,7 @@
     pub fn excess(&self) -> Vec<(MemberId, u64)> {
         let mut lives: BTreeMap<MemberId, Vec<u64>> = BTreeMap::new();
         for origin in self.streams.keys() {
-            lives.entry(origin.member).or_default().push(origin.life.incarnation);
+            lives.entry(origin.member).or_default().push(origin.life.number);
         }
         let over = |(member, all): (MemberId, Vec<u64>)| {
             let floor = *all.get(all.len().checked_sub(LIVES)?)?;
--- a/crates/replica/tests/adoption.rs
+++ b/crates/replica/tests/adoption.rs
@@ -1,7 +1,7 @@
 //! Which members adopt calls, as they lose and regain a majority.
 
 use hollypaddle_membership::view::State;
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::record::{CallFact, ServerKey};
 use hollypaddle_replica::{Member, Settings};
 
@@ -25,7 +25,7 @@
     fn new() -> Fleet {
         let all = || (0..MEMBERS).map(id);
         let start = |n: usize| {
-            let life = Life { incarnation: 10 + n as u64, nonce: 1 };
+            let life = Incarnation { number: 10 + n as u64, nonce: 1 };
             Member::new(0.0, id(n), life, Settings::default(), all())
         };
         let mut members: Vec<Member> = (0..MEMBERS).map(start).collect();
@@ -91,7 +91,7 @@
     assert!(before > 0, "what it saw to while it heard a majority stays with it");
     fleet.kill(4);
     fleet.pass(2.0);
-    assert!(fleet.members[1].view().has_ended(id(4)));
+    assert!(fleet.members[1].view().process_ended(id(4)));
     assert_eq!(fleet.seen_to_by(1), before, "those that the dead one saw to");
     fleet.cut.retain(|(from, _)| *from == 0);
     fleet.pass(2.0);
@@ -113,6 +113,6 @@
     fleet.pass(2.0);
     fleet.kill(0);
     fleet.pass(2.0);
-    assert!(!fleet.members[1].view().quorum());
+    assert!(!fleet.members[1].view().has_quorum());
     assert!(fleet.seen_to_by(1) > 0);
 }
--- a/crates/replica/tests/laws.rs
+++ b/crates/replica/tests/laws.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hollypaddle_membership::{Life, MemberId};
+use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::catch_up::{Ask, CatchUp, Compared, Held, Piece, Say, Settings};
 use hollypaddle_replica::record::{
     join_servers, CallFact, Key, Origin, Place, Record, ServerFact, ServerKey, Value,
@@ -56,7 +56,7 @@
 }
 
 fn origin(member: u64) -> Origin {
-    Origin { member: MemberId(member), life: Life { incarnation: 1, nonce: 0 } }
+    Origin { member: MemberId(member), life: Incarnation { number: 1, nonce: 0 } }
 }
 
 /// What the naive model holds: every change ever, replayed.
@@ -384,9 +384,9 @@
     use hollypaddle_replica::member::{Rejection, PROTOCOL};
     use hollypaddle_replica::{Member, Word};
     let (own, other) = (MemberId(1), MemberId(2));
-    let life = Life { incarnation: 1, nonce: 0 };
+    let life = Incarnation { number: 1, nonce: 0 };
     let mut member = Member::new(0.0, own, life, Default::default(), [own, other]);
-    let last = Life { incarnation: u64::MAX, nonce: 0 };
+    let last = Incarnation { number: u64::MAX, nonce: 0 };
     let hello = |protocol, from, to, known| Word::Hello { protocol, from, to, life, known };
     let none = None;
     assert_eq!(
@@ -400,7 +400,7 @@
     );
     assert_eq!(member.greeted(0.0, &Word::Leave), Err(Rejection::OutOfPlace));
     assert_eq!(member.greeted(0.0, &hello(PROTOCOL, other, own, Some((last, u32::MAX)))), Ok(other));
-    assert_eq!(member.view().life().incarnation, u64::MAX, "raised as far as may be");
+    assert_eq!(member.view().incarnation().number, u64::MAX, "raised as far as may be");
     let held = Held { origin: member.store().own(), version: 9, hash: 0 };
     assert_eq!(member.hear(0.1, other, &Word::Digest(vec![held], vec![(other, u64::MAX)])), Ok(()));
     (0..3000).for_each(|n| member.tick(0.1 + f64::from(n) * 0.1));
@@ -418,7 +418,7 @@
             let mut words = [
                 (origin(owner), Key::Call(7), Value::Call(fact)),
                 (
-                    Origin { life: Life { incarnation: 2, nonce: 0 }, ..origin(ender) },
+                    Origin { life: Incarnation { number: 2, nonce: 0 }, ..origin(ender) },
                     Key::Over(7),
                     Value::Over,
                 ),
@@ -452,15 +452,15 @@
     use hollypaddle_membership::view::{Membership, Settings};
     use hollypaddle_replica::adoption::adopted;
     let fact = CallFact { server: ServerKey(1), class: 1 };
-    let life = Life { incarnation: 1, nonce: 0 };
+    let life = Incarnation { number: 1, nonce: 0 };
     let mut seen = BTreeMap::new();
     for own in [1, 3] {
         let members = [1, 2, 3].map(MemberId);
         let mut view = Membership::new(0.0, MemberId(own), life, Settings::default(), members);
         for member in members.into_iter().filter(|m| m.0 != own) {
-            view.linked(0.0, member, life, None).unwrap();
+            view.link_up(0.0, member, life, None).unwrap();
         }
-        view.left(1.0, MemberId(2));
+        view.member_left(1.0, MemberId(2));
         let mut store = Store::new(origin(own));
         for id in 0..40 {
             store.copy(origin(2)).unwrap().write(0.0, Key::Call(id), Some(Value::Call(fact)));
