--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,15 +1,15 @@
-//! How long a member may be silent before it is suspected: an accrual detector over the gaps between its beats.
+//! How long a member may be silent before it is suspected: an accrual detector over the gaps between its heartbeats.
 //!
-//! The gaps of the last beats give a mean and a deviation; the limit is the mean and some deviations, with a floor. So a
-//! member that is only slow, or behind a way that loses one beat in five, raises its own limit and is not taken for
-//! silent again and again.
+//! The last gaps give a mean and a standard deviation. The timeout is the mean plus some deviations, with a floor. A member
+//! that is merely slow, or whose path loses one heartbeat in five, thereby raises its own timeout and is not suspected again
+//! and again.
 
-/// Gaps remembered.
+/// Gaps that are kept.
 const MAX_GAPS: usize = 32;
-/// Gaps without which the floor alone counts.
+/// With fewer gaps than this the timeout is the floor.
 const MIN_GAPS: usize = 8;
 
-/// The gaps between the beats of one member.
+/// Records the gaps between the heartbeats of one member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Detector {
     gaps: Vec<f64>,
@@ -18,7 +18,7 @@
 }
 
 impl Detector {
-    /// A beat came.
+    /// Records the arrival of a heartbeat.
     pub fn record_heartbeat(&mut self, now: f64) {
         if let Some(last_at) = self.last_at {
             let gap = (now - last_at).max(0.0);
@@ -32,12 +32,13 @@
         self.last_at = Some(now);
     }
 
-    /// The next gap tells nothing: the member was started anew, or this one was paused.
+    /// Leaves the next gap out, because that member was restarted or this one was paused.
     pub fn skip_next_gap(&mut self) {
         self.last_at = None;
     }
 
-    /// A silence longer than this is suspect: the mean gap and so many deviations, between a floor and a ceiling.
+    /// Returns the silence after which the member is suspected: the mean gap plus this many standard deviations, between the
+    /// floor and the ceiling.
     pub fn suspicion_timeout_s(&self, deviations: f64, floor: f64, ceiling: f64) -> f64 {
         if self.gaps.len() < MIN_GAPS {
             return floor.min(ceiling);
@@ -53,7 +54,7 @@
 mod tests {
     use super::*;
 
-    fn limit(gaps: &[f64]) -> f64 {
+    fn timeout_after(gaps: &[f64]) -> f64 {
         let (mut detector, mut now) = (Detector::default(), 0.0);
         detector.record_heartbeat(now);
         for gap in gaps {
@@ -64,23 +65,27 @@
     }
 
     #[test]
-    fn an_even_beat_is_held_to_the_floor_and_an_uneven_one_is_given_more_time() {
-        assert_eq!(limit(&[]), 0.35);
-        assert_eq!(limit(&[0.1; 40]), 0.35);
-        let uneven: Vec<f64> = (0..40).map(|n| if n % 4 == 0 { 0.3 } else { 0.1 }).collect();
-        assert!(limit(&uneven) > 0.45, "{}", limit(&uneven));
-        assert_eq!(limit(&[2.0, 0.1, 2.0, 0.1, 2.0, 0.1, 2.0, 0.1, 2.0]), 1.0, "the ceiling holds");
+    fn regular_heartbeats_get_the_floor_and_irregular_ones_a_longer_timeout() {
+        assert_eq!(timeout_after(&[]), 0.35);
+        assert_eq!(timeout_after(&[0.1; 40]), 0.35);
+        let irregular: Vec<f64> = (0..40).map(|n| if n % 4 == 0 { 0.3 } else { 0.1 }).collect();
+        assert!(timeout_after(&irregular) > 0.45, "{}", timeout_after(&irregular));
+        assert_eq!(
+            timeout_after(&[2.0, 0.1, 2.0, 0.1, 2.0, 0.1, 2.0, 0.1, 2.0]),
+            1.0,
+            "the ceiling limits the timeout"
+        );
     }
 
-    /// What was long ago is forgotten.
+    /// Old gaps are overwritten by new ones.
     #[test]
-    fn a_member_that_is_even_again_is_held_to_the_floor_again() {
+    fn timeout_returns_to_the_floor_once_heartbeats_are_regular_again() {
         let gaps: Vec<f64> = std::iter::repeat_n(0.5, 40).chain(std::iter::repeat_n(0.1, 32)).collect();
-        assert_eq!(limit(&gaps), 0.35);
+        assert_eq!(timeout_after(&gaps), 0.35);
     }
 
     #[test]
-    fn a_gap_that_tells_nothing_is_left_out() {
+    fn skipped_gap_does_not_change_the_timeout() {
         let mut detector = Detector::default();
         (0..20).for_each(|n| detector.record_heartbeat(f64::from(n) * 0.1));
         detector.skip_next_gap();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
-//! Who of a fleet is alive, suspected, gone or returned.
+//! Membership of a fleet: which members are alive, suspected, gone or back.
 //!
-//! No I/O, no clock, no threads: times are seconds on the member's own clock, handed in; what comes from another
-//! member is an age or a duration, never a reading of its clock.
+//! The crate does no I/O, reads no clock and starts no threads. Times are seconds on this member's own clock and are passed
+//! in. What another member reports is an age or a duration, never a reading of its clock.
 //!
-//! - [`detector`]: how long one may be silent before it is suspected, from the gaps between its beats.
-//! - [`view`]: what one member believes of each, and what changed.
+//! - [`detector`]: how long a member may be silent before it is suspected, from the gaps between its heartbeats.
+//! - [`view`]: what this member believes of each other member, and what changed.
 
 pub mod detector;
 pub mod view;
@@ -13,24 +13,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A member: a hash of its name, so that members need not agree on an order of names.
+/// Identifies a member by a hash of its name, so members need not agree on an order of names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// The member of a name.
+    /// Returns the id of the member with this name.
     pub fn of(name: &str) -> MemberId {
         MemberId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
 
-/// One life of a member, from a start to its end. A later one has a higher incarnation; of one incarnation
-/// there is one life, and the nonce tells where that fails: two processes under one name.
+/// One run of a member's process, from its start to its end. A later run has a higher number. Two processes that run under
+/// one name and have the same number are told apart by the nonce.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Higher at each start.
+    /// Increases with each start.
     pub number: u64,
-    /// By chance, at each start.
+    /// Random, chosen anew at each start.
     pub nonce: u64,
 }
 
@@ -40,41 +40,41 @@
     }
 }
 
-/// What members say to each other all the time.
+/// Sent periodically from each member to each other member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The speaker's life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Counts the speaker's beats on this pair of members.
+    /// Sequence number of the sender's heartbeats to this receiver.
     pub seq: u32,
-    /// The last beat that the speaker heard from whom it speaks to.
+    /// The last heartbeat that the sender received from this receiver.
     pub echo: Option<Echo>,
-    /// Whether the speaker has caught up.
+    /// Whether the sender has caught up.
     pub ready: bool,
-    /// Whether callers are there to whom it can tell the end of any call.
+    /// Whether callers are connected to the sender, to whom it can report the end of any call.
     pub callers: bool,
-    /// What the speaker hears of others.
+    /// What the sender knows of other members.
     pub observations: Vec<Observation>,
 }
 
-/// A beat heard, told back.
+/// Acknowledges a heartbeat that was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Which.
+    /// Sequence number of that heartbeat.
     pub seq: u32,
-    /// How long ago, in milliseconds.
+    /// Time since it was received, in milliseconds.
     pub held_ms: u32,
 }
 
-/// What one member hears of another.
+/// What one member knows of another from that member's own heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Of whom.
+    /// The observed member.
     pub member: MemberId,
-    /// The latest life known.
+    /// Its latest known incarnation.
     pub incarnation: Incarnation,
-    /// How long ago it was alive for certain, in milliseconds; [`u32::MAX`] is never.
+    /// Time since it was certainly alive, in milliseconds; [`u32::MAX`] means never.
     pub age_ms: u32,
-    /// The speaker holds it to be gone.
+    /// Whether the sender considers it gone.
     pub gone: bool,
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,20 +1,20 @@
 //! What one member believes of the others, and what changed.
 //!
-//! Evidence of a member's life is a time on the own clock at which it was certainly alive. A beat that was frozen on its
-//! way must not look fresh, so it counts not as of its arrival but as of the echo in it: its speaker had heard an own
-//! beat, sent at a time that is known, and held it for so long before it spoke.
+//! Evidence that a member is alive is a time on this member's clock at which the other was certainly alive. A heartbeat that
+//! was delayed in transit must not look fresh. It is therefore dated by its echo, not by its arrival: the echo names a
+//! heartbeat that this member sent at a known time, and says how long the sender held it before it replied.
 //!
-//! | trouble | how it looks | what is believed |
+//! | fault | observed here | conclusion |
 //! | --- | --- | --- |
-//! | a process died | its link closes, the next is refused, nobody hears it | gone after `refused` |
-//! | paused, or its machine vanished | its link is open and silent, nobody hears it | suspected, gone after `gone` |
-//! | cut off from here alone | silent here, others hear it | suspected, not gone |
-//! | one way is cut | its beats come and echo nothing new | alive, and not_receiving: it does not hear us |
-//! | slow | its beats come unevenly | alive: the detector gives it more time |
-//! | this one was cut off | most are silent at once | all suspected; nobody is gone without a majority that is heard |
-//! | this one was paused | its own turns have a gap | woke: what was believed before counts for nothing |
+//! | a process ended | its link closes, new links are refused, no member receives from it | gone after `refused_after_s` |
+//! | a process is paused, or its machine vanished | its link is open and silent, no member receives from it | suspected, gone after `gone_after_s` |
+//! | only the path to this member is cut | silent here, other members receive from it | suspected, not gone |
+//! | one direction is cut | its heartbeats arrive and echo nothing new | alive, and not receiving from this member |
+//! | a member is slow | its heartbeats arrive irregularly | alive: the detector extends its timeout |
+//! | this member was cut off | most members are silent at once | all suspected; none is gone without a quorum |
+//! | this member was paused | a gap between its own ticks | resumed: earlier silence and refusals are disregarded |
 //!
-//! Not told apart: a member that is paused and one whose machine vanished, until it comes back.
+//! A paused member and one whose machine vanished can't be told apart until the member comes back.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -22,37 +22,38 @@
 use crate::detector::Detector;
 use crate::{Echo, Heartbeat, Incarnation, MemberId, Observation};
 
-/// Own beats of which the time is remembered, for their echoes.
+/// Sent heartbeats per member whose send time is kept, to date their echoes.
 const MAX_UNECHOED_HEARTBEATS: usize = 64;
-/// Observations in a beat at most; with more members they take turns.
+/// Observations in one heartbeat, besides the one of its receiver. With more members they rotate.
 const MAX_OBSERVATIONS: usize = 16;
-/// Between two beats to a member that tell what is heard of others, in seconds: they are most of a beat's bytes, and
-/// well within the time after which one is gone.
+/// Interval between heartbeats to one member that carry observations. Observations are most of a heartbeat's bytes, so not
+/// every heartbeat carries them. The interval must stay well below the time after which a member is gone.
 const OBSERVATION_INTERVAL_S: f64 = 0.4;
-/// Deviations of a member's detector beyond their mean after which its silence is suspect.
+/// Standard deviations above the mean gap after which a silence is suspicious.
 const SUSPECT_DEVIATIONS: f64 = 4.0;
 
-/// By how much clocks may differ in pace, and how exact an age is, in seconds.
+/// Allowed ratio between the rates of two members' clocks.
 const CLOCK_RATE_TOLERANCE_RATIO: f64 = 1.02;
+/// Allowed error of a reported age.
 const AGE_TOLERANCE_S: f64 = 0.05;
-/// A majority must have been heard for so long before a silence is held for an end, in seconds: who was cut off hears some
-/// first when it is back, and learns from them within this whom they hear.
+/// How long a quorum must last before silent members may be considered gone. A member that was cut off first receives from
+/// only some of the others when it is back; within this time it learns from them whom they still receive from.
 const QUORUM_STABLE_AFTER_S: f64 = OBSERVATION_INTERVAL_S + 0.1;
-/// A second process under the own name must have been told of for so long, in seconds.
+/// How long other members must keep reporting a second process under this member's name before it takes effect.
 const NAME_CONFLICT_CONFIRMED_AFTER_S: f64 = 0.5;
 
-/// The figures of it, in seconds.
+/// Timing of failure detection, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Between two beats to a member.
+    /// Interval between heartbeats to one member.
     pub heartbeat_interval_s: f64,
-    /// A silence shorter than this is never suspect.
+    /// Lower limit of the silence after which a member is suspected.
     pub suspect_after_s: f64,
-    /// One that nobody has heard for so long is gone.
+    /// A member is gone after no member has received from it for this long.
     pub gone_after_s: f64,
-    /// One whose address refuses links for so long is gone: its process has ended.
+    /// A member whose address refuses links for this long is gone: its process has ended.
     pub refused_after_s: f64,
-    /// Own turns further apart than this: this member was paused.
+    /// This member was paused if its ticks are at least this far apart.
     pub pause_threshold_s: f64,
 }
 
@@ -68,63 +69,63 @@
     }
 }
 
-/// What is believed of a member.
+/// What this member believes of another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// Never heard of, since the own start.
+    /// Not yet received from since this member started.
     Unseen,
-    /// Heard.
+    /// Its heartbeats arrive.
     Alive,
-    /// Silent for longer than it should be, since then.
+    /// Silent for longer than its timeout; suspected since this time.
     Suspected(f64),
-    /// Nobody hears it, since then.
+    /// No member receives from it, or its process has ended; gone since this time.
     Gone(f64),
 }
 
-/// What changed.
+/// A change in what this member believes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Heard for the first time, or no longer suspected.
+    /// The member was received from for the first time, or is no longer suspected.
     Alive(MemberId),
-    /// Silent for so long.
+    /// The member is suspected after this many seconds of silence.
     Suspected(MemberId, f64),
-    /// Gone; whether its address refused links.
+    /// The member is gone; `true` if its address refused links or it left.
     Gone(MemberId, bool),
-    /// It was gone and is heard again, in the same life.
+    /// The member was gone and is received from again.
     Returned(MemberId),
-    /// Another life of it began: it was started anew.
+    /// The member was restarted and has this incarnation.
     Restarted(MemberId, Incarnation),
-    /// It does not hear us, while we hear it.
+    /// This member receives from the other, but the other does not receive from this one.
     NotReceiving(MemberId),
-    /// It hears us again.
+    /// The other member receives from this one again.
     ReceivingAgain(MemberId),
-    /// The own incarnation was below one that the fleet knows and was raised to this.
+    /// This member's incarnation was lower than one that the fleet knows and was raised to this one.
     IncarnationRaised(Incarnation),
-    /// Another process has this member's name, in this later life: this one is out of the fleet.
+    /// Another process runs under this member's name with this later incarnation. This process is out of the fleet.
     Superseded(Incarnation),
-    /// This member was paused for so long.
+    /// This member was paused for this many seconds.
     Resumed(f64),
 }
 
-/// Why a beat counts for nothing, and its link is closed.
+/// Why a message is rejected and its link closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Nobody of that name is a member.
+    /// The sender is not a configured member.
     #[error(
-        "no member of that name is in the block `fleet` here: it is left out until its name stands in every member's file \
-         and SIGHUP was sent"
+        "the block `fleet` here has no member of that name: it is ignored until its name is in every member's file and SIGHUP \
+         was sent"
     )]
     NotAMember,
-    /// A later life of the speaker is known: this is an earlier one, or a second process under its name.
+    /// A later incarnation of the sender is known. The sender is an earlier one, or a second process under the same name.
     #[error(
-        "a later incarnation of it is known, {0}: this one serves alone and is not told of the fleet; end it, or give it a \
-         name of its own"
+        "a later incarnation of the sender is known, {0}: the sender serves without data from the fleet; stop it, or give it \
+         a name of its own"
     )]
     StaleIncarnation(Incarnation),
 }
 
 impl Rejection {
-    /// In a word, for the log and the page for on-call staff.
+    /// Returns the label used in the log and on the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             Rejection::NotAMember => "not-a-member",
@@ -136,25 +137,28 @@
 #[derive(Clone, Debug)]
 struct Peer {
     state: State,
-    /// The latest life known, from itself or from others.
+    /// The latest incarnation known, from the member itself or from others.
     incarnation: Option<Incarnation>,
-    /// When it was alive for certain, by its own beats; and by what others hear.
+    /// When it was last certainly alive, by its own heartbeats.
     alive_at: f64,
+    /// When it was last certainly alive, by the observations of other members.
     observed_at: f64,
-    /// Its silence before this tells nothing: its link came up then, or this member was paused. No evidence of life.
+    /// Silence before this time is disregarded, because the link came up then or this member was paused until then. It is no
+    /// evidence that the member was alive.
     silence_ignored_until: f64,
     detector: Detector,
     linked: bool,
     refused_since: Option<f64>,
-    /// It is gone, and its process has process_ended: its address refused links, or it said so.
+    /// The member is gone and its process has ended: its address refused links, or it left.
     process_ended: bool,
-    /// Own beats sent to it, and the last one that it told back.
+    /// Sequence numbers and send times of the heartbeats sent to it, from the last echoed one on.
     sent: VecDeque<(u32, f64)>,
     next_seq: u32,
     next_heartbeat_at: f64,
     next_observations_at: f64,
+    /// Sequence number and send time of the last heartbeat that it echoed.
     last_echoed: Option<(u32, f64)>,
-    /// Its last beat, and when it came.
+    /// Sequence number and arrival time of the last heartbeat received from it.
     last_received: Option<(u32, f64)>,
     not_receiving: bool,
     ready: bool,
@@ -187,52 +191,53 @@
     }
 }
 
-/// A member as an operator or a test sees it.
+/// What is known of one member, for reports and tests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Row {
-    /// Who.
+    /// The member.
     pub member: MemberId,
-    /// What is believed.
+    /// What this member believes of it.
     pub state: State,
-    /// Its latest life, if one was heard of.
+    /// Its latest known incarnation.
     pub incarnation: Option<Incarnation>,
-    /// Seconds since it was alive for certain, as heard here; none if never.
+    /// Seconds since it was certainly alive, by its own heartbeats; `None` if never.
     pub silent_s: Option<f64>,
-    /// The same, as others hear it.
+    /// Seconds since it was certainly alive, by the observations of other members; `None` if never.
     pub observed_ago_s: Option<f64>,
-    /// It does not hear us.
+    /// Whether it does not receive from this member.
     pub not_receiving: bool,
-    /// Its link is up.
+    /// Whether its link is up.
     pub linked: bool,
-    /// It says that it has caught up.
+    /// Whether it reports that it has caught up.
     pub ready: bool,
 }
 
-/// What one member believes.
+/// The view that one member has of its fleet.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own_id: MemberId,
     incarnation: Incarnation,
     settings: Settings,
     peers: BTreeMap<MemberId, Peer>,
-    /// Whether callers are there at the own member.
+    /// Whether callers are connected to this member.
     callers: bool,
-    /// When the own life began.
+    /// When this incarnation began.
     started_at: f64,
-    /// A later life that was alive after the own one began, and since when it is told of.
+    /// A later incarnation under this member's name that was alive after this one began, and since when it is reported.
     name_conflict: Option<(Incarnation, f64)>,
     superseded: bool,
     last_tick: Option<f64>,
-    /// Since when a majority is heard, and whether that was long enough as of the last look.
+    /// Since when there is a quorum.
     quorum_since: Option<f64>,
+    /// Whether the quorum had lasted long enough at the last update.
     quorum_is_stable: bool,
-    /// Whose turn it is to be told of.
+    /// Index of the member that the next observations start with.
     next_observed: usize,
     changes: Vec<Change>,
 }
 
 impl Membership {
-    /// A member that has just started, with those that stand in the configuration beside it.
+    /// Creates the view of a member that has just started, with all configured members.
     pub fn new(
         now: f64,
         own_id: MemberId,
@@ -259,39 +264,39 @@
         }
     }
 
-    /// The own id.
+    /// Returns this member's id.
     pub fn own_id(&self) -> MemberId {
         self.own_id
     }
 
-    /// The own life.
+    /// Returns this member's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether another process took the name.
+    /// Whether another process with a later incarnation runs under this member's name.
     pub fn superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Takes the members of a configuration read anew: those that stay keep what is known of them.
+    /// Applies the members of a reloaded configuration. What is known of members that stay is kept.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = MemberId>) {
         let mut old = std::mem::take(&mut self.peers);
         let kept = members.into_iter().filter(|m| *m != self.own_id);
         self.peers = kept.map(|m| (m, old.remove(&m).unwrap_or_else(Peer::new))).collect();
     }
 
-    /// All members but the own.
+    /// Returns all members except this one.
     pub fn peers(&self) -> impl Iterator<Item = MemberId> + '_ {
         self.peers.keys().copied()
     }
 
-    /// What changed since this was last asked.
+    /// Returns and clears the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// The latest life known of a member.
+    /// Returns the latest known incarnation of a member.
     pub fn incarnation_of(&self, member: MemberId) -> Option<Incarnation> {
         match member == self.own_id {
             true => Some(self.incarnation),
@@ -299,7 +304,7 @@
         }
     }
 
-    /// What is believed of a member; of the own one that it is alive.
+    /// Returns the state of a member. This member itself is always alive.
     pub fn state(&self, member: MemberId) -> State {
         match member == self.own_id {
             true => State::Alive,
@@ -307,57 +312,57 @@
         }
     }
 
-    /// Whether a member says that it has caught up.
+    /// Whether a member reports that it has caught up.
     pub fn is_ready(&self, member: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|p| p.ready)
     }
 
-    /// Those who are held to live: heard and not gone, the own one among them. One that is suspected counts: it is
-    /// not certain that it acts no more.
+    /// Returns the members that are alive or suspected, including this one. Suspected members count, since they may still be
+    /// acting.
     pub fn live_members(&self) -> impl Iterator<Item = MemberId> + '_ {
-        let living = |p: &Peer| matches!(p.state, State::Alive | State::Suspected(_));
-        let peers = self.peers.iter().filter(move |(_, p)| living(p)).map(|(m, _)| *m);
+        let is_live = |p: &Peer| matches!(p.state, State::Alive | State::Suspected(_));
+        let peers = self.peers.iter().filter(move |(_, p)| is_live(p)).map(|(m, _)| *m);
         std::iter::once(self.own_id).chain(peers)
     }
 
-    /// Callers are there at the own member, or none are any more; returns whether that is new.
+    /// Sets whether callers are connected to this member; returns whether that is a change.
     pub fn set_callers(&mut self, callers: bool) -> bool {
         std::mem::replace(&mut self.callers, callers) != callers
     }
 
-    /// Those of the living who say that callers are there to whom they can tell the end of a call. One that is only
-    /// suspected may not hear of it.
+    /// Returns the alive members, including this one, that report connected callers to whom they can send the end of a call.
+    /// Suspected members are left out: they may not learn of the end.
     pub fn members_with_callers(&self) -> impl Iterator<Item = MemberId> + '_ {
         let has = |p: &Peer| p.state == State::Alive && p.callers;
         let peers = self.peers.iter().filter(move |(_, p)| has(p)).map(|(m, _)| *m);
         self.callers.then_some(self.own_id).into_iter().chain(peers)
     }
 
-    /// Whether a majority of the configured members is heard now, the own one counted.
+    /// Whether a majority of the configured members is alive now, including this one.
     pub fn has_quorum(&self) -> bool {
-        let heard = 1 + self.peers.values().filter(|p| p.state == State::Alive).count();
-        2 * heard > self.peers.len() + 1
+        let alive = 1 + self.peers.values().filter(|p| p.state == State::Alive).count();
+        2 * alive > self.peers.len() + 1
     }
 
-    /// Whether a majority has been heard for so long that a silence counts as an end.
+    /// Whether the quorum has lasted long enough that silent members may be considered gone.
     pub fn quorum_is_stable(&self) -> bool {
         self.quorum_is_stable
     }
 
-    /// Whether a member is gone for certain: its address refused links, or it said that it ends. One that is gone for its
-    /// silence alone may go on where others hear it.
+    /// Whether a member's process has certainly ended: its address refused links, or it left. A member that is gone only
+    /// because it is silent may still be running where others receive from it.
     pub fn process_ended(&self, member: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|p| p.process_ended)
     }
 
-    /// By how much what a member said last may be older than it says, in seconds: as long as its last beat may have
-    /// been on its way. None before anything is known of that.
+    /// Returns by how many seconds the last message of a member may be older than it states: the longest time that its last
+    /// heartbeat may have been in transit. `None` until it has echoed a heartbeat.
     pub fn lag(&self, now: f64, member: MemberId) -> Option<f64> {
         let peer = self.peers.get(&member)?;
         peer.last_echoed.filter(|_| peer.alive_at.is_finite()).map(|_| (now - peer.alive_at).max(0.0))
     }
 
-    /// When the latest own beat was sent that a member has told back: what it says now it says later than that.
+    /// Returns when the latest heartbeat that a member has echoed was sent. What the member sends now is later than that.
     pub fn last_echoed_at(&self, member: MemberId) -> Option<f64> {
         self.peers.get(&member)?.last_echoed.map(|(_, at)| at)
     }
@@ -367,12 +372,12 @@
         self.peers.get(&member).is_some_and(|p| p.linked)
     }
 
-    /// Since when a member's address refuses links.
+    /// Whether a member's address refuses links.
     pub fn refuses_links(&self, member: MemberId) -> bool {
         self.peers.get(&member).is_some_and(|p| p.refused_since.is_some())
     }
 
-    /// A member said that it ends.
+    /// Handles a member's message that it leaves.
     pub fn member_left(&mut self, now: f64, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
             if !matches!(peer.state, State::Gone(_)) {
@@ -386,8 +391,8 @@
 
     // ---- Links
 
-    /// A link to a member is up, and it said which life it is, which life of ours it knows, and how long ago that was
-    /// alive, in milliseconds.
+    /// Handles a new link to a member. The member has stated its incarnation, and in `known` the latest incarnation of this
+    /// member that it knows, with the time since that was alive in milliseconds.
     pub fn link_up(
         &mut self,
         now: f64,
@@ -401,7 +406,7 @@
         self.update_incarnation(now, member, incarnation)?;
         if let Some(peer) = self.peers.get_mut(&member) {
             (peer.linked, peer.refused_since) = (true, None);
-            // Beats count anew on each link, and none of an earlier one is told back.
+            // Sequence numbers start over on each link, and heartbeats of an earlier link are not echoed.
             (peer.last_received, peer.next_heartbeat_at, peer.next_observations_at) = (None, now, now);
             peer.detector.skip_next_gap();
             peer.silence_ignored_until = now;
@@ -410,7 +415,7 @@
         Ok(())
     }
 
-    /// A link is down.
+    /// Handles the end of a link.
     pub fn link_down(&mut self, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
             (peer.linked, peer.not_receiving, peer.last_received) = (false, false, None);
@@ -418,24 +423,25 @@
         }
     }
 
-    /// A member's address refused a link: no process listens there. Anything else that keeps a link from coming up
-    /// tells nothing.
+    /// Handles a refused connection: no process listens at the member's address. Other failures to connect say nothing about
+    /// the member and must not be reported here.
     pub fn link_refused(&mut self, now: f64, member: MemberId) {
         if let Some(peer) = self.peers.get_mut(&member) {
             peer.refused_since.get_or_insert(now);
         }
     }
 
-    /// What another member is told of its own life: the latest that is known here, and how long ago that was
-    /// alive for certain, in milliseconds.
+    /// Returns the latest known incarnation of another member, and the time since it was certainly alive, in milliseconds.
+    /// It is sent to that member, so it can detect that its own incarnation is too low or its name is used twice.
     pub fn known_incarnation_of(&self, now: f64, member: MemberId) -> Option<(Incarnation, u32)> {
         let peer = self.peers.get(&member)?;
         let at = peer.alive_at.max(peer.observed_at);
         Some((peer.incarnation?, if at.is_finite() { millis(now - at) } else { u32::MAX }))
     }
 
-    /// Somebody knows this life of the own member, alive so long ago. A later life that was alive after the own one
-    /// began is another process's, under the same name. One that was not is an earlier one: the clock was set back.
+    /// Compares this member's incarnation with one that another member knows, which was alive `age_ms` ago. A later
+    /// incarnation that was alive after this one began belongs to another process under the same name. If it was not alive
+    /// since, it is an earlier process whose number is higher because the clock was set back.
     fn compare_own_incarnation(&mut self, now: f64, known: Incarnation, age_ms: u32) {
         if known <= self.incarnation {
             return;
@@ -446,7 +452,7 @@
             self.changes.push(Change::IncarnationRaised(self.incarnation));
             return;
         }
-        // Told once it may be a word that was frozen on its way. One that is there is told of again.
+        // A single report may have been delayed in transit. A process that is running is reported again.
         let since = match self.name_conflict {
             Some((incarnation, since)) if incarnation == known => since,
             _ => now,
@@ -458,12 +464,12 @@
         }
     }
 
-    /// Takes another life: what was said in the one before is another process's.
+    /// Sets a new incarnation for this member; what it sent under the previous one counts as another process's.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
     }
 
-    /// A member lives in this life.
+    /// Records the incarnation that a member states; fails if a later one is known.
     fn update_incarnation(
         &mut self,
         now: f64,
@@ -485,28 +491,33 @@
         Ok(())
     }
 
-    // ---- Beats
+    // ---- Heartbeats
 
-    /// Takes a beat.
-    pub fn receive_heartbeat(&mut self, now: f64, from: MemberId, beat: &Heartbeat) -> Result<(), Rejection> {
-        self.update_incarnation(now, from, beat.incarnation)?;
+    /// Handles a heartbeat from a member.
+    pub fn receive_heartbeat(
+        &mut self,
+        now: f64,
+        from: MemberId,
+        heartbeat: &Heartbeat,
+    ) -> Result<(), Rejection> {
+        self.update_incarnation(now, from, heartbeat.incarnation)?;
         let Some(peer) = self.peers.get_mut(&from) else { return Err(Rejection::NotAMember) };
-        // Repeated or overtaken: on one link they come in order.
-        if peer.last_received.is_some_and(|(seq, _)| beat.seq <= seq) {
+        // Drops repeated and overtaken heartbeats; on one link they arrive in order.
+        if peer.last_received.is_some_and(|(seq, _)| heartbeat.seq <= seq) {
             return Ok(());
         }
-        peer.last_received = Some((beat.seq, now));
-        (peer.ready, peer.callers) = (beat.ready, beat.callers);
+        peer.last_received = Some((heartbeat.seq, now));
+        (peer.ready, peer.callers) = (heartbeat.ready, heartbeat.callers);
         peer.detector.record_heartbeat(now);
-        if let Some(echo) = beat.echo {
+        if let Some(echo) = heartbeat.echo {
             if let Some((seq, at)) = peer.sent.iter().find(|(seq, _)| *seq == echo.seq).copied() {
                 peer.last_echoed = Some((seq, at));
                 peer.sent.retain(|(sent, _)| *sent >= seq);
             }
             if let Some((_, at)) = peer.last_echoed.filter(|(seq, _)| *seq == echo.seq) {
-                // Never later than now, however its clock runs.
-                let spoke_at = (at + f64::from(echo.held_ms) / 1000.0).min(now);
-                peer.alive_at = peer.alive_at.max(spoke_at);
+                // Never in the future, whatever the rate of its clock.
+                let sent_at = (at + f64::from(echo.held_ms) / 1000.0).min(now);
+                peer.alive_at = peer.alive_at.max(sent_at);
             }
             let limit = self.settings.gone_after_s / 2.0;
             let not_receiving = f64::from(echo.held_ms) / 1000.0 > limit;
@@ -520,14 +531,14 @@
             }
         }
         let lag = if peer.alive_at.is_finite() { (now - peer.alive_at).max(0.0) } else { 0.0 };
-        for observation in &beat.observations {
+        for observation in &heartbeat.observations {
             self.apply_observation(now, lag, observation);
         }
         self.update_states(now);
         Ok(())
     }
 
-    /// Takes what another member hears of one, told at most `lag` seconds ago.
+    /// Applies what another member reports of a member; the report is at most `lag` seconds old.
     fn apply_observation(&mut self, now: f64, lag: f64, observation: &Observation) {
         if observation.member == self.own_id {
             return self.compare_own_incarnation(now, observation.incarnation, observation.age_ms);
@@ -535,7 +546,7 @@
         let Some(peer) = self.peers.get_mut(&observation.member) else { return };
         let known = peer.incarnation.unwrap_or_default();
         if observation.incarnation > known {
-            // The beats of the earlier life tell nothing of this one.
+            // Heartbeats of the earlier incarnation are no evidence for this one.
             let first = peer.incarnation.is_none();
             (peer.incarnation, peer.alive_at, peer.observed_at) =
                 (Some(observation.incarnation), f64::NEG_INFINITY, f64::NEG_INFINITY);
@@ -549,21 +560,21 @@
         }
     }
 
-    /// The beat that is due to a member, if one is.
+    /// Returns the heartbeat that is due to a member, if any.
     pub fn next_heartbeat(&mut self, now: f64, to: MemberId, ready: bool) -> Option<Heartbeat> {
         let due = |p: &Peer| p.linked && now >= p.next_heartbeat_at;
         if self.superseded || !self.peers.get(&to).is_some_and(due) {
             return None;
         }
-        let told = self.peers.get(&to).is_some_and(|p| now >= p.next_observations_at);
-        let observations = if told { self.next_observations(now, to) } else { Vec::new() };
+        let with_observations = self.peers.get(&to).is_some_and(|p| now >= p.next_observations_at);
+        let observations = if with_observations { self.next_observations(now, to) } else { Vec::new() };
         let peer = self.peers.get_mut(&to)?;
-        if told {
+        if with_observations {
             peer.next_observations_at = now + OBSERVATION_INTERVAL_S;
         }
         let seq = peer.next_seq;
         peer.next_seq = peer.next_seq.wrapping_add(1).max(1);
-        // In step where it can, without a burst after a pause.
+        // Keeps a fixed schedule where possible, without a burst after a pause.
         peer.next_heartbeat_at = (peer.next_heartbeat_at + self.settings.heartbeat_interval_s)
             .max(now + self.settings.heartbeat_interval_s / 2.0);
         peer.sent.push_back((seq, now));
@@ -590,13 +601,13 @@
             .map(|(member, p)| Observation {
                 member: **member,
                 incarnation: p.incarnation.unwrap_or_default(),
-                // What others hear is not passed on: it would live by going round.
+                // Observations of other members are not forwarded: they would keep each other fresh in a cycle.
                 age_ms: if p.alive_at.is_finite() { millis(now - p.alive_at) } else { u32::MAX },
                 gone: matches!(p.state, State::Gone(_)),
             })
             .collect();
         self.next_observed = self.next_observed.wrapping_add(count);
-        // The one spoken to is told which life of it is known.
+        // The receiver learns which incarnation of it is known here.
         if let Some((incarnation, age_ms)) = self.known_incarnation_of(now, to) {
             observations.push(Observation { member: to, incarnation, age_ms, gone: false });
         }
@@ -605,13 +616,13 @@
 
     // ---- Time
 
-    /// Looks at the silences. Called at least every few tens of milliseconds.
+    /// Updates the states of all members. Must be called at least every few tens of milliseconds.
     pub fn tick(&mut self, now: f64) {
         let gap = self.last_tick.map_or(0.0, |last| now - last);
         self.last_tick = Some(now);
         if gap >= self.settings.pause_threshold_s {
             self.changes.push(Change::Resumed(gap));
-            // The others may have spoken all the while: their silence begins now.
+            // The others may have sent all the time, so their silence is counted from now.
             for peer in self.peers.values_mut() {
                 peer.detector.skip_next_gap();
                 if !matches!(peer.state, State::Gone(_)) && peer.alive_at.is_finite() {
@@ -619,7 +630,7 @@
                 }
                 peer.refused_since = None;
             }
-            // What the others hear is as old as the pause, until they have told it anew.
+            // Observations are as old as the pause until the others have sent new ones.
             self.quorum_since = None;
         }
         self.update_states(now);
@@ -633,25 +644,25 @@
         for (&member, peer) in &mut self.peers {
             let silent = now - peer.alive_at.max(peer.silence_ignored_until);
             let others = now - peer.observed_at;
-            let limit = peer.detector.suspicion_timeout_s(
+            let timeout = peer.detector.suspicion_timeout_s(
                 SUSPECT_DEVIATIONS,
                 s.suspect_after_s,
                 s.gone_after_s / 2.0,
             );
             let refused = peer.refused_since.is_some_and(|since| now - since >= s.refused_after_s);
-            // One that was never heard of is waited for as long as one that has fallen silent.
-            let unheard = silent.min(others).min(now - self.started_at);
-            let dead = refused && unheard >= s.refused_after_s;
-            let lost = quorum && unheard >= s.gone_after_s;
+            // A member that was never seen is waited for as long as one that has become silent.
+            let unseen_for = silent.min(others).min(now - self.started_at);
+            let ended = refused && unseen_for >= s.refused_after_s;
+            let lost = quorum && unseen_for >= s.gone_after_s;
             let next = match peer.state {
-                State::Unseen if peer.incarnation.is_some() && silent <= limit => State::Alive,
-                State::Unseen if !dead && !lost => State::Unseen,
-                // What others hear of it brings nobody back here, but nobody is gone whom they hear.
-                State::Gone(_) if silent <= limit => State::Alive,
+                State::Unseen if peer.incarnation.is_some() && silent <= timeout => State::Alive,
+                State::Unseen if !ended && !lost => State::Unseen,
+                // Observations don't bring a member back here, but a member that others observe is not gone.
+                State::Gone(_) if silent <= timeout => State::Alive,
                 State::Gone(since) => State::Gone(since),
-                _ if dead || lost => State::Gone(now),
-                State::Alive if silent > limit => State::Suspected(now),
-                State::Suspected(_) if silent <= limit => State::Alive,
+                _ if ended || lost => State::Gone(now),
+                State::Alive if silent > timeout => State::Suspected(now),
+                State::Suspected(_) if silent <= timeout => State::Alive,
                 same => same,
             };
             match (peer.state, next) {
@@ -661,16 +672,16 @@
                 }
                 (State::Alive, State::Suspected(_)) => self.changes.push(Change::Suspected(member, silent)),
                 (State::Unseen | State::Alive | State::Suspected(_), State::Gone(_)) => {
-                    self.changes.push(Change::Gone(member, dead));
+                    self.changes.push(Change::Gone(member, ended));
                 }
                 _ => {}
             }
             peer.state = next;
-            peer.process_ended = matches!(next, State::Gone(_)) && (peer.process_ended || dead);
+            peer.process_ended = matches!(next, State::Gone(_)) && (peer.process_ended || ended);
         }
     }
 
-    /// What is believed of each, to be compared or shown.
+    /// Returns what is known of each member, for reports and comparisons.
     pub fn snapshot(&self, now: f64) -> Vec<Row> {
         let since = |at: f64| at.is_finite().then_some((now - at).max(0.0));
         let row = |(member, p): (&MemberId, &Peer)| Row {
@@ -688,7 +699,7 @@
 }
 
 impl State {
-    /// In a word.
+    /// Returns the state's label in reports.
     pub fn name(&self) -> &'static str {
         match self {
             State::Unseen => "unseen",
@@ -703,17 +714,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x} {}", self.member.0, self.state.name())?;
         if let Some(incarnation) = self.incarnation {
-            write!(f, ", life {incarnation}")?;
+            write!(f, ", incarnation {incarnation}")?;
         }
         match self.silent_s {
-            Some(silent) => write!(f, ", heard {silent:.1} s ago")?,
-            None => write!(f, ", never heard")?,
+            Some(silent) => write!(f, ", last received {silent:.1} s ago")?,
+            None => write!(f, ", never received")?,
         }
         if let Some(others) = self.observed_ago_s {
-            write!(f, ", by others {others:.1} s ago")?;
+            write!(f, ", by other members {others:.1} s ago")?;
         }
         if self.not_receiving {
-            write!(f, ", does not hear us")?;
+            write!(f, ", does not receive from us")?;
         }
         Ok(())
     }
