--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,354 +1,358 @@
-//! The interface of the decision module: what a front hands in and what it gets back.
+//! The interface of the decision module: the events that a gatekeeper hands in and the actions that it gets back.
 //!
-//! Types only. Times are seconds on the front's own clock, which starts anywhere and never goes back.
+//! Times are in seconds on the gatekeeper's own clock, whose start is arbitrary and which never goes back.
+//! Durations are in seconds and rates are per second.
 
-/// A call's number, as the front gave it.
+/// Identifier of a call, chosen by the gatekeeper and unique among its open calls.
 pub type CallId = u32;
 
-/// The address of one pool's signalling server; opaque, carries no meaning beyond identity.
+/// Identifies a pool by the address of its signalling server. Opaque: it is only compared for equality and
+/// order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u64);
 
-/// One class of call.
+/// Settings of one class of calls, which all have the same goal time and the same worth.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Set up within this time a call earns its full worth.
+    /// A call that is established within this many seconds of the caller's first try earns its full worth.
     pub goal_time: f64,
-    /// How long a caller keeps trying, from the first try on.
+    /// How many seconds a caller keeps trying, counted from its first try.
     pub hard_limit: f64,
-    /// What a call that stands is worth.
+    /// Worth of a call that is established within the goal time, in units common to all classes.
     pub value: f64,
-    /// Share of the worth that a call earns when it stands after the goal time.
+    /// Fraction of the worth, 0 to 1, that a call earns when it is established after the goal time.
     pub late_worth: f64,
-    /// Numbers of the pools that this class may go to; empty means any.
+    /// Numbers of the pools that calls of this class may be sent to; empty means any pool.
     pub pools: Vec<u32>,
-    /// Whether a call may be tried again, or refused, after an attempt that may have taken effect.
+    /// Whether a call may be sent again, or refused, after an attempt that may have taken effect at a server. Where
+    /// it may not, such a call fails.
     pub repeatable: bool,
 }
 
-/// One tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Calls a second over all fronts that count as within its share.
+    /// Calls per second, summed over all gatekeepers, up to which the tenant is within its quota.
     pub quota_per_s: f64,
 }
 
-/// How the parts of the result are weighted.
+/// Weights of the parts of the service score by which the deployment is judged. The module does not read them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GoalWeights {
-    /// Weight of the whole run.
+    /// Weight of the mean over the whole run.
     pub whole: f64,
-    /// Weight of the worst stretch.
+    /// Weight of the time window with the worst service.
     pub worst_window: f64,
-    /// Weight of the worst-served class.
+    /// Weight of the class with the worst service.
     pub worst_class: f64,
-    /// Weight of the worst-served tenant.
+    /// Weight of the tenant with the worst service.
     pub worst_tenant: f64,
 }
 
-/// What a front is told about its deployment at start.
+/// Settings of the deployment, which a gatekeeper reads at its start and again when they change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many fronts share the pools.
+    /// Number of gatekeepers that share the pools; 0 if it is not known.
     pub gatekeepers: u32,
-    /// Least spacing of two batches of events.
+    /// Minimum number of seconds between two batches of events; the module sets no timer more finely.
     pub min_batch_interval: f64,
-    /// The classes of call.
+    /// The classes of calls; events name a class by its index in this list.
     pub classes: Vec<ClassSettings>,
-    /// The tenants; may be empty.
+    /// The tenants; events name a tenant by its index in this list. May be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Worth of a call over its tenant's share, as a part of its usual worth.
+    /// Fraction of its usual worth, 0 to 1, that a call beyond its tenant's quota has.
     pub over_share_worth: f64,
-    /// How the result is weighted.
+    /// Weights of the service score.
     pub goal: GoalWeights,
-    /// How long a call stands on average, if told.
+    /// Mean duration in seconds of an established call, if it is known.
     pub mean_holding_time: Option<f64>,
-    /// After this time a set-up waiting at a processor is sent again; 0 is never.
+    /// A set-up that waits at a server's processor is sent again after this many seconds; 0 means never.
     pub retransmit_time: f64,
-    /// A call whose attempt timed out, was reset or cancelled is not sent again for this long.
+    /// For this many seconds a call whose attempt timed out, was reset or was cancelled is not sent again.
     pub release_time: f64,
-    /// Attempts allowed for one call.
+    /// Maximum number of attempts for one call.
     pub try_limit: u32,
-    /// Whether an attempt may be cancelled.
+    /// Whether the module may cancel an attempt that has no answer yet.
     pub may_cancel: bool,
-    /// Whether callers are told for how long to stay away, and the longest that they heed.
+    /// Longest retry-after time in seconds that callers honour; `None` if they are given none.
     pub max_retry_after: Option<f64>,
-    /// Time in which a restarted pool has become warm.
+    /// Seconds in which a restarted (cold) pool reaches its full capacity.
     pub warm_up_time: f64,
-    /// Share of its capacity with which a restarted pool begins.
+    /// Fraction of its full capacity, 0 to 1, that a pool has right after a restart.
     pub initial_capacity_ratio: f64,
-    /// How far beyond its capacity of the moment a cold pool may be driven.
+    /// Multiple (1 or more) of its present capacity with which a cold pool may be loaded.
     pub overload_factor: f64,
-    /// Whether the list of pools must be asked for.
+    /// Whether the list of pools arrives only after [`Action::Subscribe`].
     pub must_subscribe: bool,
 }
 
-/// Whether a pool takes new calls.
+/// Whether a pool accepts new calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// In service.
+    /// In service: accepts new calls.
     Ready,
-    /// Finishing its work; takes nothing new.
+    /// Finishing its calls: accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     #[default]
     Gone,
 }
 
-/// One line of the list of pools.
+/// One entry of the list of pools.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolEntry {
-    /// Which server.
+    /// The pool's signalling server.
     pub pool: PoolId,
-    /// The pool's number, to which calls name their first choice.
+    /// The pool's number, by which calls name their first choice. It stays the same when a server is replaced.
     pub number: u32,
-    /// Whether it takes new calls.
+    /// Whether the pool accepts new calls.
     pub readiness: Readiness,
-    /// When its processor last started; 0 is long past.
+    /// When the pool's processor last started; 0 means long ago.
     pub ready_at: f64,
-    /// The district in which it stands, an index into the deployment's list, if told. The module does not
-    /// read it; gates may.
+    /// The pool's district, an index into the deployment's list of districts, if it is known. The module does
+    /// not read it; gates may.
     pub district: Option<u16>,
 }
 
-/// How a list is to be read.
+/// Which entries a list of pools contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Changes,
-    /// The complete list.
+    /// All entries: a pool that is missing is gone.
     Full,
-    /// The complete list as last held before a restart; may be stale.
+    /// All entries, as stored before a restart of the gatekeeper; may be out of date.
     Cached,
-    /// A request for the list failed; no entries.
+    /// None: the request for the list failed.
     Failed,
 }
 
-/// A pool's load report; what was not told is `None`.
+/// A pool's load report. A value that the pool did not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Free lines.
+    /// Number of free lines.
     pub free_lines: Option<f64>,
-    /// Lines in all.
+    /// Number of lines, free and busy.
     pub total_lines: Option<f64>,
-    /// The wait at the processor, in seconds.
+    /// Seconds that a new set-up waits at the pool's processor.
     pub wait: Option<f64>,
-    /// Busy share of the processor.
+    /// Fraction of time, 0 to 1, that the processor is busy.
     pub utilization: Option<f64>,
-    /// New set-ups a second that it can take from all senders together.
+    /// New set-ups per second that the pool can accept from all gatekeepers together.
     pub max_set_up_rate: Option<f64>,
-    /// Share of new set-ups that it asks each sender to hold back.
+    /// Fraction of new set-ups, 0 to 1, that the pool asks each gatekeeper to hold back.
     pub hold_back_ratio: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and has ended.
+    /// The call was established and has ended.
     Done,
-    /// Every line of the number is busy, or a signalling fault.
+    /// Every line of the number dialled was busy, or signalling failed.
     Error,
-    /// Turned back before it ran.
+    /// Rejected before it took effect, for lack of capacity; [`Cause`] says where.
     Full,
-    /// No answer in time.
+    /// No answer came before the attempt's timeout.
     Timeout,
-    /// No connection in time.
+    /// No connection to the server was made before the timeout.
     ConnectFailed,
-    /// Cut.
+    /// The connection to the server was lost.
     Reset,
-    /// Called off.
+    /// The gatekeeper cancelled the attempt, or the caller left.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
-/// Why an attempt was turned back.
+/// Why an attempt was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Not told.
+    /// No cause was reported.
     Unknown,
-    /// No circuit or agent was free.
+    /// The pool had no free line (circuit or agent).
     NoLine,
-    /// Turned back on the way.
+    /// An element on the way to the server returned the set-up (crankback).
     Crankback,
-    /// The processor was full.
+    /// The pool's processor accepted no more work.
     ProcessorFull,
-    /// Every line of the number is busy.
+    /// Every line of the number dialled is busy.
     NumberBusy,
 }
 
-/// What happened.
+/// An input of the module: something that the gatekeeper saw or received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A list of pools.
+    /// A list of pools arrived.
     List {
-        /// How to read it.
+        /// Which entries the list contains.
         kind: ListKind,
-        /// Its lines.
+        /// The entries; empty for a failed request.
         entries: Vec<PoolEntry>,
     },
-    /// A caller wants a call set up.
+    /// A caller asks for a call to be set up.
     Call {
-        /// Its number.
+        /// Identifier of the new call.
         call: CallId,
-        /// Class, an index into the settings.
+        /// The call's class, an index into [`Settings::classes`].
         class: usize,
-        /// Tenant, an index into the settings.
+        /// The call's tenant, an index into [`Settings::tenants`].
         tenant: usize,
-        /// Time until the caller gives this try up.
+        /// Seconds until the caller gives this try up; 0 or less means that it has no time left.
         time_left: f64,
-        /// The number dialled; 0 is none.
+        /// The number dialled; 0 if there is none.
         dialled: u64,
-        /// Number of the pool of first choice.
+        /// Number of the pool that the caller prefers.
         first_choice: u32,
     },
-    /// A call stands.
+    /// A call is established: a server has answered its set-up.
     Established {
-        /// Which call.
+        /// The call that is established.
         call: CallId,
-        /// Where.
+        /// The pool that answered.
         pool: PoolId,
-        /// Time since it was sent.
+        /// Set-up delay: seconds from sending the attempt to its answer.
         delay: f64,
-        /// Which attempt, from 0.
+        /// Number of the attempt that was answered; a call's attempts count from 0.
         attempt: u8,
     },
-    /// An attempt has ended.
+    /// An attempt has ended, answered or not. The end of an established call is the end of its attempt.
     Ended {
-        /// Which call.
+        /// The call that the attempt belongs to.
         call: CallId,
-        /// Where.
+        /// The pool that the attempt was sent to.
         pool: PoolId,
-        /// Which attempt, from 0.
+        /// Number of the attempt; a call's attempts count from 0.
         attempt: u8,
-        /// Whether the call is over and needs no further answer.
+        /// Whether the call is over, so that its caller needs no further answer.
         complete: bool,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Why it was turned back.
+        /// Why the attempt was rejected.
         cause: Cause,
-        /// How long a full processor asks to be left alone.
+        /// Seconds for which a full processor asks for no further set-ups, if it names a time.
         retry_after: Option<f64>,
-        /// The pool's load.
+        /// The load report that came with the end; empty if none came.
         report: Report,
     },
-    /// News of a pool's load that belongs to no attempt.
+    /// A load report that belongs to no attempt.
     Load {
-        /// Which pool.
+        /// The pool that reports its load.
         pool: PoolId,
-        /// Its load.
+        /// The reported load.
         report: Report,
     },
-    /// The caller has gone; no answer is owed.
+    /// The caller has left; it needs no answer.
     Abandoned {
-        /// Which call.
+        /// The call that the caller left.
         call: CallId,
     },
-    /// A timer asked for has come due.
+    /// A timer that the module requested is due.
     Timer {
-        /// Its token.
+        /// The token of the [`Action::Timer`] that set it.
         token: u32,
     },
-    /// A message from another front.
+    /// A message from another gatekeeper. The module ignores it.
     Peer {
-        /// Which front.
+        /// Number of the gatekeeper that sent it.
         from: u32,
-        /// What it says.
+        /// The message's bytes.
         data: Vec<u8>,
     },
 }
 
-/// What the front is to do.
+/// An output of the module: something that the gatekeeper is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a set-up. The attempts of a call count from 0.
+    /// Send a set-up to a pool: the next attempt of its call, counted from 0.
     Send {
-        /// Which call.
+        /// The call to set up.
         call: CallId,
-        /// To which pool.
+        /// The pool to send it to.
         pool: PoolId,
-        /// Time-out; 0 is until the caller gives up.
+        /// Timeout of the attempt in seconds; 0 means until the caller gives up.
         limit: f64,
     },
-    /// Final answer: turned away.
+    /// Give the caller its final answer: the call is refused, and the caller may dial again.
     Refuse {
-        /// Which call.
+        /// The call to refuse.
         call: CallId,
-        /// How long the caller is asked to stay away; 0 is no advice.
+        /// Seconds for which the caller is asked not to dial again; 0 means that it is not asked.
         retry_after: f64,
     },
-    /// Final answer: given up.
+    /// Give the caller its final answer: the call has failed.
     Fail {
-        /// Which call.
+        /// The call that failed.
         call: CallId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that has no answer. Its end still arrives as [`Event::Ended`].
     Cancel {
-        /// Which call.
+        /// The call that the attempt belongs to.
         call: CallId,
-        /// Which attempt, from 0.
+        /// Number of the attempt; a call's attempts count from 0.
         attempt: u8,
     },
-    /// Wake the controller.
+    /// Hand in [`Event::Timer`] at a given time.
     Timer {
-        /// When.
+        /// When the timer is due, on the gatekeeper's clock.
         at: f64,
-        /// Handed back with the event.
+        /// Token to hand back with the event.
         token: u32,
     },
-    /// A line for the staff on call.
+    /// Write a line to the log.
     Log(String),
-    /// Subscribe to the list of pools.
+    /// Ask for the list of pools and its changes.
     Subscribe,
 }
 
-/// A set-up that the module is about to send.
+/// A set-up that the module could send, as a gate is asked about it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Which call.
+    /// The call to set up.
     pub call: CallId,
-    /// Its class, an index into the settings.
+    /// The call's class, an index into [`Settings::classes`].
     pub class: usize,
-    /// To which pool.
+    /// The pool that the set-up would be sent to.
     pub pool: PoolId,
-    /// Which attempt, from 0.
+    /// Number of the attempt; a call's attempts count from 0.
     pub attempt: u32,
-    /// When the caller first tried.
+    /// When the caller first tried this call.
     pub first_tried: f64,
-    /// Whether no pool is open to the call that the gate lets it go to.
+    /// Whether the gate has already denied the call every pool that the module would send it to.
     pub last_resort: bool,
 }
 
-/// Why a set-up may not go now.
+/// A gate's answer that a set-up may not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Denial {
-    /// Which gate, in a word for logs and figures.
+    /// Short name of the reason, for logs and metrics.
     pub reason: &'static str,
-    /// After how many seconds it may be worth asking again.
+    /// Seconds after which the set-up may be allowed.
     pub retry_after: f64,
 }
 
-/// A further condition on set-ups, beside the module's own. The module asks it of each pool that it would
-/// choose itself, in its own order; of those that were denied it asks again, as a last resort, when nothing
-/// else is open. A call that is denied is refused at once.
+/// A condition on set-ups beyond the module's own rules. The module asks the gate about each pool that it would
+/// send a call to, in order of preference. If the gate denies all of them, the module asks about them again, in
+/// the same order and with [`Candidate::last_resort`] set. A call that is denied again is refused at once.
 ///
-/// A gate cannot send, retry or answer anything. Where several are needed, one is made of them that asks
-/// each in a fixed order.
+/// A gate only allows or denies: it cannot send, retry or answer a call. To apply several gates, combine them
+/// into one that asks each in a fixed order.
 pub trait Gate {
-    /// Hears every event, before the module acts on it.
+    /// Receives every event before the module handles it.
     fn on_event(&mut self, now: f64, event: &Event);
 
-    /// Whether a set-up may go now. Asking takes nothing.
+    /// Whether a set-up may be sent now. Asking uses up no budget.
     fn may_send(&mut self, now: f64, candidate: &Candidate) -> Result<(), Denial>;
 
-    /// A set-up that was let pass is sent.
+    /// A set-up that the gate allowed is sent now.
     fn on_sent(&mut self, now: f64, candidate: &Candidate);
 
-    /// A call is refused because its set-up, the first in the module's order, was denied.
+    /// A call is refused because the gate denied it every pool. `candidate` is the most preferred of these
+    /// set-ups and `denial` is the answer to it.
     fn on_refused(&mut self, now: f64, candidate: &Candidate, denial: &Denial);
 }
 
-/// The gate that lets everything pass.
+/// The gate that allows every set-up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AllowAll;
 
