--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of a call controller: which call set-ups go to which central server ("pool"), and
+//! Decides for a call controller ("gatekeeper") which call set-ups are sent to which central server ("pool"), and
 //! which are refused or held.
 //!
-//! A front embeds one [`Controller`], hands it every [`Event`] with the time at which it happened
-//! and carries out the [`Action`]s that come back. The controller does no input or output, reads no
-//! clock and shares nothing: the same settings, seed and events give the same actions.
+//! A gatekeeper embeds one [`Controller`], passes it every [`Event`] with the time at which it happened, and carries
+//! out the [`Action`]s that it returns. The controller does no input or output, reads no clock and shares no state:
+//! the same settings, seed and events give the same actions.
 #![doc = include_str!("../../../README.md")]
 
 mod controller;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,128 +1,170 @@
-//! Reads the settings that an instance is given at its start, for the adapter and the gatekeeper alike.
+//! Reads the settings of a deployment from JSON, for the gatekeeper and for the simulator's adapter.
 
 use crate::interface::{ClassSettings, GoalWeights, Report, Settings, TenantSettings};
 use serde::Deserialize;
 
+/// The settings as they are written in JSON. Keys that are not listed here are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Profile {
+    /// Number of gatekeepers that share the pools.
     peers_total: u32,
+    /// Minimum number of seconds between two batches of events.
     period: f64,
+    /// The classes of calls, in the order of their indices.
     request_classes: Vec<Class>,
+    /// The tenants, in the order of their indices.
     #[serde(default)]
     tenants: Vec<Tenant>,
+    /// Fraction of its usual worth, 0 to 1, that a call beyond its tenant's quota has; 1 if it is missing.
     over_share_worth: Option<f64>,
+    /// Weights of the service score.
     #[serde(default)]
     goal: Goal,
+    /// Settings of calls and of the pools that classes may use.
     family_info: FamilyInfo,
+    /// Limits on attempts, cancelling and retry-after times.
     limits: Limits,
+    /// Settings of pools that are warming up.
     safety: Safety,
+    /// The layout of load reports.
     #[serde(default)]
     telemetry: TelemetryInfo,
+    /// How the list of pools arrives: `ask` if it has to be subscribed to, anything else if it is sent unasked.
     #[serde(default)]
     discovery: String,
 }
 
+/// A class of calls; see [`ClassSettings`] for the fields of the same names.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Class {
+    /// Goal time in seconds.
     goal_time: f64,
+    /// How many seconds a caller keeps trying.
     hard_limit: f64,
+    /// Worth of a call that is established within the goal time.
     value: f64,
+    /// Fraction of the worth, 0 to 1, that is earned after the goal time.
     #[serde(default)]
     late_worth: f64,
+    /// Kind of effect that an attempt has; only `read_like` allows it to be repeated.
     #[serde(default)]
     effect: String,
 }
 
+/// A tenant.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Tenant {
+    /// Calls per second, summed over all gatekeepers, up to which the tenant is within its quota.
     quota_per_s: f64,
 }
 
+/// Weights of the service score; see [`GoalWeights`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct Goal {
+    /// Weight of the mean over the whole run.
     whole: f64,
+    /// Weight of the time window with the worst service.
     worst_window: f64,
+    /// Weight of the class with the worst service.
     worst_class: f64,
+    /// Weight of the tenant with the worst service.
     worst_tenant: f64,
 }
 
+/// Settings of calls and of the pools that classes may use.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct FamilyInfo {
+    /// Seconds after which a waiting set-up is sent again; 0 means never.
     #[serde(default)]
     retransmit: f64,
+    /// Release time in seconds.
     release: f64,
+    /// Mean duration of an established call in seconds, by class; empty if unknown.
     #[serde(default)]
     holding: Vec<f64>,
+    /// Numbers of the pools that calls may be sent to, by class; an empty list means any pool.
     #[serde(default)]
     pools_by_class: Vec<Vec<u32>>,
 }
 
+/// Limits on attempts, cancelling and retry-after times.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Limits {
+    /// Maximum number of attempts for one call.
     try_limit: u32,
+    /// Whether an attempt may be cancelled.
     #[serde(default)]
     may_cancel: bool,
+    /// Whether callers honour a retry-after time.
     #[serde(default)]
     retry_after: bool,
+    /// Longest retry-after time in seconds that they honour.
     #[serde(default)]
     max_retry_after: f64,
 }
 
+/// Settings of pools that are warming up.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Safety {
+    /// Seconds in which a restarted pool reaches its full capacity.
     cold: f64,
+    /// Fraction of its full capacity, 0 to 1, that a pool has right after a restart.
     cold_from: f64,
+    /// Multiple (1 or more) of its present capacity with which a cold pool may be loaded.
     overload_factor: f64,
 }
 
+/// The layout of load reports.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct TelemetryInfo {
+    /// Names of a report's values, in their order; empty if pools send no reports.
     names: Vec<String>,
 }
 
-/// The order of the values in a load report.
+/// The layout of load reports: which values they contain, in which order.
 pub struct Telemetry {
+    /// Names of a report's values, in their order.
     names: Vec<String>,
 }
 
 impl Telemetry {
-    /// Whether servers tell anything of themselves.
+    /// Whether the settings name any value, so that load reports are to be expected.
     pub fn has_fields(&self) -> bool {
         !self.names.is_empty()
     }
 
-    /// Names the values of one report; values beyond the names and names beyond the values are left out.
+    /// Reads a report that is a list of values in the order of the names. Surplus values or names are ignored.
     pub fn decode(&self, values: &[f32]) -> Report {
         let mut report = Report::default();
         for (name, value) in self.names.iter().zip(values) {
-            tell(&mut report, name, f64::from(*value));
+            set_field(&mut report, name, f64::from(*value));
         }
         report
     }
 
-    /// Reads a report as text, `free:12;size:40`. Fields that the settings do not name count as well
-    /// where they are known: a report says itself what its fields are.
+    /// Reads a report in text form, as `free:12;size:40`. Such a report names its own fields, so it may contain known
+    /// ones that the settings do not name. Unknown or malformed fields are ignored.
     pub fn decode_text(&self, text: &str) -> Report {
         let mut report = Report::default();
         for (name, value) in text.split(';').filter_map(|field| field.split_once(':')) {
             if let Ok(value) = value.trim().parse() {
-                tell(&mut report, name.trim(), value);
+                set_field(&mut report, name.trim(), value);
             }
         }
         report
     }
 }
 
-/// Enters one value of a report under either of its names; below 0 it was not told.
-fn tell(report: &mut Report, name: &str, value: f64) {
+/// Stores one value of a report. Most fields have two names. A negative value means that it was not reported.
+fn set_field(report: &mut Report, name: &str, value: f64) {
     if !value.is_finite() || value < 0.0 {
         return;
     }
@@ -137,7 +179,7 @@
     }
 }
 
-/// Reads the settings' JSON text.
+/// Parses the JSON text of the settings.
 pub fn parse(text: &[u8]) -> Result<(Settings, Telemetry), serde_json::Error> {
     let profile: Profile = serde_json::from_slice(text)?;
     let pools = profile.family_info.pools_by_class;
@@ -147,7 +189,7 @@
         value: class.value,
         late_worth: class.late_worth,
         pools: pools.get(i).cloned().unwrap_or_default(),
-        // What does not say so may not be repeated; nor is a class with a key, within its window and group or not.
+        // Only this effect may be repeated. Classes with a key may not, neither within nor outside its window and group.
         repeatable: class.effect == "read_like",
     });
     let limits = profile.limits;
@@ -177,6 +219,7 @@
     Ok((settings, Telemetry { names: profile.telemetry.names }))
 }
 
+/// Mean of the values, or `None` if there are none or the mean is not a positive number.
 fn mean(values: &[f64]) -> Option<f64> {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     (mean > 0.0 && mean.is_finite()).then_some(mean)
@@ -187,17 +230,17 @@
     use super::*;
 
     #[test]
-    fn a_report_as_text_tells_what_it_names_and_nothing_else() {
+    fn a_text_report_sets_the_fields_that_it_names_and_no_others() {
         let telemetry = Telemetry { names: Vec::new() };
         let report =
             telemetry.decode_text("x0:12;x1: 40;eps:0.25;queue:3;latency_ms:-1;util:nan;can_take:x;;qps");
-        let told = Report {
+        let expected = Report {
             free_lines: Some(12.0),
             total_lines: Some(40.0),
             hold_back_ratio: Some(0.25),
             ..Report::default()
         };
-        assert_eq!(report, told);
+        assert_eq!(report, expected);
         assert_eq!(telemetry.decode_text("free:1;size:2;hold_back:-1"), {
             Report { free_lines: Some(1.0), total_lines: Some(2.0), ..Report::default() }
         });
