--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Many fronts that know nothing of each other, each with few calls, on the same few pools: what counts
 //! is what they send in sum.
 
-mod front;
+mod harness;
 
-use front::{entry, settings, Front, Shape};
+use harness::{entry, settings, Front, Shape};
 use hollypaddle_policy::{Cause, Event, ListKind, Outcome, PoolId, Readiness, Report};
 
 const FRONTS: u64 = 200;
@@ -108,7 +108,7 @@
         let part = (0..fleet.fronts.len()).filter(|n| told(*n)).count() as f64 / FRONTS as f64;
         for second in 0..4 {
             let from = start + f64::from(second);
-            let within = |s: &&front::Sent| s.pool == STRUCK && s.at >= from && s.at < from + 1.0;
+            let within = |s: &&harness::Sent| s.pool == STRUCK && s.at >= from && s.at < from + 1.0;
             let by = |n: usize| fleet.fronts[n].sends.iter().filter(within).count();
             let sent: usize = (0..fleet.fronts.len()).filter(|n| told(*n)).map(by).sum();
             let n = part * usual * 2.5 * (0.3 + 0.7 * f64::from(second) / 14.0);
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -1,10 +1,10 @@
 //! What the module makes of a gate's answers.
 
-mod front;
+mod harness;
 
 use std::collections::BTreeSet;
 
-use front::{entry, settings, Shape};
+use harness::{entry, settings, Shape};
 use hollypaddle_policy::{
     Action, CallId, Candidate, Cause, Controller, Denial, Event, Gate, ListKind, Outcome, PoolId, Readiness,
     Report,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The five rules and the failures met so far, through the public interface alone.
 
-mod front;
+mod harness;
 
-use front::{entry, settings, Final, Front, Shape};
+use harness::{entry, settings, Final, Front, Shape};
 use hollypaddle_policy::{
     Action, Cause, Controller, Event, ListKind, Outcome, PoolId, Readiness, Report, Settings,
 };
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -1,9 +1,9 @@
 //! Long random but legal streams of events; `Front` asserts the five rules and a final answer for
 //! every call after every step.
 
-mod front;
+mod harness;
 
-use front::{entry, settings, Final, Front, Shape};
+use harness::{entry, settings, Final, Front, Shape};
 use hollypaddle_policy::{
     Action, Candidate, Cause, Controller, Denial, Event, Gate, ListKind, Outcome, Readiness, Report,
 };
