--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{entry, settings, Front, Shape};
+use harness::{entry, settings, SettingsShape, TestGatekeeper};
 use hollypaddle_policy::{Cause, Event, ListKind, Outcome, PoolId, Readiness, Report};
 
 const FRONTS: u64 = 200;
@@ -14,19 +14,19 @@
 const STRUCK: PoolId = PoolId(1);
 
 struct Fleet {
-    fronts: Vec<Front>,
+    fronts: Vec<TestGatekeeper>,
     dice: u64,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let shape = Shape { gatekeepers: FRONTS as u32, ..Shape::default() };
+        let shape = SettingsShape { gatekeepers: FRONTS as u32, ..SettingsShape::default() };
         let fronts = (0..FRONTS).map(|seed| {
-            let mut front = Front::new(settings(&shape), seed);
+            let mut gatekeeper = TestGatekeeper::new(settings(&shape), seed);
             let pools = (1..=POOLS).map(|n| entry(n as u32, Readiness::Ready, 0.0)).collect();
-            front.list(ListKind::Cached, pools);
-            front.answers.extend((1..=POOLS).map(|n| (PoolId(n), 0.03)));
-            front
+            gatekeeper.list(ListKind::Cached, pools);
+            gatekeeper.answers.extend((1..=POOLS).map(|n| (PoolId(n), 0.03)));
+            gatekeeper
         });
         Fleet { fronts: fronts.collect(), dice: 1 }
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn each(&mut self, mut f: impl FnMut(&mut Front)) {
+    fn each(&mut self, mut f: impl FnMut(&mut TestGatekeeper)) {
         self.fronts.iter_mut().for_each(&mut f);
     }
 
@@ -101,8 +101,8 @@
         let usual = fleet.sent(STRUCK, start - 10.0, start) as f64 / 10.0;
         let told = |n: usize| !n.is_multiple_of(late);
         for n in (0..fleet.fronts.len()).filter(|n| told(*n)) {
-            let front = &mut fleet.fronts[n];
-            front.list(ListKind::Changes, vec![entry(1, Readiness::Ready, front.now)]);
+            let gatekeeper = &mut fleet.fronts[n];
+            gatekeeper.list(ListKind::Changes, vec![entry(1, Readiness::Ready, gatekeeper.now)]);
         }
         fleet.run(4.0, &[(1, 1.5)]);
         let part = (0..fleet.fronts.len()).filter(|n| told(*n)).count() as f64 / FRONTS as f64;
@@ -155,15 +155,16 @@
 fn calls_of_a_drained_pool_go_where_there_is_room_and_not_to_a_pool_without() {
     let mut fleet = Fleet::new();
     fleet.fronts.clear();
-    let shape = Shape { gatekeepers: FRONTS as u32, ..Shape::default() };
+    let shape = SettingsShape { gatekeepers: FRONTS as u32, ..SettingsShape::default() };
     for seed in 0..FRONTS {
         let settings = hollypaddle_policy::Settings { mean_holding_time: Some(8.0), ..settings(&shape) };
-        let mut front = Front::new(settings, seed);
-        front.list(ListKind::Cached, (1..=POOLS).map(|n| entry(n as u32, Readiness::Ready, 0.0)).collect());
-        front.answers.extend((1..=POOLS).map(|n| (PoolId(n), 0.03)));
-        fleet.fronts.push(front);
+        let mut gatekeeper = TestGatekeeper::new(settings, seed);
+        gatekeeper
+            .list(ListKind::Cached, (1..=POOLS).map(|n| entry(n as u32, Readiness::Ready, 0.0)).collect());
+        gatekeeper.answers.extend((1..=POOLS).map(|n| (PoolId(n), 0.03)));
+        fleet.fronts.push(gatekeeper);
     }
-    let tell = |f: &mut Front| {
+    let tell = |f: &mut TestGatekeeper| {
         for (pool, free) in [(3, 0.0), (4, 300.0)] {
             let report = Report { free_lines: Some(free), total_lines: Some(800.0), ..Report::default() };
             f.event(Event::Load { pool: PoolId(pool), report });
@@ -186,19 +187,19 @@
     let lone = |wait: f64| {
         let mut fleet = Fleet::new();
         fleet.fronts.truncate(1);
-        let front = &mut fleet.fronts[0];
+        let gatekeeper = &mut fleet.fronts[0];
         for n in 0..60 {
-            front.call(0, 1 + n % POOLS as u32);
-            front.run(0.3);
+            gatekeeper.call(0, 1 + n % POOLS as u32);
+            gatekeeper.run(0.3);
         }
-        front.answers.remove(&STRUCK);
-        let call = front.call(0, 1);
-        assert_eq!(front.out_to(call), Some(STRUCK));
-        front.run(0.5);
+        gatekeeper.answers.remove(&STRUCK);
+        let call = gatekeeper.call(0, 1);
+        assert_eq!(gatekeeper.out_to(call), Some(STRUCK));
+        gatekeeper.run(0.5);
         let report = Report { wait: Some(wait), ..Report::default() };
-        front.event(Event::Load { pool: STRUCK, report });
-        front.run(0.5);
-        front.cancels
+        gatekeeper.event(Event::Load { pool: STRUCK, report });
+        gatekeeper.run(0.5);
+        gatekeeper.cancels
     };
     assert_eq!(lone(0.01), 1, "a prompt pool lost its answer: called off");
     assert_eq!(lone(1.5), 0, "a slow pool still works on it: left alone");
@@ -207,11 +208,13 @@
 #[test]
 fn settings_without_fronts_and_reports_of_no_lines_break_nothing() {
     for fronts in [0, u32::MAX] {
-        let shape = Shape { gatekeepers: fronts, ..Shape::default() };
+        let shape = SettingsShape { gatekeepers: fronts, ..SettingsShape::default() };
         let hold = if fronts == 0 { Some(f64::NAN) } else { Some(0.0) };
-        let mut front =
-            Front::new(hollypaddle_policy::Settings { mean_holding_time: hold, ..settings(&shape) }, 3);
-        front.list(ListKind::Cached, (1..=3).map(|n| entry(n, Readiness::Ready, 0.0)).collect());
+        let mut gatekeeper = TestGatekeeper::new(
+            hollypaddle_policy::Settings { mean_holding_time: hold, ..settings(&shape) },
+            3,
+        );
+        gatekeeper.list(ListKind::Cached, (1..=3).map(|n| entry(n, Readiness::Ready, 0.0)).collect());
         for free in [0.0, -5.0, f64::NAN, f64::INFINITY, 9.0] {
             for pool in 1..=3 {
                 let report = Report {
@@ -220,13 +223,13 @@
                     max_set_up_rate: Some(free),
                     ..Report::default()
                 };
-                front.event(Event::Load { pool: PoolId(pool), report });
+                gatekeeper.event(Event::Load { pool: PoolId(pool), report });
             }
-            let call = front.call(0, 1);
-            front.end(call, Outcome::Full, Cause::NoLine);
-            front.event(Event::Peer { from: u32::MAX, data: vec![0xff; 256] });
-            front.run(4.0);
+            let call = gatekeeper.call(0, 1);
+            gatekeeper.end(call, Outcome::Full, Cause::NoLine);
+            gatekeeper.event(Event::Peer { from: u32::MAX, data: vec![0xff; 256] });
+            gatekeeper.run(4.0);
         }
-        assert!(front.calls.values().all(|c| c.answer.is_some()));
+        assert!(gatekeeper.calls.values().all(|c| c.answer.is_some()));
     }
 }
--- a/crates/policy/tests/gate.rs
+++ b/crates/policy/tests/gate.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use harness::{entry, settings, Shape};
+use harness::{entry, settings, SettingsShape};
 use hollypaddle_policy::{
     Action, CallId, Candidate, Cause, Controller, Denial, Event, Gate, ListKind, Outcome, PoolId, Readiness,
     Report,
@@ -55,7 +55,7 @@
 impl World {
     fn new(shut: &[PoolId]) -> World {
         let gate = Scripted { shut: shut.iter().copied().collect(), ..Scripted::default() };
-        let shape = Shape { gatekeepers: 1, ..Shape::default() };
+        let shape = SettingsShape { gatekeepers: 1, ..SettingsShape::default() };
         let controller = Controller::with_gate(settings(&shape), 1, gate);
         let mut world = World { controller, now: 100.0, next: 0, timer: None };
         let entries = vec![entry(1, Readiness::Ready, 0.0), entry(2, Readiness::Ready, 0.0)];
--- a/crates/policy/tests/harness/mod.rs
+++ b/crates/policy/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A front for tests: carries out the actions of one controller and checks the rules after each step.
+//! A gatekeeper for tests: it carries out the actions of one controller and checks the rules at each action.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -8,23 +8,29 @@
     PoolId, Readiness, Report, Settings, TenantSettings,
 };
 
-/// What the settings of a test look like.
+/// The settings that differ between tests.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct SettingsShape {
+    /// Number of tenants.
     pub tenants: usize,
+    /// Retransmit time in seconds; 0 means never.
     pub retransmit: f64,
+    /// Maximum number of attempts for one call.
     pub try_limit: u32,
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
+    /// Number of gatekeepers that share the pools.
     pub gatekeepers: u32,
 }
 
-impl Default for Shape {
+impl Default for SettingsShape {
     fn default() -> Self {
-        Shape { tenants: 0, retransmit: 0.4, try_limit: 6, may_cancel: true, gatekeepers: 4 }
+        SettingsShape { tenants: 0, retransmit: 0.4, try_limit: 6, may_cancel: true, gatekeepers: 4 }
     }
 }
 
-pub fn settings(shape: &Shape) -> Settings {
+/// Settings with two classes; calls of the second one are worth three times as much.
+pub fn settings(shape: &SettingsShape) -> Settings {
     let class = |goal_time, value| ClassSettings {
         goal_time,
         hard_limit: 9.0,
@@ -53,61 +59,89 @@
     }
 }
 
+/// A list entry of a pool whose identifier is its number.
 pub fn entry(number: u32, readiness: Readiness, ready_at: f64) -> PoolEntry {
     PoolEntry { pool: PoolId(u64::from(number)), number, readiness, ready_at, district: None }
 }
 
+/// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Final {
-    Stood,
+pub enum FinalAnswer {
+    /// A pool answered.
+    Established,
+    /// The controller refused the call.
     Refused,
+    /// The controller failed the call.
     Failed,
-    Gone,
+    /// The caller left.
+    Abandoned,
 }
 
+/// What the test gatekeeper knows of a call.
 #[derive(Clone, Debug)]
 pub struct CallState {
+    /// When the caller gives up.
     pub deadline: f64,
+    /// Number of attempts sent.
     pub attempts: u8,
+    /// The pool that has the current attempt, if one is out.
     pub out: Option<PoolId>,
+    /// When the last attempt was sent.
     pub sent: f64,
+    /// Whether the current attempt is being cancelled.
     pub cancelling: bool,
+    /// End of the release time after an attempt that may have taken effect.
     pub not_before: f64,
-    pub answer: Option<Final>,
+    /// The final answer, once there is one.
+    pub answer: Option<FinalAnswer>,
 }
 
+/// A set-up that the controller sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
+    /// When it was sent.
     pub at: f64,
+    /// The call that it belongs to.
     pub call: CallId,
+    /// The pool that it was sent to.
     pub pool: PoolId,
 }
 
-pub struct Front {
+/// A gatekeeper that asserts the rules on the actions of its controller.
+pub struct TestGatekeeper {
+    /// The controller under test.
     pub controller: Controller,
+    /// The present time in seconds.
     pub now: f64,
+    /// All calls so far.
     pub calls: BTreeMap<CallId, CallState>,
+    /// All set-ups in the order of sending.
     pub sends: Vec<Sent>,
+    /// All log lines.
     pub logs: Vec<String>,
-    /// Each event handed over, and what came back.
+    /// Each event that was passed to the controller, when, and the actions that it returned.
     pub record: Vec<(f64, Event, Vec<Action>)>,
+    /// Number of cancelled attempts.
     pub cancels: usize,
-    /// For how long refused callers were asked to stay away.
-    pub advised: Vec<f64>,
+    /// Retry-after times in seconds of the refused callers.
+    pub retry_after_times: Vec<f64>,
+    /// Readiness of the pools by the lists so far.
     pub readiness: BTreeMap<PoolId, Readiness>,
-    /// Pools that answer every set-up after this time.
+    /// Set-up delay in seconds of the pools that answer every set-up by themselves.
     pub answers: BTreeMap<PoolId, f64>,
-    release: f64,
+    release_time: f64,
     try_limit: u32,
     may_cancel: bool,
+    /// Running timers: when each is due, and its token.
     timers: Vec<(f64, u32)>,
     next_call: CallId,
 }
 
-impl Front {
+impl TestGatekeeper {
+    /// A gatekeeper without pools or calls.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Front {
-            release: settings.release_time,
+        TestGatekeeper {
+            release_time: settings.release_time,
             try_limit: settings.try_limit,
             may_cancel: settings.may_cancel,
             controller: Controller::new(settings, seed),
@@ -117,7 +151,7 @@
             logs: Vec::new(),
             record: Vec::new(),
             cancels: 0,
-            advised: Vec::new(),
+            retry_after_times: Vec::new(),
             answers: BTreeMap::new(),
             readiness: BTreeMap::new(),
             timers: Vec::new(),
@@ -125,7 +159,7 @@
         }
     }
 
-    /// Hands one event over, carries the actions out and checks what each may do.
+    /// Passes one event to the controller, carries out the actions and checks that each is allowed.
     pub fn event(&mut self, event: Event) {
         let mut out = Vec::new();
         self.controller.handle(self.now, event.clone(), &mut out);
@@ -135,10 +169,11 @@
         }
     }
 
+    /// Checks one action against the rules and carries it out.
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { call, pool, limit } => {
-                let state = self.calls.get_mut(&call).expect("a send for a call that was never given");
+                let state = self.calls.get_mut(&call).expect("a send for an unknown call");
                 assert_eq!(state.answer, None, "rule 1: sent after its final answer");
                 assert_eq!(state.out, None, "rule 2: two attempts out at once");
                 assert_eq!(
@@ -157,14 +192,14 @@
             }
             Action::Refuse { call, retry_after } => {
                 assert!((0.0..=2.0).contains(&retry_after));
-                self.advised.push(retry_after);
-                self.answer(call, Final::Refused);
+                self.retry_after_times.push(retry_after);
+                self.answer(call, FinalAnswer::Refused);
             }
-            Action::Fail { call } => self.answer(call, Final::Failed),
+            Action::Fail { call } => self.answer(call, FinalAnswer::Failed),
             Action::Cancel { call, attempt } => {
                 assert!(self.may_cancel, "cancelled where that is not permitted");
                 self.cancels += 1;
-                let state = self.calls.get_mut(&call).expect("a cancel for a call that was never given");
+                let state = self.calls.get_mut(&call).expect("a cancel for an unknown call");
                 assert!(attempt < state.attempts, "cancelled an attempt never made");
                 if attempt + 1 == state.attempts && state.out.is_some() {
                     state.cancelling = true;
@@ -179,14 +214,16 @@
         }
     }
 
-    fn answer(&mut self, call: CallId, answer: Final) {
-        let state = self.calls.get_mut(&call).expect("an answer for a call that was never given");
+    /// Records a call's final answer.
+    fn answer(&mut self, call: CallId, answer: FinalAnswer) {
+        let state = self.calls.get_mut(&call).expect("an answer for an unknown call");
         assert_eq!(state.answer, None, "rule 1: a second final answer");
         assert!(self.now <= state.deadline + 0.02, "rule 1: answered too late");
         assert_eq!(state.out, None, "answered with an attempt still out");
         state.answer = Some(answer);
     }
 
+    /// Passes a list of pools.
     pub fn list(&mut self, kind: ListKind, entries: Vec<PoolEntry>) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.readiness.values_mut().for_each(|r| *r = Readiness::Gone);
@@ -197,10 +234,12 @@
         self.event(Event::List { kind, entries });
     }
 
+    /// Offers a call that the caller waits 3 s for, without a tenant or a number dialled.
     pub fn call(&mut self, class: usize, first_choice: u32) -> CallId {
         self.call_with(class, 0, first_choice, 3.0, 0)
     }
 
+    /// Offers a call.
     pub fn call_with(
         &mut self,
         class: usize,
@@ -226,49 +265,54 @@
         call
     }
 
+    /// The pool that has the call's current attempt.
     pub fn out_to(&self, call: CallId) -> Option<PoolId> {
         self.calls[&call].out
     }
 
+    /// Whether the call was refused.
     pub fn refused(&self, call: CallId) -> bool {
-        self.calls[&call].answer == Some(Final::Refused)
+        self.calls[&call].answer == Some(FinalAnswer::Refused)
     }
 
-    /// One call that stands at each pool, so that the way there is known.
-    pub fn stand_one(&mut self, lag: f64) {
+    /// Establishes one call at each pool, so that the controller has measured the shortest set-up delay.
+    pub fn establish_one_at_each(&mut self, delay: f64) {
         let pools: Vec<PoolId> = self.readiness.keys().copied().collect();
         for pool in pools {
             let call = self.call(0, pool.0 as u32);
-            self.now += lag;
-            self.stand(call, lag);
+            self.now += delay;
+            self.establish(call, delay);
         }
     }
 
-    pub fn stand(&mut self, call: CallId, delay: f64) {
+    /// The pool answers the call's current attempt.
+    pub fn establish(&mut self, call: CallId, delay: f64) {
         let state = self.calls.get_mut(&call).expect("known");
         let Some(pool) = state.out.take() else { return };
         assert_eq!(state.answer, None);
-        state.answer = Some(Final::Stood);
+        state.answer = Some(FinalAnswer::Established);
         let attempt = state.attempts - 1;
         self.event(Event::Established { call, pool, delay, attempt });
     }
 
+    /// The call's current attempt ends without a load report.
     pub fn end(&mut self, call: CallId, outcome: Outcome, cause: Cause) {
         self.end_with(call, outcome, cause, Report::default());
     }
 
+    /// The call's current attempt ends.
     pub fn end_with(&mut self, call: CallId, outcome: Outcome, cause: Cause, report: Report) {
         let state = self.calls.get_mut(&call).expect("known");
         let Some(pool) = state.out.take() else { return };
         if matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            state.not_before = self.now + self.release;
+            state.not_before = self.now + self.release_time;
         }
         let attempt = state.attempts - 1;
         let complete = state.answer.is_some();
         self.event(Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after: None, report });
     }
 
-    /// A processor turned the attempt away as full and perhaps named a wait.
+    /// A full processor rejects the call's current attempt, perhaps with a retry-after time.
     pub fn end_full(&mut self, call: CallId, retry_after: Option<f64>, report: Report) {
         let state = self.calls.get_mut(&call).expect("known");
         let Some(pool) = state.out.take() else { return };
@@ -277,22 +321,22 @@
         self.event(Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after, report });
     }
 
-    /// The caller goes; an attempt that is out still brings its end.
+    /// The caller leaves; the end of an attempt that is out still follows.
     pub fn abandon(&mut self, call: CallId) {
-        self.calls.get_mut(&call).expect("known").answer = Some(Final::Gone);
+        self.calls.get_mut(&call).expect("known").answer = Some(FinalAnswer::Abandoned);
         self.event(Event::Abandoned { call });
     }
 
     /// Ends every attempt that is out at a pool.
     pub fn end_any(&mut self, pool: PoolId, outcome: Outcome, cause: Cause) {
-        let there: Vec<CallId> =
+        let calls: Vec<CallId> =
             self.calls.iter().filter(|(_, c)| c.out == Some(pool)).map(|(id, _)| *id).collect();
-        for call in there {
+        for call in calls {
             self.end(call, outcome, cause);
         }
     }
 
-    /// Lets time pass: timers fire, cancelled attempts end, attempts time out at their deadline.
+    /// Advances the time: timers fire, pools answer, cancelled attempts end, attempts time out at the deadline.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end {
@@ -302,14 +346,14 @@
             for token in due {
                 self.event(Event::Timer { token });
             }
-            let stand: Vec<(CallId, f64)> = (self.calls.iter())
+            let answered: Vec<(CallId, f64)> = (self.calls.iter())
                 .filter(|(_, c)| c.answer.is_none())
                 .filter_map(|(id, c)| Some((*id, c.sent, *self.answers.get(&c.out?)?)))
-                .filter(|(_, sent, lag)| self.now >= sent + lag)
-                .map(|(id, _, lag)| (id, lag))
+                .filter(|(_, sent, delay)| self.now >= sent + delay)
+                .map(|(id, _, delay)| (id, delay))
                 .collect();
-            for (call, lag) in stand {
-                self.stand(call, lag);
+            for (call, delay) in answered {
+                self.establish(call, delay);
             }
             let ended: Vec<(CallId, Outcome)> = (self.calls.iter())
                 .filter(|(_, c)| c.out.is_some() && c.answer.is_none())
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -1,9 +1,9 @@
-//! Long random but legal streams of events; `Front` asserts the five rules and a final answer for
+//! Long random but legal streams of events; `TestGatekeeper` asserts the five rules and a final answer for
 //! every call after every step.
 
 mod harness;
 
-use harness::{entry, settings, Final, Front, Shape};
+use harness::{entry, settings, FinalAnswer, SettingsShape, TestGatekeeper};
 use hollypaddle_policy::{
     Action, Candidate, Cause, Controller, Denial, Event, Gate, ListKind, Outcome, Readiness, Report,
 };
@@ -35,12 +35,12 @@
     }
 }
 
-fn stream(shape: &Shape, reports: bool, hints: bool, seed: u64) -> Front {
+fn stream(shape: &SettingsShape, reports: bool, hints: bool, seed: u64) -> TestGatekeeper {
     let mut dice = Dice(ChaCha8Rng::seed_from_u64(seed));
-    let mut front = Front::new(settings(shape), seed);
+    let mut gatekeeper = TestGatekeeper::new(settings(shape), seed);
     let readiness =
         [Readiness::Ready, Readiness::Ready, Readiness::Ready, Readiness::Draining, Readiness::Gone];
-    front.list(ListKind::Cached, (1..4).map(|n| entry(n, Readiness::Ready, 0.0)).collect());
+    gatekeeper.list(ListKind::Cached, (1..4).map(|n| entry(n, Readiness::Ready, 0.0)).collect());
     for _ in 0..1000 {
         match dice.below(24) {
             0..=9 => {
@@ -48,11 +48,11 @@
                 let (class, tenant) = (dice.below(3) as usize, dice.below(4) as usize);
                 let number = 1 + dice.below(5) as u32;
                 let dialled = if dice.below(4) == 0 { 7 } else { dice.below(1000) };
-                front.call_with(class, tenant, number, left, dialled);
+                gatekeeper.call_with(class, tenant, number, left, dialled);
             }
             10..=17 => {
                 let out: Vec<u32> =
-                    front.calls.iter().filter(|(_, c)| c.out.is_some()).map(|(id, _)| *id).collect();
+                    gatekeeper.calls.iter().filter(|(_, c)| c.out.is_some()).map(|(id, _)| *id).collect();
                 if out.is_empty() {
                     continue;
                 }
@@ -60,62 +60,62 @@
                 let report = report(&mut dice, reports);
                 let full = if hints && dice.below(2) == 0 { Some(dice.unit() * 3.0) } else { None };
                 match dice.below(12) {
-                    0 => front.end_full(call, full, report),
-                    1 => front.end_with(call, Outcome::Full, Cause::NoLine, report),
-                    2 => front.end_with(call, Outcome::Error, Cause::NumberBusy, report),
-                    3 => front.end_with(call, Outcome::Error, Cause::Unknown, report),
-                    4 => front.end_with(call, Outcome::ConnectFailed, Cause::Unknown, report),
-                    5 => front.end_with(call, Outcome::Reset, Cause::Unknown, report),
-                    6 => front.end_with(call, Outcome::NotSent, Cause::Unknown, report),
-                    _ if front.calls[&call].answer.is_some() => {
-                        front.end_with(call, Outcome::Cancelled, Cause::Unknown, report)
+                    0 => gatekeeper.end_full(call, full, report),
+                    1 => gatekeeper.end_with(call, Outcome::Full, Cause::NoLine, report),
+                    2 => gatekeeper.end_with(call, Outcome::Error, Cause::NumberBusy, report),
+                    3 => gatekeeper.end_with(call, Outcome::Error, Cause::Unknown, report),
+                    4 => gatekeeper.end_with(call, Outcome::ConnectFailed, Cause::Unknown, report),
+                    5 => gatekeeper.end_with(call, Outcome::Reset, Cause::Unknown, report),
+                    6 => gatekeeper.end_with(call, Outcome::NotSent, Cause::Unknown, report),
+                    _ if gatekeeper.calls[&call].answer.is_some() => {
+                        gatekeeper.end_with(call, Outcome::Cancelled, Cause::Unknown, report)
                     }
                     _ => {
-                        let lag = front.now - front.calls[&call].sent;
-                        front.stand(call, lag);
+                        let lag = gatekeeper.now - gatekeeper.calls[&call].sent;
+                        gatekeeper.establish(call, lag);
                     }
                 }
             }
             18 => {
                 let changed = entry(1 + dice.below(4) as u32, readiness[dice.below(5) as usize], 0.0);
-                front.list(ListKind::Changes, vec![changed]);
+                gatekeeper.list(ListKind::Changes, vec![changed]);
             }
             19 => {
-                let (number, now) = (1 + dice.below(4) as u32, front.now);
-                front.list(ListKind::Changes, vec![entry(number, Readiness::Ready, now)]);
+                let (number, now) = (1 + dice.below(4) as u32, gatekeeper.now);
+                gatekeeper.list(ListKind::Changes, vec![entry(number, Readiness::Ready, now)]);
             }
             20 => {
                 let entries =
                     (1..1 + dice.below(5) as u32).map(|n| entry(n, Readiness::Ready, 0.0)).collect();
-                front.list(ListKind::Full, entries);
+                gatekeeper.list(ListKind::Full, entries);
             }
             21 => {
                 let waiting: Vec<u32> =
-                    front.calls.iter().filter(|(_, c)| c.answer.is_none()).map(|(id, _)| *id).collect();
+                    gatekeeper.calls.iter().filter(|(_, c)| c.answer.is_none()).map(|(id, _)| *id).collect();
                 if let Some(call) = waiting.first() {
-                    front.abandon(*call);
+                    gatekeeper.abandon(*call);
                 }
             }
             22 => {
                 let figures = report(&mut dice, reports);
                 let pool = entry(1 + dice.below(6) as u32, Readiness::Ready, 0.0).pool;
-                front.event(Event::Load { pool, report: figures });
-                front.event(Event::Timer { token: dice.below(5000) as u32 });
-                front.event(Event::Peer { from: 1, data: vec![0; dice.below(20) as usize] });
+                gatekeeper.event(Event::Load { pool, report: figures });
+                gatekeeper.event(Event::Timer { token: dice.below(5000) as u32 });
+                gatekeeper.event(Event::Peer { from: 1, data: vec![0; dice.below(20) as usize] });
             }
-            _ => front.run(dice.unit() * 0.2),
+            _ => gatekeeper.run(dice.unit() * 0.2),
         }
-        front.run(0.005);
+        gatekeeper.run(0.005);
     }
-    front.run(5.0);
-    assert!(front.calls.values().all(|c| c.answer.is_some()));
-    let stood = front.calls.values().filter(|c| c.answer == Some(Final::Stood)).count();
+    gatekeeper.run(5.0);
+    assert!(gatekeeper.calls.values().all(|c| c.answer.is_some()));
+    let stood = gatekeeper.calls.values().filter(|c| c.answer == Some(FinalAnswer::Established)).count();
     assert!(stood > 0, "no call stood");
-    front
+    gatekeeper
 }
 
 /// One stream for each shape of settings, with the shape and the seed.
-fn streams() -> Vec<(Shape, u64, Front)> {
+fn streams() -> Vec<(SettingsShape, u64, TestGatekeeper)> {
     let mut all = Vec::new();
     for tenants in [0, 3] {
         for (reports, hints) in [(true, true), (true, false), (false, true), (false, false)] {
@@ -123,9 +123,9 @@
                 [(0.4, true, 6, 4), (0.8, false, 5, 8), (0.0, true, 2, 1), (0.0, false, 1, 1)]
             {
                 let seed = 101 + all.len() as u64;
-                let shape = Shape { tenants, retransmit, try_limit, may_cancel, gatekeepers };
-                let front = stream(&shape, reports, hints, seed);
-                all.push((shape, seed, front));
+                let shape = SettingsShape { tenants, retransmit, try_limit, may_cancel, gatekeepers };
+                let gatekeeper = stream(&shape, reports, hints, seed);
+                all.push((shape, seed, gatekeeper));
             }
         }
     }
@@ -169,16 +169,16 @@
 /// because a log text was reworded. Update it when the module's behaviour is changed on purpose.
 const ACTIONS_DIGEST: u64 = 0xc454_4bb2_bf1f_cd5e;
 
-/// Over random legal streams under every shape of settings, [`Front`] holds the five rules; the actions
+/// Over random legal streams under every shape of settings, [`TestGatekeeper`] holds the five rules; the actions
 /// are, byte for byte, those without a gate; and a gate that lets everything pass changes
 /// nothing, is asked once for each set-up and told of each.
 #[test]
 fn the_five_rules_hold_and_an_open_gate_changes_nothing() {
     let mut before = String::new();
-    for (shape, seed, front) in streams() {
+    for (shape, seed, gatekeeper) in streams() {
         let mut controller = Controller::with_gate(settings(&shape), seed, Watching::default());
         let mut sends = Vec::new();
-        for (now, event, actions) in &front.record {
+        for (now, event, actions) in &gatekeeper.record {
             let mut out = Vec::new();
             controller.handle(*now, event.clone(), &mut out);
             assert_eq!(format!("{out:?}"), format!("{actions:?}"), "seed {seed} at {now}");
@@ -190,7 +190,7 @@
         }
         let gate = controller.gate_mut();
         let told: Vec<_> = gate.sent.iter().map(|c| (c.call, c.pool)).collect();
-        assert_eq!((gate.heard, &gate.asked, told), (front.record.len(), &gate.sent, sends));
+        assert_eq!((gate.heard, &gate.asked, told), (gatekeeper.record.len(), &gate.sent, sends));
         assert!(gate.asked.iter().all(|c| !c.last_resort));
     }
     assert_eq!(digest(&before), ACTIONS_DIGEST);
@@ -198,7 +198,7 @@
 
 #[test]
 fn settings_without_sense_do_not_break_the_controller() {
-    let mut odd = settings(&Shape::default());
+    let mut odd = settings(&SettingsShape::default());
     odd.classes.clear();
     odd.gatekeepers = 0;
     odd.retransmit_time = f64::NAN;
