--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules and the failures met so far, through the public interface alone.
+//! The five rules of the decision module, and the failures found so far, tested through its public interface.
 
 mod harness;
 
@@ -10,13 +10,14 @@
 const POOL_A: PoolId = PoolId(1);
 const POOL_B: PoolId = PoolId(2);
 
+/// A gatekeeper with two pools that it has not used.
 fn two_pools(seed: u64) -> TestGatekeeper {
     let mut gatekeeper = TestGatekeeper::new(settings(&SettingsShape::default()), seed);
     gatekeeper.list(ListKind::Cached, vec![entry(1, Readiness::Ready, 0.0), entry(2, Readiness::Ready, 0.0)]);
     gatekeeper
 }
 
-/// Two pools that this front has used for a while: it knows what they carry.
+/// Two pools that the gatekeeper has used for a while, so that it knows which rate they carry.
 fn two_used_pools(seed: u64) -> TestGatekeeper {
     let mut gatekeeper = two_pools(seed);
     gatekeeper.answers.extend([(POOL_A, 0.03), (POOL_B, 0.03)]);
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_call_goes_to_its_first_choice_on_a_quiet_day() {
+fn a_call_goes_to_its_first_choice_when_all_pools_are_normal() {
     let mut gatekeeper = two_pools(1);
     let call = gatekeeper.call(0, 2);
     assert_eq!(gatekeeper.out_to(call), Some(POOL_B));
@@ -56,25 +57,25 @@
 }
 
 #[test]
-fn refused_callers_are_told_when_to_come_back_and_not_all_at_once() {
+fn refused_callers_get_retry_after_times_that_differ() {
     let mut gatekeeper = TestGatekeeper::new(settings(&SettingsShape::default()), 2);
     for _ in 0..20 {
         gatekeeper.call(0, 1);
     }
     gatekeeper.run(1.0);
-    let (least, most) =
+    let (min, max) =
         gatekeeper.retry_after_times.iter().fold((f64::MAX, 0.0f64), |(l, m), a| (l.min(*a), m.max(*a)));
     assert_eq!(gatekeeper.retry_after_times.len(), 20);
-    assert!(least >= 0.1 && most <= 1.0 && most > 1.3 * least, "between {least} and {most} s");
-    let quiet = Settings { max_retry_after: None, ..settings(&SettingsShape::default()) };
-    let mut gatekeeper = TestGatekeeper::new(quiet, 2);
+    assert!(min >= 0.1 && max <= 1.0 && max > 1.3 * min, "between {min} and {max} s");
+    let no_retry_after = Settings { max_retry_after: None, ..settings(&SettingsShape::default()) };
+    let mut gatekeeper = TestGatekeeper::new(no_retry_after, 2);
     gatekeeper.call(0, 1);
     gatekeeper.run(1.0);
-    assert_eq!(gatekeeper.retry_after_times, [0.0], "callers who are told nothing");
+    assert_eq!(gatekeeper.retry_after_times, [0.0], "no retry-after time where callers do not honour one");
 }
 
 #[test]
-fn a_call_without_time_left_is_answered_at_once() {
+fn a_call_without_time_left_is_refused_at_once() {
     let mut gatekeeper = two_pools(4);
     for left in [0.0, -1.0, f64::NAN] {
         let call = gatekeeper.call_with(0, 0, 1, left, 0);
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_pool_that_drains_or_is_missing_from_a_full_list() {
+fn no_call_goes_to_a_pool_that_drains_or_is_missing_from_a_full_list() {
     let mut gatekeeper = two_pools(5);
     gatekeeper.list(ListKind::Changes, vec![entry(1, Readiness::Draining, 0.0)]);
     for _ in 0..10 {
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn the_release_is_awaited_after_a_timeout_reset_or_cancel() {
+fn a_call_is_not_sent_again_before_the_release_time_after_a_timeout_reset_or_cancel() {
     for outcome in [Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut gatekeeper = two_used_pools(6);
         let call = gatekeeper.call(0, 1);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_full_answer_sends_the_call_to_another_pool_and_skips_the_full_one() {
+fn a_call_that_a_full_pool_rejects_goes_to_another_and_the_full_pool_is_skipped() {
     let mut gatekeeper = two_used_pools(7);
     let call = gatekeeper.call(0, 1);
     gatekeeper.end(call, Outcome::Full, Cause::ProcessorFull);
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_cold_pool_gets_no_burst_after_its_start_even_in_a_full_house() {
+fn a_cold_pool_gets_no_burst_after_its_start_even_if_all_other_pools_are_full() {
     let mut gatekeeper = two_pools(8);
     for _ in 0..100 {
         let call = gatekeeper.call(0, 1);
@@ -140,15 +141,15 @@
         gatekeeper.run(0.05);
     }
     let sent = gatekeeper.sends.iter().filter(|s| s.pool == POOL_B && s.at >= started).count();
-    // 20 calls a second came; a pool at under a third of its capacity may not take half of them.
+    // 20 calls per second were offered; a pool with under a third of its capacity must not get half of them.
     assert!(sent <= 5, "{sent} set-ups in the first second");
 }
 
 #[test]
-fn a_cold_pool_gets_its_predecessors_load_not_an_even_share_when_a_small_pool_is_replaced() {
+fn the_budget_of_a_cold_pool_follows_the_load_of_the_pool_it_replaces_not_an_even_share() {
     let mut gatekeeper = two_pools(16);
     gatekeeper.answers.extend([(POOL_A, 0.03), (POOL_B, 0.03)]);
-    // Pool 2 carries two calls a second, pool 1 twenty.
+    // Pool 2 carries two calls per second, pool 1 twenty.
     for n in 0..600 {
         gatekeeper.call(0, if n % 11 == 0 { 2 } else { 1 });
         gatekeeper.run(0.045);
@@ -163,12 +164,12 @@
         gatekeeper.run(0.045);
     }
     let sent = gatekeeper.sends.iter().filter(|s| s.pool == POOL_B && s.at >= started).count();
-    // Three seconds at 0.3 of two a second, driven up to 2.5 times: 4.5 at the very most.
+    // Three seconds at 0.3 of two calls per second, loaded up to 2.5 times: 4.5 at most.
     assert!((1..=4).contains(&sent), "{sent} set-ups in three seconds");
 }
 
 #[test]
-fn a_cold_pool_gets_next_to_nothing_from_a_front_that_has_just_started() {
+fn a_cold_pool_gets_no_call_from_a_gatekeeper_that_has_just_started() {
     let mut gatekeeper = TestGatekeeper::new(settings(&SettingsShape::default()), 9);
     let now = gatekeeper.now;
     gatekeeper.list(ListKind::Cached, vec![entry(1, Readiness::Ready, now)]);
@@ -179,25 +180,29 @@
 }
 
 #[test]
-fn a_pool_that_swallows_set_ups_is_left_alone_without_any_report() {
+fn a_pool_that_drops_set_ups_gets_few_calls_although_it_sends_no_report() {
     let mut gatekeeper = two_pools(10);
     gatekeeper.answers.insert(POOL_B, 0.03);
     for _ in 0..40 {
         gatekeeper.call(0, 1);
         gatekeeper.run(0.1);
     }
-    let swallowed = gatekeeper.sends.iter().filter(|s| s.pool == POOL_A).count();
-    assert!(swallowed <= 15, "{swallowed} of 40 went to the silent pool");
+    let dropped = gatekeeper.sends.iter().filter(|s| s.pool == POOL_A).count();
+    assert!(dropped <= 15, "{dropped} of 40 went to the silent pool");
 }
 
 #[test]
-fn a_call_that_two_pools_can_make_nothing_of_has_failed() {
+fn a_call_fails_after_errors_from_two_pools() {
     let mut gatekeeper = two_used_pools(32);
     let before = gatekeeper.sends.len();
     let call = gatekeeper.call(0, 1);
     gatekeeper.end(call, Outcome::Error, Cause::Unknown);
     gatekeeper.run(0.1);
-    assert_eq!(gatekeeper.out_to(call), Some(POOL_B), "what one cannot use another may");
+    assert_eq!(
+        gatekeeper.out_to(call),
+        Some(POOL_B),
+        "another pool may accept what one answered with an error"
+    );
     gatekeeper.end(call, Outcome::Error, Cause::Unknown);
     assert_eq!(
         (gatekeeper.calls[&call].answer, gatekeeper.sends.len() - before),
@@ -206,12 +211,12 @@
 }
 
 #[test]
-fn a_pool_that_was_gone_comes_back_without_its_old_figure() {
+fn a_pool_that_was_gone_returns_without_its_old_load() {
     let mut gatekeeper = two_used_pools(33);
     let call = gatekeeper.call(0, 1);
     gatekeeper.end_full(call, Some(9.0), Report::default());
     let call = gatekeeper.call(0, 1);
-    assert_ne!(gatekeeper.out_to(call), Some(POOL_A), "it asked to be left alone");
+    assert_ne!(gatekeeper.out_to(call), Some(POOL_A), "it asked for no set-ups for 9 s");
     gatekeeper.list(ListKind::Full, vec![entry(2, Readiness::Ready, 0.0)]);
     gatekeeper.list(ListKind::Changes, vec![entry(1, Readiness::Ready, 0.0)]);
     let call = gatekeeper.call(0, 1);
@@ -219,7 +224,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_before_an_answer_was_due_tells_nothing_of_its_pool() {
+fn a_caller_that_leaves_before_an_answer_is_due_does_not_make_its_pool_silent() {
     let mut gatekeeper = two_used_pools(31);
     let leaving = gatekeeper.call(0, 1);
     gatekeeper.run(0.1);
@@ -227,12 +232,12 @@
     gatekeeper.end(leaving, Outcome::Cancelled, Cause::Unknown);
     for n in 0..3 {
         let call = gatekeeper.call(0, 1);
-        assert_eq!(gatekeeper.out_to(call), Some(POOL_A), "call {n} after it");
+        assert_eq!(gatekeeper.out_to(call), Some(POOL_A), "call {n} after that");
     }
 }
 
 #[test]
-fn a_pool_that_is_slow_but_still_gives_words_is_not_called_silent() {
+fn a_slow_pool_that_still_responds_is_not_treated_as_silent() {
     let mut gatekeeper = two_pools(19);
     gatekeeper.answers.extend([(POOL_A, 0.03), (POOL_B, 0.03)]);
     for n in 0..200 {
@@ -242,7 +247,7 @@
     gatekeeper.answers.insert(POOL_A, 1.2);
     for n in 0..100 {
         gatekeeper.call(0, 1 + n % 2);
-        // A standing call ends: a release got through pool 1's processor.
+        // A standing call ends: pool 1's processor has handled a release.
         let (outcome, cause, report) = (Outcome::Done, Cause::Unknown, Report::default());
         let (call, pool, retry_after) = (1, POOL_A, None);
         gatekeeper.event(Event::Ended {
@@ -261,33 +266,33 @@
 }
 
 #[test]
-fn a_swallowed_set_up_that_a_later_one_overtakes_is_sent_again_and_shuts_no_pool() {
+fn a_lost_set_up_is_sent_again_once_a_later_one_is_answered_and_does_not_close_the_pool() {
     let mut gatekeeper = two_pools(20);
     gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
     gatekeeper.establish_one_at_each(0.03);
-    let mut stood_late = 0;
+    let mut established_late = 0;
     for n in 0..200 {
         let call = gatekeeper.call(0, 1);
         assert_eq!(gatekeeper.out_to(call), Some(POOL_A), "call {n}: the pool answers all others at once");
-        let swallowed = n % 8 == 0;
+        let dropped = n % 8 == 0;
         gatekeeper.run(0.03);
-        if !swallowed {
+        if !dropped {
             gatekeeper.establish(call, 0.03);
         }
         gatekeeper.run(0.1);
         for id in 1..call {
-            // Sent again: this time it is answered.
+            // The second attempt is answered.
             if gatekeeper.calls[&id].attempts == 2 && gatekeeper.out_to(id).is_some() {
                 gatekeeper.establish(id, 0.03);
-                stood_late += 1;
+                established_late += 1;
             }
         }
     }
-    assert!(stood_late >= 20, "{stood_late} of 25 swallowed calls stood");
+    assert!(established_late >= 20, "{established_late} of 25 dropped calls were established");
 }
 
 #[test]
-fn a_pool_that_takes_no_connection_is_probed_by_single_calls_and_cold_when_it_comes_back() {
+fn a_pool_that_refuses_connections_is_probed_by_single_calls_and_is_cold_when_it_returns() {
     let mut gatekeeper = two_pools(23);
     gatekeeper.answers.extend([(POOL_A, 0.03), (POOL_B, 0.03)]);
     for n in 0..300 {
@@ -314,13 +319,13 @@
         gatekeeper.call(0, 1);
         gatekeeper.run(0.05);
     }
-    // It carried ten a second; cold, with no word from any list, it can do a third of that and more as it
-    // warms, and may be driven up to 2.5 times: 28 would push it over.
+    // It carried ten calls per second. It is cold although no list says so: it can carry a third of that, more as it
+    // warms up, and may be loaded up to 2.5 times. 28 set-ups would overload it.
     assert!(sent(&gatekeeper, back) <= 22, "{} set-ups in three seconds", sent(&gatekeeper, back));
 }
 
 #[test]
-fn a_big_pools_calls_do_not_fall_on_a_small_idle_one_all_at_once_when_it_drains() {
+fn calls_of_a_draining_large_pool_do_not_all_go_to_a_small_idle_pool_at_once() {
     let mut gatekeeper = two_pools(24);
     gatekeeper.answers.extend([(POOL_A, 0.03), (POOL_B, 0.15)]);
     for n in 0..400 {
@@ -332,15 +337,15 @@
     for _ in 0..10 {
         gatekeeper.call(0, 1);
     }
-    let spilled = gatekeeper.sends.iter().filter(|s| s.pool == POOL_B && s.at >= drained).count();
-    assert!((1..=2).contains(&spilled), "{spilled} set-ups before any answer");
-    // A call whose first choice it is goes there all the same.
+    let overflowing = gatekeeper.sends.iter().filter(|s| s.pool == POOL_B && s.at >= drained).count();
+    assert!((1..=2).contains(&overflowing), "{overflowing} set-ups before any answer");
+    // A call whose first choice it is still goes there.
     let own = gatekeeper.call(0, 2);
     assert_eq!(gatekeeper.out_to(own), Some(POOL_B));
 }
 
 #[test]
-fn a_share_to_hold_back_that_a_pool_reports_is_q_itself() {
+fn a_reported_hold_back_ratio_replaces_q() {
     let mut gatekeeper = two_pools(21);
     gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
     gatekeeper.answers.insert(POOL_A, 0.03);
@@ -359,21 +364,21 @@
 }
 
 #[test]
-fn a_share_to_hold_back_that_is_not_renewed_no_longer_counts() {
+fn a_reported_hold_back_ratio_expires_if_it_is_not_renewed() {
     let mut gatekeeper = two_used_pools(34);
     let report = Report { hold_back_ratio: Some(1.0), ..Report::default() };
     gatekeeper.event(Event::Load { pool: POOL_A, report });
     let call = gatekeeper.call(0, 1);
-    assert_ne!(gatekeeper.out_to(call), Some(POOL_A), "it asked for all to be held back");
+    assert_ne!(gatekeeper.out_to(call), Some(POOL_A), "it asked to hold back all set-ups");
     gatekeeper.run(4.0);
     for n in 0..3 {
         let call = gatekeeper.call(0, 1);
-        assert_eq!(gatekeeper.out_to(call), Some(POOL_A), "call {n} after it");
+        assert_eq!(gatekeeper.out_to(call), Some(POOL_A), "call {n} after that");
     }
 }
 
 #[test]
-fn a_busy_share_alone_turns_a_pool_to_overload_and_back() {
+fn the_reported_utilization_alone_puts_a_pool_in_overload_and_back_to_normal() {
     let mut gatekeeper = two_pools(22);
     gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
     gatekeeper.answers.insert(POOL_A, 0.03);
@@ -397,9 +402,9 @@
 }
 
 #[test]
-fn overload_refuses_the_least_worth_first() {
+fn overload_refuses_calls_of_least_worth_first() {
     let mut gatekeeper = two_pools(11);
-    // Late enough to be pressed, without ever being silent.
+    // Slow enough for overload, but never silent.
     gatekeeper.answers.extend([(POOL_A, 0.3), (POOL_B, 0.3)]);
     gatekeeper.establish_one_at_each(0.03);
     let calls: Vec<(usize, u32)> = (0..400)
@@ -417,34 +422,34 @@
     assert!(refused(1) / 100.0 < 0.7 * refused(0) / 300.0, "{} of 100, {} of 300", refused(1), refused(0));
 }
 
-/// All of an own set-up's delay beyond the shortest is its wait. Guards against a pool that is found loaded only at twice the
-/// wait where its answers go ahead of set-ups and no report tells of its load.
+/// The whole set-up delay beyond the shortest one is wait. Guards against a pool that sends its answers ahead of set-ups
+/// and reports no load: it would count as loaded only at twice the wait.
 #[test]
-fn an_own_delay_counts_whole() {
-    let admitted = |lag: f64| {
+fn the_whole_excess_of_a_measured_set_up_delay_counts_as_wait() {
+    let admitted = |delay: f64| {
         let mut gatekeeper = two_pools(23);
         gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
-        // Told at once, so that only the delay counts, and not how long a set-up has been out.
+        // The answer is passed at once, so that only its delay counts, not the time for which a set-up is unanswered.
         for n in 0..101 {
             let call = gatekeeper.call(0, 1);
             if gatekeeper.out_to(call).is_some() {
-                gatekeeper.establish(call, if n == 0 { 0.03 } else { lag });
+                gatekeeper.establish(call, if n == 0 { 0.03 } else { delay });
             }
             gatekeeper.run(0.1);
         }
         gatekeeper.sends.len()
     };
-    // The unit is 0.3 s here, and onset lies at 0.7 of it.
+    // The wait unit is 0.3 s here, and the onset threshold is 0.7 of it.
     let (below, above) = (admitted(0.03 + 0.6 * 0.3), admitted(0.03 + 0.9 * 0.3));
     assert_eq!(below, 101);
     assert!(above < 95, "{above} of 101 sent at 0.9 units");
 }
 
-/// A full pool that asks for a long wait is asked by single calls, and reopens once one is answered. Guards against a pool
-/// that is shut by a wait that is not there, as one server of a bench told 5 s in a few refusals and answered the rest within
-/// 40 ms, and against a flood of set-ups that are all refused.
+/// A full pool that asks for a long wait is probed by single calls and reopens once one is answered. Guards against
+/// closing a pool for a wait that does not exist (on a bench, one server claimed 5 s in a few refusals and answered all
+/// other set-ups within 40 ms), and against a flood of set-ups that are all refused.
 #[test]
-fn a_full_pool_that_tells_a_long_wait_is_probed_until_it_answers() {
+fn a_full_pool_that_claims_a_long_wait_is_probed_until_it_answers() {
     let begin = || {
         let mut gatekeeper = two_used_pools(24);
         gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
@@ -453,7 +458,7 @@
         gatekeeper.end_full(call, Some(5.0), Report::default());
         gatekeeper
     };
-    // It answers: within a second or so it is used as before.
+    // It answers: within about a second it is used as before.
     let mut gatekeeper = begin();
     gatekeeper.answers.insert(POOL_A, 0.03);
     let sent = |gatekeeper: &mut TestGatekeeper, seconds: f64| {
@@ -465,28 +470,28 @@
         gatekeeper.sends.len() - before
     };
     sent(&mut gatekeeper, 1.5);
-    assert!(sent(&mut gatekeeper, 2.0) >= 38, "open again long before the 5 s that it told");
-    // It goes on refusing: one set-up at a time, spaced.
+    assert!(sent(&mut gatekeeper, 2.0) >= 38, "not open again long before the 5 s that it claimed");
+    // It keeps refusing: it gets one set-up at a time, spaced out.
     let mut gatekeeper = begin();
-    let (mut refused, mut most) = (0, 0);
+    let (mut refused, mut max_out) = (0, 0);
     for _ in 0..100 {
         let call = gatekeeper.call(0, 1);
-        most = most.max(usize::from(gatekeeper.out_to(call).is_some()));
+        max_out = max_out.max(usize::from(gatekeeper.out_to(call).is_some()));
         if gatekeeper.out_to(call).is_some() {
             refused += 1;
             gatekeeper.end_full(call, Some(5.0), Report::default());
         }
         gatekeeper.run(0.05);
     }
-    assert!((3..=25).contains(&refused) && most == 1, "{refused} refused in 5 s, of 100 calls");
+    assert!((3..=25).contains(&refused) && max_out == 1, "{refused} refused in 5 s, of 100 calls");
 }
 
 #[test]
-fn q_rises_while_one_share_falls_short_and_the_pool_reopens_when_it_recovers() {
+fn q_rises_while_a_pool_stays_overloaded_and_the_pool_reopens_when_it_recovers() {
     let mut gatekeeper = two_pools(12);
     gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
-    let admitted = |gatekeeper: &mut TestGatekeeper, lag: f64| {
-        gatekeeper.answers.insert(POOL_A, lag);
+    let admitted = |gatekeeper: &mut TestGatekeeper, delay: f64| {
+        gatekeeper.answers.insert(POOL_A, delay);
         let before = gatekeeper.sends.len();
         for _ in 0..60 {
             gatekeeper.call(0, 1);
@@ -498,7 +503,7 @@
     let early = admitted(&mut gatekeeper, 0.7);
     let late = admitted(&mut gatekeeper, 0.7);
     assert!(late < early && early < 60, "{early} then {late}");
-    assert!(late > 0, "overload keeps some set-ups coming for a fresh figure");
+    assert!(late > 0, "overload still sends some set-ups to measure the pool");
     for _ in 0..3 {
         admitted(&mut gatekeeper, 0.03);
     }
@@ -506,7 +511,7 @@
 }
 
 #[test]
-fn a_pool_without_lines_is_not_beaten_upon() {
+fn set_ups_to_a_pool_without_free_lines_are_spaced_out() {
     let mut gatekeeper = two_pools(13);
     gatekeeper.list(ListKind::Changes, vec![entry(2, Readiness::Gone, 0.0)]);
     for _ in 0..50 {
@@ -520,7 +525,7 @@
 }
 
 #[test]
-fn a_flood_to_one_number_with_few_lines_takes_few_set_ups() {
+fn a_flood_of_calls_to_one_busy_number_uses_few_set_ups() {
     let mut gatekeeper = two_pools(15);
     let mut tried = 0;
     for _ in 0..100 {
@@ -530,25 +535,25 @@
             gatekeeper.end(call, Outcome::Error, Cause::NumberBusy);
         }
         let other = gatekeeper.call_with(0, 0, 1, 3.0, 1000 + tried);
-        assert_eq!(gatekeeper.out_to(other), Some(POOL_A), "a busy number says nothing of the pool");
+        assert_eq!(gatekeeper.out_to(other), Some(POOL_A), "a busy number says nothing about the pool");
         gatekeeper.establish(other, 0.03);
         gatekeeper.run(0.1);
     }
     assert!((2..=12).contains(&tried), "{tried} tries in ten seconds");
     gatekeeper.run(60.0);
     let call = gatekeeper.call_with(0, 0, 1, 3.0, 555);
-    assert!(gatekeeper.out_to(call).is_some(), "forgotten once it clears");
+    assert!(gatekeeper.out_to(call).is_some(), "the busy number is forgotten in time");
 }
 
 #[test]
-fn a_late_redial_waits_behind_calls_that_can_still_stand_in_time() {
+fn a_late_redial_ranks_below_calls_that_can_still_meet_their_goal_time() {
     let mut gatekeeper = two_pools(17);
     gatekeeper.list(
         ListKind::Changes,
         vec![entry(1, Readiness::Draining, 0.0), entry(2, Readiness::Draining, 0.0)],
     );
-    let turned_away: Vec<u64> = (1..=30).collect();
-    for number in &turned_away {
+    let refused_numbers: Vec<u64> = (1..=30).collect();
+    for number in &refused_numbers {
         gatekeeper.call_with(0, 0, 1, 3.0, *number);
     }
     gatekeeper.run(2.5);
@@ -556,16 +561,21 @@
     gatekeeper.establish_one_at_each(0.03);
     gatekeeper.answers.insert(POOL_A, 0.45);
     let (mut late, mut fresh) = (Vec::new(), Vec::new());
-    for number in &turned_away {
+    for number in &refused_numbers {
         late.push(gatekeeper.call_with(0, 0, 1, 3.0, *number));
         fresh.push(gatekeeper.call_with(0, 0, 1, 3.0, 1000 + number));
         gatekeeper.run(0.1);
     }
     gatekeeper.run(5.0);
-    let stood = |ids: &[u32]| {
+    let established = |ids: &[u32]| {
         ids.iter().filter(|id| gatekeeper.calls[id].answer == Some(FinalAnswer::Established)).count()
     };
-    assert!(stood(&fresh) > stood(&late) + 5, "{} fresh, {} late", stood(&fresh), stood(&late));
+    assert!(
+        established(&fresh) > established(&late) + 5,
+        "{} fresh, {} late",
+        established(&fresh),
+        established(&late)
+    );
 }
 
 #[test]
