--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The limits on the decision module that its users set.
+//! Limits on the size of the decision module, set by its users.
 
 const MODULE: &str = include_str!("../src/controller.rs");
 
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Long random but legal streams of events; `TestGatekeeper` asserts the five rules and a final answer for
-//! every call after every step.
+//! Long random but valid streams of events. [`TestGatekeeper`] asserts the five rules at each action, and each call gets
+//! a final answer.
 
 mod harness;
 
@@ -10,44 +10,48 @@
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 
-struct Dice(ChaCha8Rng);
+struct RandomSource(ChaCha8Rng);
 
-impl Dice {
+impl RandomSource {
+    /// A random integer below `n`.
     fn below(&mut self, n: u64) -> u64 {
         self.0.next_u64() % n
     }
+    /// A random number from 0 to 1.
     fn unit(&mut self) -> f64 {
         self.below(1_000_000) as f64 / 1e6
     }
 }
 
-fn report(dice: &mut Dice, reports: bool) -> Report {
+/// A random load report; empty unless `reports`.
+fn report(random: &mut RandomSource, reports: bool) -> Report {
     if !reports {
         return Report::default();
     }
     Report {
-        free_lines: Some(dice.below(50) as f64),
-        total_lines: (dice.below(3) > 0).then(|| dice.below(60) as f64),
-        wait: Some(dice.unit() * if dice.below(8) == 0 { 4.0 } else { 0.3 }),
-        utilization: (dice.below(2) == 0).then(|| dice.unit()),
-        max_set_up_rate: Some(dice.unit() * 60.0),
-        hold_back_ratio: (dice.below(4) == 0).then(|| dice.unit()),
+        free_lines: Some(random.below(50) as f64),
+        total_lines: (random.below(3) > 0).then(|| random.below(60) as f64),
+        wait: Some(random.unit() * if random.below(8) == 0 { 4.0 } else { 0.3 }),
+        utilization: (random.below(2) == 0).then(|| random.unit()),
+        max_set_up_rate: Some(random.unit() * 60.0),
+        hold_back_ratio: (random.below(4) == 0).then(|| random.unit()),
     }
 }
 
-fn stream(shape: &SettingsShape, reports: bool, hints: bool, seed: u64) -> TestGatekeeper {
-    let mut dice = Dice(ChaCha8Rng::seed_from_u64(seed));
+/// Plays one random stream, with load reports and retry-after times if pools give them.
+fn stream(shape: &SettingsShape, reports: bool, retry_after_hints: bool, seed: u64) -> TestGatekeeper {
+    let mut random = RandomSource(ChaCha8Rng::seed_from_u64(seed));
     let mut gatekeeper = TestGatekeeper::new(settings(shape), seed);
     let readiness =
         [Readiness::Ready, Readiness::Ready, Readiness::Ready, Readiness::Draining, Readiness::Gone];
     gatekeeper.list(ListKind::Cached, (1..4).map(|n| entry(n, Readiness::Ready, 0.0)).collect());
     for _ in 0..1000 {
-        match dice.below(24) {
+        match random.below(24) {
             0..=9 => {
-                let left = if dice.below(40) == 0 { 0.0 } else { dice.unit() * 3.5 };
-                let (class, tenant) = (dice.below(3) as usize, dice.below(4) as usize);
-                let number = 1 + dice.below(5) as u32;
-                let dialled = if dice.below(4) == 0 { 7 } else { dice.below(1000) };
+                let left = if random.below(40) == 0 { 0.0 } else { random.unit() * 3.5 };
+                let (class, tenant) = (random.below(3) as usize, random.below(4) as usize);
+                let number = 1 + random.below(5) as u32;
+                let dialled = if random.below(4) == 0 { 7 } else { random.below(1000) };
                 gatekeeper.call_with(class, tenant, number, left, dialled);
             }
             10..=17 => {
@@ -56,11 +60,12 @@
                 if out.is_empty() {
                     continue;
                 }
-                let call = out[dice.below(out.len() as u64) as usize];
-                let report = report(&mut dice, reports);
-                let full = if hints && dice.below(2) == 0 { Some(dice.unit() * 3.0) } else { None };
-                match dice.below(12) {
-                    0 => gatekeeper.end_full(call, full, report),
+                let call = out[random.below(out.len() as u64) as usize];
+                let report = report(&mut random, reports);
+                let retry_after =
+                    if retry_after_hints && random.below(2) == 0 { Some(random.unit() * 3.0) } else { None };
+                match random.below(12) {
+                    0 => gatekeeper.end_full(call, retry_after, report),
                     1 => gatekeeper.end_with(call, Outcome::Full, Cause::NoLine, report),
                     2 => gatekeeper.end_with(call, Outcome::Error, Cause::NumberBusy, report),
                     3 => gatekeeper.end_with(call, Outcome::Error, Cause::Unknown, report),
@@ -77,16 +82,16 @@
                 }
             }
             18 => {
-                let changed = entry(1 + dice.below(4) as u32, readiness[dice.below(5) as usize], 0.0);
+                let changed = entry(1 + random.below(4) as u32, readiness[random.below(5) as usize], 0.0);
                 gatekeeper.list(ListKind::Changes, vec![changed]);
             }
             19 => {
-                let (number, now) = (1 + dice.below(4) as u32, gatekeeper.now);
+                let (number, now) = (1 + random.below(4) as u32, gatekeeper.now);
                 gatekeeper.list(ListKind::Changes, vec![entry(number, Readiness::Ready, now)]);
             }
             20 => {
                 let entries =
-                    (1..1 + dice.below(5) as u32).map(|n| entry(n, Readiness::Ready, 0.0)).collect();
+                    (1..1 + random.below(5) as u32).map(|n| entry(n, Readiness::Ready, 0.0)).collect();
                 gatekeeper.list(ListKind::Full, entries);
             }
             21 => {
@@ -97,34 +102,35 @@
                 }
             }
             22 => {
-                let figures = report(&mut dice, reports);
-                let pool = entry(1 + dice.below(6) as u32, Readiness::Ready, 0.0).pool;
+                let figures = report(&mut random, reports);
+                let pool = entry(1 + random.below(6) as u32, Readiness::Ready, 0.0).pool;
                 gatekeeper.event(Event::Load { pool, report: figures });
-                gatekeeper.event(Event::Timer { token: dice.below(5000) as u32 });
-                gatekeeper.event(Event::Peer { from: 1, data: vec![0; dice.below(20) as usize] });
+                gatekeeper.event(Event::Timer { token: random.below(5000) as u32 });
+                gatekeeper.event(Event::Peer { from: 1, data: vec![0; random.below(20) as usize] });
             }
-            _ => gatekeeper.run(dice.unit() * 0.2),
+            _ => gatekeeper.run(random.unit() * 0.2),
         }
         gatekeeper.run(0.005);
     }
     gatekeeper.run(5.0);
     assert!(gatekeeper.calls.values().all(|c| c.answer.is_some()));
-    let stood = gatekeeper.calls.values().filter(|c| c.answer == Some(FinalAnswer::Established)).count();
-    assert!(stood > 0, "no call stood");
+    let established =
+        gatekeeper.calls.values().filter(|c| c.answer == Some(FinalAnswer::Established)).count();
+    assert!(established > 0, "no call was established");
     gatekeeper
 }
 
-/// One stream for each shape of settings, with the shape and the seed.
+/// Plays one stream for each shape of the settings; returns the shape, the seed and the gatekeeper.
 fn streams() -> Vec<(SettingsShape, u64, TestGatekeeper)> {
     let mut all = Vec::new();
     for tenants in [0, 3] {
-        for (reports, hints) in [(true, true), (true, false), (false, true), (false, false)] {
+        for (reports, retry_after_hints) in [(true, true), (true, false), (false, true), (false, false)] {
             for (retransmit, may_cancel, try_limit, gatekeepers) in
                 [(0.4, true, 6, 4), (0.8, false, 5, 8), (0.0, true, 2, 1), (0.0, false, 1, 1)]
             {
                 let seed = 101 + all.len() as u64;
                 let shape = SettingsShape { tenants, retransmit, try_limit, may_cancel, gatekeepers };
-                let gatekeeper = stream(&shape, reports, hints, seed);
+                let gatekeeper = stream(&shape, reports, retry_after_hints, seed);
                 all.push((shape, seed, gatekeeper));
             }
         }
@@ -132,22 +138,25 @@
     all
 }
 
-/// A number that stands for a text (FNV-1a).
+/// FNV-1a hash of a text.
 fn digest(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// Lets everything pass, and keeps what it was told.
+/// Allows every set-up, and records the calls of its methods.
 #[derive(Default)]
-struct Watching {
-    heard: usize,
+struct RecordingGate {
+    /// Number of events received.
+    events: usize,
+    /// Set-ups that the module asked about.
     asked: Vec<Candidate>,
+    /// Set-ups that were sent.
     sent: Vec<Candidate>,
 }
 
-impl Gate for Watching {
+impl Gate for RecordingGate {
     fn on_event(&mut self, _: f64, _: &Event) {
-        self.heard += 1;
+        self.events += 1;
     }
 
     fn may_send(&mut self, _: f64, candidate: &Candidate) -> Result<(), Denial> {
@@ -169,44 +178,44 @@
 /// because a log text was reworded. Update it when the module's behaviour is changed on purpose.
 const ACTIONS_DIGEST: u64 = 0xc454_4bb2_bf1f_cd5e;
 
-/// Over random legal streams under every shape of settings, [`TestGatekeeper`] holds the five rules; the actions
-/// are, byte for byte, those without a gate; and a gate that lets everything pass changes
-/// nothing, is asked once for each set-up and told of each.
+/// In random valid streams under every shape of the settings, [`TestGatekeeper`] finds the five rules kept, the actions
+/// are those of the recorded digest, and a gate that allows everything changes no action, is asked once about each set-up
+/// and notified of each.
 #[test]
-fn the_five_rules_hold_and_an_open_gate_changes_nothing() {
-    let mut before = String::new();
+fn the_five_rules_hold_and_a_gate_that_allows_everything_changes_no_action() {
+    let mut all_actions = String::new();
     for (shape, seed, gatekeeper) in streams() {
-        let mut controller = Controller::with_gate(settings(&shape), seed, Watching::default());
+        let mut controller = Controller::with_gate(settings(&shape), seed, RecordingGate::default());
         let mut sends = Vec::new();
         for (now, event, actions) in &gatekeeper.record {
             let mut out = Vec::new();
             controller.handle(*now, event.clone(), &mut out);
             assert_eq!(format!("{out:?}"), format!("{actions:?}"), "seed {seed} at {now}");
-            before.push_str(&format!("{actions:?}"));
+            all_actions.push_str(&format!("{actions:?}"));
             sends.extend(out.into_iter().filter_map(|a| match a {
                 Action::Send { call, pool, .. } => Some((call, pool)),
                 _ => None,
             }));
         }
         let gate = controller.gate_mut();
-        let told: Vec<_> = gate.sent.iter().map(|c| (c.call, c.pool)).collect();
-        assert_eq!((gate.heard, &gate.asked, told), (gatekeeper.record.len(), &gate.sent, sends));
+        let notified: Vec<_> = gate.sent.iter().map(|c| (c.call, c.pool)).collect();
+        assert_eq!((gate.events, &gate.asked, notified), (gatekeeper.record.len(), &gate.sent, sends));
         assert!(gate.asked.iter().all(|c| !c.last_resort));
     }
-    assert_eq!(digest(&before), ACTIONS_DIGEST);
+    assert_eq!(digest(&all_actions), ACTIONS_DIGEST);
 }
 
 #[test]
-fn settings_without_sense_do_not_break_the_controller() {
-    let mut odd = settings(&SettingsShape::default());
-    odd.classes.clear();
-    odd.gatekeepers = 0;
-    odd.retransmit_time = f64::NAN;
-    odd.warm_up_time = f64::NAN;
-    odd.initial_capacity_ratio = -1.0;
-    odd.min_batch_interval = 0.0;
-    odd.release_time = -3.0;
-    let mut controller = Controller::new(odd, 1);
+fn invalid_settings_do_not_break_the_controller() {
+    let mut invalid = settings(&SettingsShape::default());
+    invalid.classes.clear();
+    invalid.gatekeepers = 0;
+    invalid.retransmit_time = f64::NAN;
+    invalid.warm_up_time = f64::NAN;
+    invalid.initial_capacity_ratio = -1.0;
+    invalid.min_batch_interval = 0.0;
+    invalid.release_time = -3.0;
+    let mut controller = Controller::new(invalid, 1);
     let mut out = Vec::new();
     let entries = vec![entry(1, Readiness::Ready, f64::NAN)];
     controller.handle(0.0, Event::List { kind: ListKind::Full, entries }, &mut out);
