--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -217,7 +217,7 @@
 #[test]
 fn settings_without_gatekeepers_and_reports_without_lines_do_not_break_the_controller() {
     for gatekeepers in [0, u32::MAX] {
-        let shape = SettingsShape { gatekeepers: gatekeepers, ..SettingsShape::default() };
+        let shape = SettingsShape { gatekeepers, ..SettingsShape::default() };
         let hold = if gatekeepers == 0 { Some(f64::NAN) } else { Some(0.0) };
         let mut gatekeeper = TestGatekeeper::new(
             hollypaddle_policy::Settings { mean_holding_time: hold, ..settings(&shape) },
