--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many controllers on the simulator's wire. It translates and routes; it decides nothing.
+//! Runs many controllers for the simulator: it translates the records of the simulator's protocol into events, routes
+//! them and translates the actions back. It makes no decision of its own.
 
 mod codec;
 
@@ -10,61 +11,68 @@
 use hollypaddle_policy::settings::{self, Telemetry};
 use hollypaddle_policy::{Action, Controller, Event, PoolEntry};
 
+/// The running instances and the registered lists.
 struct Host {
+    /// Controller and layout of load reports of each instance, by its number.
     instances: BTreeMap<u16, (Controller, Telemetry)>,
+    /// The registered lists of pools, by number.
     lists: BTreeMap<u8, Vec<PoolEntry>>,
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl Host {
+    /// Handles the records of one frame and adds the actions to `reply`.
     fn batch(&mut self, now: f64, body: &[u8], reply: &mut codec::Reply) -> Result<(), WireError> {
         let mut reader = codec::Reader::new(body);
         while let Some(record) = reader.record()? {
             match record {
-                Record::Create { who, seed, settings } => match settings::parse(settings) {
+                Record::Create { instance, seed, settings } => match settings::parse(settings) {
                     Ok((settings, telemetry)) => {
                         let controller = Controller::new(settings, seed);
-                        self.instances.insert(who, (controller, telemetry));
+                        self.instances.insert(instance, (controller, telemetry));
                     }
-                    Err(reason) => reply.crash(who, &format!("settings: {reason}")),
+                    Err(reason) => reply.crash(instance, &format!("settings: {reason}")),
                 },
-                Record::Stop { who } => {
-                    self.instances.remove(&who);
+                Record::Stop { instance } => {
+                    self.instances.remove(&instance);
                 }
                 Record::Register { number, entries } => {
                     self.lists.insert(number, entries);
                 }
-                Record::List { who, kind, number } => {
+                Record::List { instance, kind, number } => {
                     let entries = match (kind, self.lists.get(&number)) {
                         (hollypaddle_policy::ListKind::Failed, _) => Vec::new(),
                         (_, Some(entries)) => entries.clone(),
                         (_, None) => return Err(WireError::UnknownList(number)),
                     };
-                    self.event(now, who, Event::List { kind, entries }, reply);
+                    self.event(now, instance, Event::List { kind, entries }, reply);
                 }
-                Record::Event { who, event } => self.event(now, who, event, reply),
-                Record::Figures { who, make, values } => {
-                    let report = match self.instances.get(&who) {
+                Record::Event { instance, event } => self.event(now, instance, event, reply),
+                Record::Report { instance, event, values } => {
+                    let report = match self.instances.get(&instance) {
                         Some((_, telemetry)) => telemetry.decode(&values),
                         None => continue,
                     };
-                    self.event(now, who, make.with(report), reply);
+                    self.event(now, instance, event.with_report(report), reply);
                 }
             }
         }
         Ok(())
     }
 
-    fn event(&mut self, now: f64, who: u16, event: Event, reply: &mut codec::Reply) {
-        if let Some((controller, _)) = self.instances.get_mut(&who) {
+    /// Passes an event to an instance, if it runs, and adds its actions to `reply`.
+    fn event(&mut self, now: f64, instance: u16, event: Event, reply: &mut codec::Reply) {
+        if let Some((controller, _)) = self.instances.get_mut(&instance) {
             controller.handle(now, event, &mut self.actions);
             for action in self.actions.drain(..) {
-                reply.action(who, &action);
+                reply.action(instance, &action);
             }
         }
     }
 }
 
+/// Answers frames from standard input on standard output until the input ends.
 fn run() -> Result<(), WireError> {
     let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
