--- a/crates/gatekeeper/src/node/clients.rs
+++ b/crates/gatekeeper/src/node/clients.rs
@@ -3,8 +3,8 @@
 mod closing;
 mod draining;
 mod ends;
+mod eviction;
 mod reply;
-mod room;
 mod set_up;
 
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -8,10 +8,10 @@
 mod channel;
 mod connecting;
 mod incoming;
+mod liveness;
 mod release;
-mod releases;
+mod release_queue;
 mod set_ups;
-mod silence;
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,7 +22,7 @@
 
 use self::channel::Channel;
 use self::incoming::judge;
-use self::releases::Releases;
+use self::release_queue::Releases;
 use self::set_ups::WaitingSetUp;
 use super::config::Link;
 use super::poller::{Key, Ready, Watch};
@@ -64,7 +64,7 @@
     unreachable: bool,
     /// How many connections in a row broke as soon as they were up.
     quick_ends: u32,
-    /// How long its connections may be silent while a set-up is out, see [`silence`].
+    /// How long its connections may be silent while a set-up is out, see [`liveness`].
     silence_limit: f64,
     /// When it last said anything, and since when something is without an answer that should have one.
     last_message_at: f64,
--- a/crates/gatekeeper/src/node/servers/tests/releases.rs
+++ b/crates/gatekeeper/src/node/servers/tests/releases.rs
@@ -8,7 +8,7 @@
 use hollypaddle_standin::{answer, Peer};
 
 use super::super::release::RESEND_LIMIT_S;
-use super::super::releases::{MAX_RESENT_AT_ONCE, MAX_UNCONFIRMED};
+use super::super::release_queue::{MAX_RESENT_AT_ONCE, MAX_UNCONFIRMED};
 use super::give_ups::{accept, connected, connected_at, POOL};
 use super::*;
 
