--- a/crates/gatekeeper/src/node/clients.rs
+++ b/crates/gatekeeper/src/node/clients.rs
@@ -99,7 +99,7 @@
     drain: Option<Drain>,
     drain_counts: DrainCounts,
     /// Classes of set-ups turned away here, for lack of room, until the figures take them.
-    pub turned_away: Vec<usize>,
+    pub refused_classes: Vec<usize>,
     /// Called between the last accept and the close of the listener, with its address.
     #[cfg(test)]
     pub before_close: Option<Box<dyn FnMut(SocketAddr)>>,
@@ -124,7 +124,7 @@
         let (listener, connections) = (Some(listener), BTreeMap::new());
         let (paused, undelivered) = (false, VecDeque::new());
         let most_waiting = (memory / most).clamp(2 * MOST, 8 * MOST);
-        let turned_away = Vec::new();
+        let refused_classes = Vec::new();
         Ok(Clients {
             address,
             classes,
@@ -143,7 +143,7 @@
             end_counts: EndCounts::default(),
             drain: None,
             drain_counts: DrainCounts::default(),
-            turned_away,
+            refused_classes,
             #[cfg(test)]
             before_close: None,
             #[cfg(test)]
@@ -185,7 +185,7 @@
 
     /// Takes what waits in the listener's queue, also with descriptors that servers would have, and closes the listener once
     /// the queue is empty: the program ends, and whoever waited for a place is to hear of it.
-    pub fn take_last(&mut self, now: f64, watch: &mut Watch, calls: &mut Calls) {
+    pub fn accept_remaining(&mut self, now: f64, watch: &mut Watch, calls: &mut Calls) {
         self.most = usize::MAX;
         self.stop_listening(now, watch, calls);
     }
@@ -202,7 +202,7 @@
     }
 
     /// Closes connections that are of no use to anyone, and carries on after a pause. Called now and then.
-    pub fn beat(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
+    pub fn maintain(&mut self, now: f64, watch: &Watch, calls: &mut Calls) {
         self.close_unused(now, watch, calls);
         self.send_unread(now, watch, calls);
         self.send_undelivered(now, watch, calls);
@@ -218,27 +218,27 @@
     }
 
     /// Takes the longest time that callers stay away when told, if they are told.
-    pub fn set_stay_away(&mut self, most: Option<f64>) {
+    pub fn set_max_retry_after(&mut self, most: Option<f64>) {
         self.stay_away = most.map(|most| most.min(CROWDED_WAIT));
     }
 
     /// For how long those are to stay away that are turned away here.
-    pub fn stay_away(&self) -> f64 {
+    pub fn retry_after(&self) -> f64 {
         self.stay_away.unwrap_or(0.0)
     }
 
     /// Takes how many connections may be held.
-    pub fn set_most(&mut self, most: usize) {
+    pub fn set_max_connections(&mut self, most: usize) {
         self.most = most.max(1);
     }
 
     /// Whether it listens.
-    pub fn listening(&self) -> bool {
+    pub fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
     /// Listens again at its address, after a drain.
-    pub fn listen_again(&mut self, watch: &mut Watch) -> io::Result<()> {
+    pub fn resume_listening(&mut self, watch: &mut Watch) -> io::Result<()> {
         if self.listener.is_none() {
             let listener = bind(self.address, BACKLOG)?;
             steering::spread(&listener);
@@ -249,7 +249,7 @@
     }
 
     /// Takes what is ready, if it is a caller's.
-    pub fn ready(&mut self, now: f64, ready: Ready, watch: &mut Watch, calls: &mut Calls) {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, watch: &mut Watch, calls: &mut Calls) {
         if ready.key == self.listener_key {
             self.accept(now, watch, calls);
         } else if self.closing.contains_key(&ready.key) {
@@ -393,7 +393,7 @@
                     Ok(request) => match calls.offer(now, key, request) {
                         Ok(()) => return Ok(()),
                         Err(NotTaken::Crowded) => {
-                            self.turned_away.push(request_class(message, &self.classes));
+                            self.refused_classes.push(request_class(message, &self.classes));
                             let refusal = encode(message.call, Reply::Refused(self.stay_away.unwrap_or(0.0)));
                             self.send(now, key, &refusal, BestReply::Outcome, watch);
                             return Ok(());
--- a/crates/gatekeeper/src/node/clients/closing.rs
+++ b/crates/gatekeeper/src/node/clients/closing.rs
@@ -123,7 +123,7 @@
     }
 
     /// Whether connections that are closed here are not closed by their peers yet.
-    pub fn closing(&self) -> bool {
+    pub fn has_closing_connections(&self) -> bool {
         self.closing.values().any(|closing| closing.side == ClosedBy::Us)
     }
 
--- a/crates/gatekeeper/src/node/clients/draining.rs
+++ b/crates/gatekeeper/src/node/clients/draining.rs
@@ -31,13 +31,13 @@
 
 /// What is to be done to calls before connections can be closed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct DrainOrders {
+pub struct DrainActions {
     /// The connections whose open set-ups get their final answer now.
-    pub answer: Vec<Key>,
+    pub answer_set_ups_of: Vec<Key>,
     /// Calls that stand are cut, as no connection stays on which their ends could be told.
-    pub cut: bool,
+    pub cut_calls: bool,
     /// The connections that stay for calls of their own, which are not cut.
-    pub staying: BTreeSet<Key>,
+    pub kept: BTreeSet<Key>,
 }
 
 impl Clients {
@@ -58,17 +58,25 @@
     }
 
     /// Whether connections are closed as soon as they wait for nothing, so that every turn may bring one.
-    pub fn drains_firmly(&self, now: f64) -> bool {
+    pub fn closes_idle_immediately(&self, now: f64) -> bool {
         self.drain.as_ref().is_some_and(|drain| now - drain.began >= drain::FIRM_AFTER_S)
     }
 
     /// While drained, closes the connections that are to be let go; returns what is to be done before others can be. With
     /// `told_elsewhere`, others tell the ends for which no caller is here.
-    pub fn drain(&mut self, now: f64, told_elsewhere: bool, watch: &Watch, calls: &mut Calls) -> DrainOrders {
-        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else { return DrainOrders::default() };
+    pub fn drain(
+        &mut self,
+        now: f64,
+        told_elsewhere: bool,
+        watch: &Watch,
+        calls: &mut Calls,
+    ) -> DrainActions {
+        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else {
+            return DrainActions::default();
+        };
         let staying = self.staying(now, began, calls);
         let end_path = self.end_path(now, began, &staying, calls);
-        let mut orders = DrainOrders { staying, ..DrainOrders::default() };
+        let mut actions = DrainActions { kept: staying, ..DrainActions::default() };
         let mut closing = Vec::new();
         let decide = |state: &drain::Connection| match drain::decide(now, began, state) {
             Decision::CutCalls if told_elsewhere => Decision::Close,
@@ -78,8 +86,8 @@
             let state = client.state(*key, end_path, calls);
             match decide(&state) {
                 Decision::Close => closing.push(*key),
-                Decision::AnswerSetUps => orders.answer.push(*key),
-                Decision::CutCalls => orders.cut = true,
+                Decision::AnswerSetUps => actions.answer_set_ups_of.push(*key),
+                Decision::CutCalls => actions.cut_calls = true,
                 Decision::Keep(reason) => client.log_kept(*key, reason, &state),
             }
         }
@@ -93,13 +101,13 @@
         if now - began >= drain::DROP_AFTER_S {
             self.drop_blocked(now, watch);
         }
-        if orders.cut {
+        if actions.cut_calls {
             self.send_all_undelivered(now, watch, calls);
         }
         if now - began >= drain::TERM_S {
             self.log_term(now, calls);
         }
-        orders
+        actions
     }
 
     /// Drops the closed connections whose peers do not read what was sent before the close.
@@ -119,8 +127,8 @@
             let call = format_args!("{:016x}", message.call);
             log::debug!(call:%, caller = key; "set-up-refused-in-drain");
             self.drain_counts.refused += 1;
-            self.turned_away.push(request_class(message, &self.classes));
-            let refusal = encode(message.call, Reply::Refused(self.stay_away()));
+            self.refused_classes.push(request_class(message, &self.classes));
+            let refusal = encode(message.call, Reply::Refused(self.retry_after()));
             self.send(now, key, &refusal, BestReply::Outcome, watch);
         }
         refuses
--- a/crates/gatekeeper/src/node/clients/ends.rs
+++ b/crates/gatekeeper/src/node/clients/ends.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether a connection is there on which the end of any call can be sent.
-    pub fn has_successor(&self) -> bool {
+    pub fn has_fallback_connection(&self) -> bool {
         self.successor().is_some()
     }
 
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -18,7 +18,7 @@
 use super::http::Http;
 use super::poller::{Key, Watch};
 use super::resolver::Resolver;
-use super::servers::{Servers, Turn};
+use super::servers::{Context as ServerContext, Servers};
 use super::subjects::{Room, Subjects};
 use hollypaddle_core::calls::Reply;
 use hollypaddle_core::calls::{Calls, Effect, Order};
@@ -214,11 +214,11 @@
             before_writing: None,
         };
         node.calls.calls_last(node.settings.mean_holding_time);
-        node.clients.set_stay_away(node.settings.max_retry_after);
+        node.clients.set_max_retry_after(node.settings.max_retry_after);
         node.take_own(now, config.own)?;
-        let mut turn = Turn { now, watch: &mut node.watch, calls: &mut node.calls };
-        node.servers.list(&config.known, ListKind::Cached, &mut turn);
-        node.servers.beat(&mut turn);
+        let mut server_ctx = ServerContext { now, watch: &mut node.watch, calls: &mut node.calls };
+        node.servers.apply_list(&config.known, ListKind::Cached, &mut server_ctx);
+        node.servers.maintain(&mut server_ctx);
         node.wheel.set(now, Timer::Beat);
         node.wheel.set(now, Timer::Ask);
         node.decide(now);
@@ -303,7 +303,8 @@
             true => {
                 let now = self.clock.now();
                 let wait = self.wheel.next_in(now).unwrap_or(BEAT).min(BEAT);
-                let wait = self.servers.release_due().map_or(wait, |at| wait.min((at - now).max(0.0)));
+                let wait =
+                    self.servers.held_messages_due_at().map_or(wait, |at| wait.min((at - now).max(0.0)));
                 self.subjects.wants_turn_at().map_or(wait, |at| wait.min((at - now).max(GIVES)))
             }
             false => 0.0,
@@ -313,21 +314,21 @@
         let mut room = room!(self, now);
         self.subjects.all().into_iter().for_each(|subject| subject.begin(&mut room));
         for ready in all {
-            let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
+            let mut server_ctx = ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
             if ready.key == self.resolver_key {
-                if let Some(list) = self.resolver.read() {
-                    self.servers.list(&list, ListKind::Full, &mut turn);
-                    self.clients.set_most(self.servers.left_to_callers());
+                if let Some(list) = self.resolver.read_answers() {
+                    self.servers.apply_list(&list, ListKind::Full, &mut server_ctx);
+                    self.clients.set_max_connections(self.servers.max_caller_connections());
                 }
-                if self.resolver.confirmed() {
+                if self.resolver.take_confirmed() {
                     self.list_at = now;
                 }
             } else {
-                self.servers.ready(ready, &mut turn);
+                self.servers.handle_ready(ready, &mut server_ctx);
                 let mut room = room!(self, now);
                 self.subjects.all().into_iter().for_each(|subject| subject.heard(&mut room, ready));
-                self.clients.ready(now, ready, &mut self.watch, &mut self.calls);
-                for class in std::mem::take(&mut self.clients.turned_away) {
+                self.clients.handle_ready(now, ready, &mut self.watch, &mut self.calls);
+                for class in std::mem::take(&mut self.clients.refused_classes) {
                     self.count(class, Outcome::Declined);
                 }
                 let called = self.http.as_mut().and_then(|h| h.ready(now, ready, &mut self.watch));
@@ -343,7 +344,11 @@
                 }
             }
         }
-        self.servers.release_held(&mut Turn { now, watch: &mut self.watch, calls: &mut self.calls });
+        self.servers.process_held_messages(&mut ServerContext {
+            now,
+            watch: &mut self.watch,
+            calls: &mut self.calls,
+        });
         let mut beat = false;
         for timer in self.wheel.advance(now) {
             match timer {
@@ -351,8 +356,9 @@
                 Timer::Deadline(call) => self.calls.deadline(now, call),
                 Timer::Limit(call, attempt) => self.calls.limit(call, attempt),
                 Timer::Beat => {
-                    let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                    self.servers.beat(&mut turn);
+                    let mut server_ctx =
+                        ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+                    self.servers.maintain(&mut server_ctx);
                     let mut room = room!(self, now);
                     self.subjects.all().into_iter().for_each(|subject| subject.due(&mut room, &self.own));
                     if let Some(http) = &mut self.http {
@@ -362,7 +368,7 @@
                     self.wheel.set(now + BEAT, Timer::Beat);
                 }
                 Timer::Ask => {
-                    self.resolver.ask();
+                    self.resolver.send_query();
                     self.wheel.set(now + self.ask_every, Timer::Ask);
                 }
             }
@@ -378,10 +384,10 @@
         if beat {
             // Only now is all said that this turn brought. Guards against a connection closed as idle while the end of the
             // call that kept it is on its way there.
-            self.clients.beat(now, &self.watch, &mut self.calls);
+            self.clients.maintain(now, &self.watch, &mut self.calls);
             self.listen_as_told(now);
         }
-        if beat || self.clients.drains_firmly(now) {
+        if beat || self.clients.closes_idle_immediately(now) {
             self.drain(now);
             self.decide(now);
         }
@@ -395,16 +401,16 @@
     fn decide(&mut self, now: f64) {
         let mut actions = Vec::new();
         // Set-ups that waited for a connection, with nothing new in this turn.
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        if turn.calls.effects.is_empty() {
-            self.servers.send_waiting(&mut turn);
+        let mut server_ctx = ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+        if server_ctx.calls.effects.is_empty() {
+            self.servers.send_waiting(&mut server_ctx);
         }
         while !(self.calls.events.is_empty() && self.calls.effects.is_empty()) {
             for effect in std::mem::take(&mut self.calls.effects) {
                 self.effect(now, effect);
             }
-            let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-            self.servers.send_waiting(&mut turn);
+            let mut server_ctx = ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+            self.servers.send_waiting(&mut server_ctx);
             for mut event in std::mem::take(&mut self.calls.events) {
                 if let Event::List { entries, .. } = &mut event {
                     self.subjects.overlay(entries, self.list_at);
@@ -450,10 +456,10 @@
                 }
             }
             Effect::Server { pool, id, order } => {
-                let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                self.servers.order(pool, id, order, &mut turn);
+                let mut server_ctx = ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+                self.servers.execute(pool, id, order, &mut server_ctx);
             }
-            Effect::Stray { id } => self.servers.release_anywhere(now, id, &self.watch),
+            Effect::Stray { id } => self.servers.release_everywhere(now, id, &self.watch),
             Effect::EndOfUnknown { id, cut, earlier, .. } => {
                 // Of a call that another gatekeeper took: whoever hears of its end tells its caller.
                 if self
@@ -471,10 +477,11 @@
                 match fleet.adopted_call(id).and_then(|call| fleet.pool_of(call.fact.server)) {
                     Some(pool) => {
                         self.calls.released_elsewhere(id);
-                        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                        self.servers.order(pool, id, Order::Release, &mut turn);
+                        let mut server_ctx =
+                            ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+                        self.servers.execute(pool, id, Order::Release, &mut server_ctx);
                     }
-                    None if stray => self.servers.release_anywhere(now, id, &self.watch),
+                    None if stray => self.servers.release_everywhere(now, id, &self.watch),
                     None => {}
                 }
             }
@@ -488,12 +495,12 @@
     /// Closes or opens the clients' listener as the lifecycle says. What does not succeed is tried again at the next beat: a
     /// close while callers wait for a place, an address that cannot be listened at.
     fn listen_as_told(&mut self, now: f64) {
-        let (listening, may_listen) = (self.clients.listening(), self.life.listens(now));
+        let (listening, may_listen) = (self.clients.is_listening(), self.life.listens(now));
         if listening && !may_listen && self.clients.stop_listening(now, &mut self.watch, &mut self.calls) {
             log::info!("listener-closed");
         }
         if !listening && self.life.phase() == Phase::Serving {
-            match self.clients.listen_again(&mut self.watch) {
+            match self.clients.resume_listening(&mut self.watch) {
                 Ok(()) => log::info!("listener-open"),
                 Err(error) => log::warn!(error:%; "listener-failed"),
             }
--- a/crates/gatekeeper/src/node/event_loop/draining.rs
+++ b/crates/gatekeeper/src/node/event_loop/draining.rs
@@ -17,15 +17,15 @@
         // Members of a fleet tell the ends that cannot be told here.
         let fleet = self.subjects.fellows.fleet.as_ref();
         let told_elsewhere = fleet.is_some_and(|fleet| fleet.others_have_callers());
-        let orders = self.clients.drain(now, told_elsewhere, &self.watch, &mut self.calls);
-        for origin in orders.answer {
+        let actions = self.clients.drain(now, told_elsewhere, &self.watch, &mut self.calls);
+        for origin in actions.answer_set_ups_of {
             let open = self.calls.open_from(origin);
             log::info!(caller = origin, open; "drain-set-ups-answered");
             self.drained_calls.answered += open as u64;
-            self.calls.answer_from(origin, repeatable(&self.classes), self.clients.stay_away());
+            self.calls.answer_from(origin, repeatable(&self.classes), self.clients.retry_after());
         }
-        if orders.cut {
-            let cut = self.calls.cut_standing(|origin| !orders.staying.contains(&origin));
+        if actions.cut_calls {
+            let cut = self.calls.cut_standing(|origin| !actions.kept.contains(&origin));
             log::warn!(calls = cut; "drain-calls-cut");
             self.drained_calls.cut += cut as u64;
         }
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -3,7 +3,7 @@
 use super::{Gatekeeper, SOCKET_SLACK};
 use crate::node::config::{Config, ConfigError, LinkClass};
 use crate::node::resolver;
-use crate::node::servers::Turn;
+use crate::node::servers::Context as ServerContext;
 use crate::node::subjects::Room;
 use hollypaddle_config::{Conf, Problem};
 use hollypaddle_policy::{ClassSettings, ListKind, Settings};
@@ -44,7 +44,8 @@
             }
         }
         // What can fail comes first, so that all of the new configuration counts or nothing.
-        let opened = resolver::open(new.dns).and_then(|socket| Ok((self.watch.add(&socket, false)?, socket)));
+        let opened =
+            resolver::open_socket(new.dns).and_then(|socket| Ok((self.watch.add(&socket, false)?, socket)));
         let (key, socket) = match opened {
             Ok(opened) => opened,
             Err(error) => {
@@ -74,16 +75,16 @@
         if !kept {
             self.fleet_entries.clear();
         }
-        self.watch.remove(&self.resolver.move_to(socket));
+        self.watch.remove(&self.resolver.replace_socket(socket));
         self.resolver_key = key;
         if self.resolver.accept(new.known.position) {
-            let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-            self.servers.list(&new.known, ListKind::Full, &mut turn);
-            self.clients.set_most(self.servers.left_to_callers());
+            let mut server_ctx = ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+            self.servers.apply_list(&new.known, ListKind::Full, &mut server_ctx);
+            self.clients.set_max_connections(self.servers.max_caller_connections());
         }
         let classes = table.changes(&self.classes);
         self.retune(new.settings.clone(), table);
-        self.resolver.ask();
+        self.resolver.send_query();
         self.decide(now);
         self.figures.reloaded(true);
         log::info!(resolver:% = new.dns, changes:% = changes, classes:% = classes; "configuration-read");
@@ -146,7 +147,7 @@
         settings.classes = entries.iter().map(|e| e.settings.0.clone()).collect();
         settings.release_time += SOCKET_SLACK;
         self.calls.calls_last(settings.mean_holding_time);
-        self.clients.set_stay_away(settings.max_retry_after);
+        self.clients.set_max_retry_after(settings.max_retry_after);
         self.controller.update_settings(settings);
         let link = |e: &hollypaddle_service::classes::Entry<(ClassSettings, LinkClass)>| LinkClass {
             live: e.live,
--- a/crates/gatekeeper/src/node/event_loop/stopping.rs
+++ b/crates/gatekeeper/src/node/event_loop/stopping.rs
@@ -2,7 +2,7 @@
 
 use super::{repeatable, Gatekeeper, TICK};
 use crate::node::config::{Config, ConfigError};
-use crate::node::servers::Turn;
+use crate::node::servers::Context as ServerContext;
 use crate::node::subjects::Room;
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -95,23 +95,25 @@
         // nothing now would be lost with it.
         self.clients.close_all(now, &self.watch, &mut self.calls);
         let until = now + LAST_WORDS;
-        while (self.clients.closing() || self.clients.listening()) && self.clock.now() < until {
+        while (self.clients.has_closing_connections() || self.clients.is_listening())
+            && self.clock.now() < until
+        {
             let wait = if self.clock.runs() { (until - self.clock.now()).max(0.0) } else { 0.0 };
             let all = self.watch.wait(wait)?;
             if all.is_empty() && !self.clock.runs() {
                 self.clock.skip(TICK);
             }
             for ready in all {
-                self.clients.ready(self.clock.now(), ready, &mut self.watch, &mut self.calls);
+                self.clients.handle_ready(self.clock.now(), ready, &mut self.watch, &mut self.calls);
                 // What servers and the resolver still say is read away: what is ready would be so again at once.
-                let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-                self.servers.ready(ready, &mut turn);
+                let mut server_ctx = ServerContext { now, watch: &mut self.watch, calls: &mut self.calls };
+                self.servers.handle_ready(ready, &mut server_ctx);
                 if ready.key == self.resolver_key {
-                    self.resolver.read();
+                    self.resolver.read_answers();
                 }
             }
             // Connections that were closed have left their descriptors to callers that still wait.
-            if self.clients.listening() {
+            if self.clients.is_listening() {
                 self.answer_rest(now);
                 self.clients.close_all(now, &self.watch, &mut self.calls);
             }
@@ -123,7 +125,7 @@
     /// Answers all that has come by now, at the end of the program: a connection that ends with a set-up unread in it, or
     /// that is not accepted, has lost that.
     fn answer_rest(&mut self, now: f64) {
-        self.clients.take_last(now, &mut self.watch, &mut self.calls);
+        self.clients.accept_remaining(now, &mut self.watch, &mut self.calls);
         self.clients.read_all(now, &self.watch, &mut self.calls);
         self.answer_open(now);
         // What was read on the way to telling these.
@@ -134,7 +136,7 @@
 
     /// Answers the calls that have no final answer yet, as the program ends.
     fn answer_open(&mut self, now: f64) {
-        self.calls.answer_all(repeatable(&self.classes), self.clients.stay_away());
+        self.calls.answer_all(repeatable(&self.classes), self.clients.retry_after());
         self.decide(now);
     }
 }
--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -176,7 +176,7 @@
 
     /// Hands the ends for which no caller is here to members that have some.
     pub fn hand_over_ends(&mut self, now: f64, clients: &mut Clients) {
-        let here = clients.has_successor();
+        let here = clients.has_fallback_connection();
         self.member.callers(here);
         if !here && self.member.others_have_callers() {
             clients.take_undelivered().for_each(|(id, cut)| self.member.owes(now, id, cut));
--- a/crates/gatekeeper/src/node/observations.rs
+++ b/crates/gatekeeper/src/node/observations.rs
@@ -55,7 +55,7 @@
         reporter: &mut dyn ServerReporter,
     ) -> Vec<ServerKey> {
         let mut gone: Vec<PoolId> = self.0.keys().copied().collect();
-        for known in servers.known() {
+        for known in servers.summaries() {
             gone.retain(|pool| *pool != known.pool);
             let server = ServerKey::of(known.name);
             let place = match known.listed.readiness {
@@ -117,18 +117,18 @@
         guard: &mut Guard,
     ) -> Vec<PoolEntry> {
         let mut by_pool = HashMap::new();
-        for known in servers.known() {
+        for known in servers.summaries() {
             let of = observations.get(&ServerKey::of(known.name));
             let started_ms = (known.listed.started.max(0.0) * 1000.0) as u64;
             let silent = of.filter(|s| s.fact.started_ms >= started_ms).and_then(|s| s.silent);
             guard.silence(now, known.pool, silent.map(|(at, _)| at), known.last_message_at);
             by_pool.extend(of.map(|of| (known.pool, *of)));
         }
-        let ready = servers.known().filter(|k| k.listed.readiness == Readiness::Ready).map(|k| k.pool);
+        let ready = servers.summaries().filter(|k| k.listed.readiness == Readiness::Ready).map(|k| k.pool);
         guard.in_service(&ready.collect::<Vec<PoolId>>());
         let old = std::mem::replace(&mut self.by_pool, by_pool);
         let old_at = std::mem::replace(&mut self.list_at, list_at);
-        let entries = servers.entries().into_iter();
+        let entries = servers.pool_entries().into_iter();
         let was = |e: &PoolEntry| overlay(*e, old.get(&e.pool), old_at, late);
         let is = |e: &PoolEntry| overlay(*e, self.by_pool.get(&e.pool), list_at, late);
         entries.filter(|e| was(e) != is(e)).map(|e| is(&e)).collect()
--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -21,7 +21,7 @@
 
 use super::listen::bind;
 use super::poller::{Key, Ready, Watch};
-use super::servers::dial;
+use super::servers::connect_nonblocking;
 
 /// Longest frame, with its length. The longest word is a piece of a stream, of some 15 KiB.
 const MAX_FRAME_BYTES: usize = 64 * 1024;
@@ -499,7 +499,7 @@
             if let Some(peer) = self.members.get_mut(&id) {
                 peer.next_dial = now + peer.redial_delay;
             }
-            match dial(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
+            match connect_nonblocking(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.refused(now, id),
                 // A want of descriptors, or a way that is not there: it tells nothing of the member.
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -20,7 +20,7 @@
 
 use super::listen::bind;
 use super::poller::{Key, Ready, Watch};
-use super::servers::dial;
+use super::servers::connect_nonblocking;
 
 /// Bytes of a message that may wait for a link to take them.
 const MAX_QUEUED_BYTES: usize = 2 * message::MOST;
@@ -476,7 +476,7 @@
     pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         for (id, to) in node.dials(now) {
             let dialed = match self.addresses.get(&to) {
-                Some(address) => dial(*address),
+                Some(address) => connect_nonblocking(*address),
                 None => Err(ErrorKind::AddrNotAvailable.into()),
             };
             let made = dialed.and_then(|stream| {
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -318,7 +318,7 @@
     // A listener whose queue is full takes no further ones: they stay on their way.
     let listener = bind((Ipv4Addr::LOCALHOST, 0).into(), 0).unwrap();
     let address = listener.local_addr().unwrap();
-    let full: Vec<TcpStream> = (0..4).filter_map(|_| dial(address).ok()).collect();
+    let full: Vec<TcpStream> = (0..4).filter_map(|_| connect_nonblocking(address).ok()).collect();
     leaf.set_address(MemberId(2), address);
     let link = leaf.node.dial(MemberId(2));
     leaf.iterate();
--- a/crates/gatekeeper/src/node/resolver.rs
+++ b/crates/gatekeeper/src/node/resolver.rs
@@ -30,7 +30,7 @@
     asked: VecDeque<u16>,
     next: u16,
     position: u64,
-    /// See [`Resolver::confirmed`].
+    /// See [`Resolver::take_confirmed`].
     confirmed: bool,
     /// The list held came in one answer, and no other has borne it out yet.
     unproven: bool,
@@ -47,7 +47,7 @@
         seed: u64,
         districts: Vec<String>,
     ) -> io::Result<Resolver> {
-        let socket = open(address)?;
+        let socket = open_socket(address)?;
         let name = Name::from_ascii(LIST).map_err(io::Error::other)?;
         let (asked, confirmed) = (VecDeque::new(), false);
         let (unproven, older) = (false, None);
@@ -66,18 +66,18 @@
     }
 
     /// Questions on their way are forgotten: what answers them was said too long ago.
-    pub fn forget_asked(&mut self) {
+    pub fn forget_queries(&mut self) {
         self.asked.clear();
     }
 
     /// Whether a whole list that is no older than the one held was told since this was last asked.
-    pub fn confirmed(&mut self) -> bool {
+    pub fn take_confirmed(&mut self) -> bool {
         std::mem::take(&mut self.confirmed)
     }
 
     /// Asks on another socket from now on. Questions on the old one are forgotten, and the position
     /// is kept, as the numbers of the events go on. Returns the old socket, for the poller.
-    pub fn move_to(&mut self, socket: UdpSocket) -> UdpSocket {
+    pub fn replace_socket(&mut self, socket: UdpSocket) -> UdpSocket {
         self.asked.clear();
         std::mem::replace(&mut self.socket, socket)
     }
@@ -98,7 +98,7 @@
     }
 
     /// Asks for the list. A question that cannot be sent is as good as lost.
-    pub fn ask(&mut self) {
+    pub fn send_query(&mut self) {
         // Steps through all ids; odd, so that each comes once.
         self.next = self.next.wrapping_add(0x9e37);
         let mut question = Message::new(self.next, MessageType::Query, OpCode::Query);
@@ -115,7 +115,7 @@
     }
 
     /// Reads what has come; the newest list if it is news.
-    pub fn read(&mut self) -> Option<Snapshot> {
+    pub fn read_answers(&mut self) -> Option<Snapshot> {
         let mut news = None;
         let mut data = vec![0; ANSWER];
         for _ in 0..2 * OPEN_QUESTIONS {
@@ -208,7 +208,7 @@
 }
 
 /// A socket that speaks to a resolver.
-pub fn open(address: SocketAddr) -> io::Result<UdpSocket> {
+pub fn open_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let any = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
     let socket = UdpSocket::bind(any)?;
     socket.connect(address)?;
--- a/crates/gatekeeper/src/node/resolver/tests.rs
+++ b/crates/gatekeeper/src/node/resolver/tests.rs
@@ -22,7 +22,7 @@
 
     /// Asks, and answers with a list of one server at a position, so many times over.
     fn answer(&mut self, position: u32, draining: bool, times: usize) -> Option<Snapshot> {
-        self.resolver.ask();
+        self.resolver.send_query();
         let mut question = [0; 1024];
         let (n, from) = self.told.recv_from(&mut question).unwrap();
         let address = (Ipv4Addr::LOCALHOST, 5060).into();
@@ -31,7 +31,7 @@
         let answer = reply(&question[..n], position, &[listed]).unwrap().to_vec().unwrap();
         // On loopback what was sent is there to be read.
         (0..times).for_each(|_| assert_eq!(self.told.send_to(&answer, from).unwrap(), answer.len()));
-        self.resolver.read()
+        self.resolver.read_answers()
     }
 }
 
@@ -47,7 +47,7 @@
     assert_eq!(drains(w.answer(5, false, 1)), Some(false));
     assert_eq!(drains(w.answer(2, true, 1)), None, "one answer proves nothing");
     assert_eq!(drains(w.answer(2, true, 1)), Some(true));
-    assert!(w.resolver.confirmed());
+    assert!(w.resolver.take_confirmed());
     // The numbers of this life go on.
     assert_eq!(drains(w.answer(3, false, 1)), Some(false));
 }
@@ -70,12 +70,12 @@
 impl World {
     /// Asks, and answers with these bytes after the question's id.
     fn answer_with(&mut self, change: impl FnOnce(&[u8]) -> Vec<u8>) -> Option<Snapshot> {
-        self.resolver.ask();
+        self.resolver.send_query();
         let mut question = [0; 1024];
         let (n, from) = self.told.recv_from(&mut question).unwrap();
         let answer = change(&question[..n]);
         assert_eq!(self.told.send_to(&answer, from).unwrap(), answer.len());
-        self.resolver.read()
+        self.resolver.read_answers()
     }
 
     /// So many servers, as a list.
--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -18,7 +18,7 @@
 use hollypaddle_policy::settings::Telemetry;
 use hollypaddle_policy::{Event, ListKind, PoolEntry, PoolId};
 
-pub(super) use self::channel::dial;
+pub(super) use self::channel::connect_nonblocking;
 
 use self::channel::Channel;
 use self::incoming::judge;
@@ -35,7 +35,7 @@
 const MAX_HOLD_S: f64 = 0.004;
 
 /// What every step here works on.
-pub struct Turn<'a> {
+pub struct Context<'a> {
     /// The time, in Unix seconds.
     pub now: f64,
     /// The poller.
@@ -74,7 +74,7 @@
 }
 
 /// What is known of a server, to be told to other gatekeepers.
-pub struct Known<'a> {
+pub struct ServerSummary<'a> {
     /// Its id.
     pub name: &'a str,
     /// Its number here.
@@ -109,7 +109,7 @@
     }
 
     /// How many connections callers may hold beside those to the servers listed now.
-    pub fn left_to_callers(&self) -> usize {
+    pub fn max_caller_connections(&self) -> usize {
         self.descriptors.divided(self.servers.len()).callers
     }
 
@@ -121,7 +121,7 @@
     // ---- The list
 
     /// Takes a whole list. A server missing from it is gone.
-    pub fn list(&mut self, list: &Snapshot, kind: ListKind, turn: &mut Turn) {
+    pub fn apply_list(&mut self, list: &Snapshot, kind: ListKind, ctx: &mut Context) {
         let mut entries = Vec::new();
         let silence_limit = self.link.silence_limit();
         for (name, listed) in &list.servers {
@@ -132,27 +132,27 @@
             entries.push(entry(pool, listed));
             let server = self.servers.entry(pool).or_insert_with(|| {
                 log::info!(server = name.as_str(), state:? = listed.readiness, address:% = listed.address; "server-listed");
-                Server::new(name.clone(), listed.clone(), turn.now, silence_limit, self.seed)
+                Server::new(name.clone(), listed.clone(), ctx.now, silence_limit, self.seed)
             });
-            server.relisted(pool, listed.clone(), turn);
+            server.relisted(pool, listed.clone(), ctx);
         }
         let gone: Vec<PoolId> =
             self.servers.keys().filter(|p| !entries.iter().any(|e| e.pool == **p)).copied().collect();
         for pool in gone {
             if let Some(mut server) = self.servers.remove(&pool) {
                 self.pools.remove(&server.name);
-                server.close_channels(pool, |_| true, turn);
-                server.fail_waiting(pool, turn);
-                let cut = turn.calls.cut(pool, f64::INFINITY, false);
+                server.close_channels(pool, |_| true, ctx);
+                server.fail_waiting(pool, ctx);
+                let cut = ctx.calls.cut(pool, f64::INFINITY, false);
                 log::info!(server = server.name.as_str(), cut; "server-gone");
             }
         }
         self.link.connections = self.descriptors.divided(self.servers.len()).each_server;
-        turn.calls.events.push(Event::List { kind, entries });
+        ctx.calls.events.push(Event::List { kind, entries });
     }
 
     /// The list in force, as the decision module takes it.
-    pub fn entries(&self) -> Vec<PoolEntry> {
+    pub fn pool_entries(&self) -> Vec<PoolEntry> {
         self.servers.iter().map(|(pool, server)| entry(*pool, &server.listed)).collect()
     }
 
@@ -168,8 +168,8 @@
     }
 
     /// What is known of each server.
-    pub fn known(&self) -> impl Iterator<Item = Known<'_>> {
-        self.servers.iter().map(|(pool, s)| Known {
+    pub fn summaries(&self) -> impl Iterator<Item = ServerSummary<'_>> {
+        self.servers.iter().map(|(pool, s)| ServerSummary {
             name: &s.name,
             pool: *pool,
             listed: &s.listed,
@@ -189,7 +189,7 @@
     // ---- What the calls ask for
 
     /// Carries an order out.
-    pub fn order(&mut self, pool: PoolId, id: u64, order: Order, turn: &mut Turn) {
+    pub fn execute(&mut self, pool: PoolId, id: u64, order: Order, ctx: &mut Context) {
         let server = self.servers.get_mut(&pool);
         match (order, server) {
             (Order::SetUp { class, until, content }, Some(server))
@@ -197,12 +197,12 @@
             {
                 // The release of an earlier attempt would cut this one.
                 server.releases.forget_unsent(id);
-                server.waiting.push_back(WaitingSetUp { id, since: turn.now, class, until, content });
+                server.waiting.push_back(WaitingSetUp { id, since: ctx.now, class, until, content });
             }
-            (Order::SetUp { .. }, _) => turn.calls.never_ran(pool, id),
-            (Order::GiveUp, Some(server)) => server.give_up(pool, id, &self.link, turn),
-            (Order::GiveUp, None) => turn.calls.gave_up(pool, id),
-            (Order::Release, Some(server)) => server.release(turn.now, id, turn.watch),
+            (Order::SetUp { .. }, _) => ctx.calls.never_ran(pool, id),
+            (Order::GiveUp, Some(server)) => server.give_up(pool, id, &self.link, ctx),
+            (Order::GiveUp, None) => ctx.calls.gave_up(pool, id),
+            (Order::Release, Some(server)) => server.release(ctx.now, id, ctx.watch),
             (Order::Release, None) => {}
         }
     }
@@ -210,11 +210,11 @@
     /// Sends what waits, where a connection takes it, and asks for one where none does. Only once all that was heard in
     /// this turn is taken in: of two things that came together, a set-up's way to its server and the word that its caller has
     /// left, the word counts first.
-    pub fn send_waiting(&mut self, turn: &mut Turn) {
+    pub fn send_waiting(&mut self, ctx: &mut Context) {
         for (&pool, server) in self.servers.iter_mut().filter(|(_, s)| !s.waiting.is_empty()) {
-            server.send_waiting(pool, &self.link, turn);
+            server.send_waiting(pool, &self.link, ctx);
             if !server.waiting.is_empty() && server.channels.values().all(|c| c.up) {
-                server.connect(pool, &self.link, turn);
+                server.connect(pool, &self.link, ctx);
             }
         }
     }
@@ -227,7 +227,7 @@
     }
 
     /// Releases a call at every server, as it is not known where it stands.
-    pub fn release_anywhere(&mut self, now: f64, id: u64, watch: &Watch) {
+    pub fn release_everywhere(&mut self, now: f64, id: u64, watch: &Watch) {
         for server in self.servers.values_mut() {
             server.release(now, id, watch);
         }
@@ -236,25 +236,25 @@
     // ---- What happens on the sockets
 
     /// Takes what is ready, if it is a server's.
-    pub fn ready(&mut self, ready: Ready, turn: &mut Turn) {
+    pub fn handle_ready(&mut self, ready: Ready, ctx: &mut Context) {
         let found = self.servers.iter_mut().find(|(_, s)| s.channels.contains_key(&ready.key));
         let Some((&pool, server)) = found else { return };
         let Some(channel) = server.channels.get_mut(&ready.key) else { return };
         if !channel.up {
-            return server.connected(pool, ready.key, &self.link, turn);
+            return server.connected(pool, ready.key, &self.link, ctx);
         }
         let mut messages = Vec::new();
         let mut end = if ready.writable { channel.connection.flush() } else { Ok(()) };
         if end.is_ok() && ready.readable {
-            let calls = &*turn.calls;
+            let calls = &*ctx.calls;
             end = channel.connection.read_judged(&mut messages, &|candidate| judge(candidate, pool, calls));
         }
-        server.take(pool, ready.key, (messages, end), (&self.telemetry, &self.link), turn);
+        server.take(pool, ready.key, (messages, end), (&self.telemetry, &self.link), ctx);
     }
 
     /// Takes the messages that were held back for long enough.
-    pub fn release_held(&mut self, turn: &mut Turn) {
-        let due = |c: &Channel| c.held_since.is_some_and(|since| turn.now - since >= MAX_HOLD_S);
+    pub fn process_held_messages(&mut self, ctx: &mut Context) {
+        let due = |c: &Channel| c.held_since.is_some_and(|since| ctx.now - since >= MAX_HOLD_S);
         let due: Vec<(PoolId, Key)> = (self.servers.iter())
             .flat_map(|(pool, s)| s.channels.iter().map(move |(key, c)| (*pool, *key, c)))
             .filter_map(|(pool, key, c)| due(c).then_some((pool, key)))
@@ -262,23 +262,23 @@
         for (pool, key) in due {
             let Some(server) = self.servers.get_mut(&pool) else { continue };
             let Some(channel) = server.channels.get_mut(&key) else { continue };
-            let (mut messages, calls) = (Vec::new(), &*turn.calls);
+            let (mut messages, calls) = (Vec::new(), &*ctx.calls);
             let judge = |candidate: Candidate| judge(candidate, pool, calls);
             let end = channel.connection.release_held(&mut messages, &judge);
-            server.take(pool, key, (messages, end), (&self.telemetry, &self.link), turn);
+            server.take(pool, key, (messages, end), (&self.telemetry, &self.link), ctx);
         }
     }
 
     /// When the next message that is held back is due.
-    pub fn release_due(&self) -> Option<f64> {
+    pub fn held_messages_due_at(&self) -> Option<f64> {
         let held = self.servers.values().flat_map(|s| s.channels.values()).filter_map(|c| c.held_since);
         held.min_by(f64::total_cmp).map(|since| since + MAX_HOLD_S)
     }
 
     /// Looks after connections. Called now and then.
-    pub fn beat(&mut self, turn: &mut Turn) {
+    pub fn maintain(&mut self, ctx: &mut Context) {
         for (&pool, server) in &mut self.servers {
-            server.beat(pool, &self.link, turn);
+            server.maintain(pool, &self.link, ctx);
         }
     }
 }
@@ -309,27 +309,27 @@
         }
     }
 
-    fn relisted(&mut self, pool: PoolId, listed: Listed, turn: &mut Turn) {
+    fn relisted(&mut self, pool: PoolId, listed: Listed, ctx: &mut Context) {
         let old = std::mem::replace(&mut self.listed, listed);
         let (started, moved) = (self.listed.started, self.listed.address != old.address);
         if started > old.started || moved {
             // Another process: what stood at the old one was cut, though it may never have said so, and
             // connections to it may hang open if it vanished. Newer ones reached the new process.
             let before = if moved { f64::INFINITY } else { started };
-            let cut = turn.calls.cut(pool, before, false);
+            let cut = ctx.calls.cut(pool, before, false);
             log::info!(server = self.name.as_str(), cut; "server-restarted");
             let stale: Vec<Key> =
                 self.channels.iter().filter(|(_, c)| c.since < before).map(|(key, _)| *key).collect();
-            self.close_channels(pool, |key| stale.contains(&key), turn);
+            self.close_channels(pool, |key| stale.contains(&key), ctx);
             self.releases.forget_unconfirmed(before);
-            (self.retry_at, self.idle_retry_at, self.backoff) = (turn.now, turn.now, 0.0);
+            (self.retry_at, self.idle_retry_at, self.backoff) = (ctx.now, ctx.now, 0.0);
         }
         if self.listed.readiness != old.readiness {
             log::info!(server = self.name.as_str(), state:? = self.listed.readiness; "server-state");
         }
         if self.listed.readiness != Readiness::Ready {
             // Guards against a set-up that was decided before the drain was told and leaves after it.
-            self.fail_waiting(pool, turn);
+            self.fail_waiting(pool, ctx);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/channel.rs
+++ b/crates/gatekeeper/src/node/servers/channel.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Socket, Type};
 
 use super::release::Release;
-use super::Turn;
+use super::Context;
 use crate::node::delivery::Pending;
 use crate::node::poller::{Key, Watch};
 
@@ -69,12 +69,12 @@
     }
 
     /// Reports the give-ups that are out.
-    pub(super) fn report_give_ups(&mut self, pool: PoolId, key: Key, turn: &mut Turn) {
+    pub(super) fn report_give_ups(&mut self, pool: PoolId, key: Key, ctx: &mut Context) {
         let written = self.connection.written();
         while let Some((_, id)) = self.give_ups.pop_front_if(|(end, _)| *end <= written) {
-            turn.calls.gave_up(pool, id);
+            ctx.calls.gave_up(pool, id);
         }
-        self.watch(key, turn.watch);
+        self.watch(key, ctx.watch);
     }
 
     pub(super) fn watch(&mut self, key: Key, watch: &Watch) {
@@ -93,7 +93,7 @@
 }
 
 /// Begins to connect without waiting.
-pub(in crate::node) fn dial(address: SocketAddr) -> io::Result<TcpStream> {
+pub(in crate::node) fn connect_nonblocking(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -7,8 +7,8 @@
 use hollypaddle_platform::connection::{Connection, Over};
 use hollypaddle_policy::PoolId;
 
-use super::channel::{dial, Channel};
-use super::{Server, Turn};
+use super::channel::{connect_nonblocking, Channel};
+use super::{Context, Server};
 use crate::node::config::Link;
 use crate::node::delivery::Pending;
 use crate::node::poller::Key;
@@ -26,11 +26,11 @@
 const MAX_UNWRITTEN_BYTES: usize = 128 * 1024;
 
 impl Server {
-    pub(super) fn connect(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
-        if turn.now < self.retry_at {
+    pub(super) fn connect(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
+        if ctx.now < self.retry_at {
             return;
         }
-        self.retry_at = turn.now + RETRY_INTERVAL_S;
+        self.retry_at = ctx.now + RETRY_INTERVAL_S;
         self.tried += 1;
         // Makes room by closing what was silent for longest; set-ups open on a connection keep it until
         // they are given up.
@@ -38,17 +38,19 @@
             let unused = self.channels.iter().filter(|(_, c)| c.open.is_empty());
             let oldest = unused.min_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at)).map(|(key, _)| *key);
             match oldest {
-                Some(oldest) => self.close_channels(pool, |key| key == oldest, turn),
+                Some(oldest) => self.close_channels(pool, |key| key == oldest, ctx),
                 None => return,
             }
         }
-        match dial(self.listed.address).and_then(|stream| Ok((turn.watch.add(&stream, true)?, stream))) {
+        match connect_nonblocking(self.listed.address)
+            .and_then(|stream| Ok((ctx.watch.add(&stream, true)?, stream)))
+        {
             Ok((key, stream)) => {
                 let channel = Channel {
                     connection: Connection::new(stream, MAX_UNWRITTEN_BYTES),
                     up: false,
-                    since: turn.now,
-                    heard_at: turn.now,
+                    since: ctx.now,
+                    heard_at: ctx.now,
                     writing: true,
                     held_since: None,
                     open: BTreeMap::new(),
@@ -57,7 +59,7 @@
                 };
                 self.channels.insert(key, channel);
             }
-            Err(error) => self.connect_failed(pool, &error, turn),
+            Err(error) => self.connect_failed(pool, &error, ctx),
         }
     }
 
@@ -68,29 +70,29 @@
         key: Key,
         reason: &Over,
         link: &Link,
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) {
         log::debug!(server = self.name.as_str(), connection = key, reason:%; "connection-closed");
-        let lived = self.channels.get(&key).map_or(0.0, |c| turn.now - c.since);
-        self.close_channels(pool, |k| k == key, turn);
-        self.send_kept_releases(turn);
-        self.reconnect(lived, pool, link, turn);
+        let lived = self.channels.get(&key).map_or(0.0, |c| ctx.now - c.since);
+        self.close_channels(pool, |k| k == key, ctx);
+        self.send_kept_releases(ctx);
+        self.reconnect(lived, pool, link, ctx);
     }
 
     /// Connects again at once, unless it keeps closing new ones, or closes idle ones that nothing waits for: a connect that
     /// is refused tells that the process died with its calls. One that is on its way may have set out to a machine that was
     /// not there and would be noticed late; this end tells that the machine is back.
-    fn reconnect(&mut self, lived: f64, pool: PoolId, link: &Link, turn: &mut Turn) {
+    fn reconnect(&mut self, lived: f64, pool: PoolId, link: &Link, ctx: &mut Context) {
         self.quick_ends = if lived >= RETRY_INTERVAL_S { 0 } else { self.quick_ends.saturating_add(1) };
         if self.quick_ends <= MAX_QUICK_ENDS {
-            self.retry_at = turn.now;
+            self.retry_at = ctx.now;
         }
-        let asked = !self.waiting.is_empty() || turn.calls.any_at(pool);
+        let asked = !self.waiting.is_empty() || ctx.calls.any_at(pool);
         if !asked && !(1..=MAX_QUICK_ENDS).contains(&self.quick_ends) {
-            self.back_off(lived, turn.now);
+            self.back_off(lived, ctx.now);
         }
-        if asked || turn.now >= self.idle_retry_at {
-            self.connect(pool, link, turn);
+        if asked || ctx.now >= self.idle_retry_at {
+            self.connect(pool, link, ctx);
         }
     }
 
@@ -107,7 +109,7 @@
         self.backoff = (2.0 * self.backoff).clamp(FIRST_BACKOFF_S, MAX_BACKOFF_S);
     }
 
-    pub(super) fn connected(&mut self, pool: PoolId, key: Key, link: &Link, turn: &mut Turn) {
+    pub(super) fn connected(&mut self, pool: PoolId, key: Key, link: &Link, ctx: &mut Context) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
         let stream = channel.connection.stream();
         let result = match stream.take_error() {
@@ -119,19 +121,19 @@
             // Reset as it came up: there is somebody, and what waits has not run. Guards against a
             // healthy server taken for dead, and for a cold one as it answers again.
             Err(error) if error.kind() == ErrorKind::ConnectionReset && self.quick_ends < MAX_QUICK_ENDS => {
-                self.close_failed(pool, key, &Over::Broken(error), link, turn);
+                self.close_failed(pool, key, &Over::Broken(error), link, ctx);
             }
             Err(error) => {
-                self.close_channels(pool, |k| k == key, turn);
-                self.connect_failed(pool, &error, turn);
+                self.close_channels(pool, |k| k == key, ctx);
+                self.connect_failed(pool, &error, ctx);
             }
             Ok(()) => {
-                (channel.up, channel.since, channel.heard_at) = (true, turn.now, turn.now);
-                (self.heard_at, self.unreachable) = (turn.now, false);
+                (channel.up, channel.since, channel.heard_at) = (true, ctx.now, ctx.now);
+                (self.heard_at, self.unreachable) = (ctx.now, false);
                 log::debug!(server = self.name.as_str(), connection = key; "connection-up");
-                self.send_kept_releases(turn);
+                self.send_kept_releases(ctx);
                 if let Some(channel) = self.channels.get_mut(&key) {
-                    channel.watch(key, turn.watch);
+                    channel.watch(key, ctx.watch);
                 }
             }
         }
@@ -140,41 +142,41 @@
     /// No connection came up. The set-ups that waited for it never ran. Refused, with no other connection
     /// left, the process is dead and so is what stood there; with one, the server may only hold as many
     /// connections as it accepts.
-    pub(super) fn connect_failed(&mut self, pool: PoolId, error: &io::Error, turn: &mut Turn) {
+    pub(super) fn connect_failed(&mut self, pool: PoolId, error: &io::Error, ctx: &mut Context) {
         log::debug!(server = self.name.as_str(), error:%; "connection-failed");
-        self.back_off(0.0, turn.now);
-        self.fail_waiting(pool, turn);
+        self.back_off(0.0, ctx.now);
+        self.fail_waiting(pool, ctx);
         // Other errors, such as a want of descriptors, are ours and tell nothing of the server.
         self.unreachable |= matches!(
             error.kind(),
             ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable
         );
         if self.unreachable || error.kind() == ErrorKind::ConnectionRefused {
-            self.silent_at.get_or_insert(turn.now);
+            self.silent_at.get_or_insert(ctx.now);
         }
         if error.kind() == ErrorKind::ConnectionRefused && !self.channels.values().any(|c| c.up) {
             self.releases.forget_unconfirmed(f64::INFINITY);
-            let cut = turn.calls.cut(pool, f64::INFINITY, false);
+            let cut = ctx.calls.cut(pool, f64::INFINITY, false);
             if cut > 0 {
                 log::info!(server = self.name.as_str(), cut; "server-refuses-connections");
             }
         }
     }
 
-    pub(super) fn close_channels(&mut self, pool: PoolId, which: impl Fn(Key) -> bool, turn: &mut Turn) {
+    pub(super) fn close_channels(&mut self, pool: PoolId, which: impl Fn(Key) -> bool, ctx: &mut Context) {
         let keys: Vec<Key> = self.channels.keys().copied().filter(|k| which(*k)).collect();
         for key in keys {
             let Some(mut channel) = self.channels.remove(&key) else { continue };
-            turn.watch.remove(channel.connection.stream());
-            self.releases.keep_unconfirmed(channel.releases.take_unconfirmed(turn.now));
+            ctx.watch.remove(channel.connection.stream());
+            self.releases.keep_unconfirmed(channel.releases.take_unconfirmed(ctx.now));
             // Closing it gives up whatever was open on it, but an answer may have been lost with it: a
             // call that nobody waits for must not stand on.
             for id in channel.open.into_keys() {
-                turn.calls.reset(pool, id);
-                self.release(turn.now, id, turn.watch);
+                ctx.calls.reset(pool, id);
+                self.release(ctx.now, id, ctx.watch);
             }
             for (_, id) in channel.give_ups {
-                turn.calls.gave_up(pool, id);
+                ctx.calls.gave_up(pool, id);
             }
         }
     }
--- a/crates/gatekeeper/src/node/servers/incoming.rs
+++ b/crates/gatekeeper/src/node/servers/incoming.rs
@@ -7,7 +7,7 @@
 use hollypaddle_policy::settings::Telemetry;
 use hollypaddle_policy::{Cause, Outcome, PoolId, Report};
 
-use super::{Server, Turn};
+use super::{Context, Server};
 use crate::node::config::Link;
 use crate::node::poller::Key;
 
@@ -19,17 +19,17 @@
         key: Key,
         (messages, mut end): (Vec<Message>, Result<(), Over>),
         known: (&Telemetry, &Link),
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
-        channel.note_held(turn.now);
-        channel.report_give_ups(pool, key, turn);
+        channel.note_held(ctx.now);
+        channel.report_give_ups(pool, key, ctx);
         if !messages.is_empty() {
-            (channel.heard_at, self.heard_at, self.unreachable) = (turn.now, turn.now, false);
-            (self.last_message_at, self.silent_at) = (turn.now, None);
+            (channel.heard_at, self.heard_at, self.unreachable) = (ctx.now, ctx.now, false);
+            (self.last_message_at, self.silent_at) = (ctx.now, None);
         }
         for message in messages {
-            if let Err(reason) = self.heard(pool, key, message, known, turn) {
+            if let Err(reason) = self.heard(pool, key, message, known, ctx) {
                 end = Err(reason);
                 break;
             }
@@ -38,7 +38,7 @@
             if let Over::CutShort(cut) = &error {
                 self.count_cut_short(cut);
             }
-            self.close_failed(pool, key, &error, known.1, turn);
+            self.close_failed(pool, key, &error, known.1, ctx);
         }
     }
 
@@ -58,7 +58,7 @@
         key: Key,
         message: Message,
         (telemetry, link): (&Telemetry, &Link),
-        turn: &mut Turn,
+        ctx: &mut Context,
     ) -> Result<(), Over> {
         let id = message.call;
         let report = message.text(code::REPORT).map_or(Report::default(), |t| telemetry.decode_text(t));
@@ -76,29 +76,29 @@
             kind::ANSWER => {
                 self.silence_limit = link.silence_limit();
                 if let Some(sent_at) = self.take_open(key, id) {
-                    self.close_overtaken(pool, sent_at, link, turn);
+                    self.close_overtaken(pool, sent_at, link, ctx);
                 }
-                turn.calls.stood(turn.now, pool, id, description);
+                ctx.calls.stood(ctx.now, pool, id, description);
                 if told {
-                    turn.calls.load(pool, report);
+                    ctx.calls.load(pool, report);
                 }
             }
             kind::RELEASE if message.cause().is_none() || description.is_some() => {
                 // For a call that is not there it is no more than an answer ahead.
-                if turn.calls.is_at(pool, id) {
+                if ctx.calls.is_at(pool, id) {
                     return Err(Over::Improper("a release without a cause, or with a description"));
                 }
             }
             kind::RELEASE => {
                 self.silence_limit = link.silence_limit();
                 self.take_open(key, id);
-                turn.calls.ended(turn.now, pool, id, end(&message, report, link.longest()));
+                ctx.calls.ended(ctx.now, pool, id, end(&message, report, link.longest()));
             }
-            kind::STATE | kind::TEST_RESULT if told => turn.calls.load(pool, report),
+            kind::STATE | kind::TEST_RESULT if told => ctx.calls.load(pool, report),
             kind::TEST => {
                 let passed = Message::new(kind::TEST_RESULT, id).caused(1);
                 if let Some(channel) = self.channels.get_mut(&key) {
-                    channel.send(key, &passed, turn.watch);
+                    channel.send(key, &passed, ctx.watch);
                 }
             }
             kind::RELEASE_HEARD => self.confirm_release(id),
--- a/crates/gatekeeper/src/node/servers/liveness.rs
+++ b/crates/gatekeeper/src/node/servers/liveness.rs
@@ -7,7 +7,7 @@
 use hollypaddle_policy::PoolId;
 
 use super::channel::{last_heard, Channel, SentSetUp};
-use super::{Server, Turn};
+use super::{Context, Server};
 use crate::node::config::Link;
 use crate::node::poller::Key;
 
@@ -53,43 +53,43 @@
 
 impl Server {
     /// Looks after its connections and what waits for one.
-    pub(super) fn beat(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
-        self.close_stalled(pool, link, turn);
-        self.close_late(pool, link, turn);
-        self.connect_if_due(pool, link, turn);
-        self.fail_late_set_ups(pool, link, turn);
-        self.cut_if_vanished(pool, turn);
-        self.send_kept_releases(turn);
+    pub(super) fn maintain(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
+        self.close_stalled(pool, link, ctx);
+        self.close_late(pool, link, ctx);
+        self.connect_if_due(pool, link, ctx);
+        self.fail_late_set_ups(pool, link, ctx);
+        self.cut_if_vanished(pool, ctx);
+        self.send_kept_releases(ctx);
     }
 
-    fn close_stalled(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
-        let stalled = |c: &mut Channel| c.up && c.connection.stalled(turn.now, STALLED_AFTER_S);
+    fn close_stalled(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
+        let stalled = |c: &mut Channel| c.up && c.connection.stalled(ctx.now, STALLED_AFTER_S);
         let stalled: Vec<Key> =
             self.channels.iter_mut().filter_map(|(key, c)| stalled(c).then_some(*key)).collect();
         for key in stalled {
-            self.close_failed(pool, key, &Over::Stalled, link, turn);
+            self.close_failed(pool, key, &Over::Stalled, link, ctx);
         }
     }
 
     /// Closes connections that did not come up in time.
-    fn close_late(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
-        let late = |c: &Channel| !c.up && turn.now - c.since >= link.connect_timeout;
+    fn close_late(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
+        let late = |c: &Channel| !c.up && ctx.now - c.since >= link.connect_timeout;
         let late: BTreeMap<Key, f64> =
             self.channels.iter().filter(|(_, c)| late(c)).map(|(key, c)| (*key, c.since)).collect();
-        self.close_channels(pool, |key| late.contains_key(&key), turn);
+        self.close_channels(pool, |key| late.contains_key(&key), ctx);
         // Guards against one that set out before the server's last sign of life: to a machine that was
         // away and is back it comes to nothing, and tells nothing of now.
         if late.values().any(|since| *since >= self.heard_at) {
-            self.connect_failed(pool, &ErrorKind::TimedOut.into(), turn);
+            self.connect_failed(pool, &ErrorKind::TimedOut.into(), ctx);
         }
     }
 
     /// Connects where there is no connection, or where those that are there are silent.
-    fn connect_if_due(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
+    fn connect_if_due(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
         if self.channels.values().any(|c| !c.up) {
             return;
         }
-        let now = turn.now;
+        let now = ctx.now;
         let silent = self.is_silent(now);
         if silent {
             self.silence_limit *= 2.0;
@@ -100,26 +100,26 @@
         let limit = link.quiet();
         let quiet = self.channels.values().all(|c| now - c.since > limit && now - c.heard_at > limit);
         let due = self.channels.is_empty() && now >= self.idle_retry_at;
-        if silent || due || quiet && turn.calls.any_at(pool) {
-            self.connect(pool, link, turn);
+        if silent || due || quiet && ctx.calls.any_at(pool) {
+            self.connect(pool, link, ctx);
         }
     }
 
     /// Guards against set-ups that wait for a connection which is never opened, or that none takes: they go elsewhere in
     /// the time in which a connection has to come up, or are refused, not at their deadlines.
-    fn fail_late_set_ups(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
+    fn fail_late_set_ups(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
         let limit = link.connect_timeout + CONNECT_SLACK_S;
-        while let Some(late) = self.waiting.pop_front_if(|set_up| turn.now - set_up.since >= limit) {
-            turn.calls.never_ran(pool, late.id);
+        while let Some(late) = self.waiting.pop_front_if(|set_up| ctx.now - set_up.since >= limit) {
+            ctx.calls.never_ran(pool, late.id);
         }
     }
 
-    fn cut_if_vanished(&mut self, pool: PoolId, turn: &mut Turn) {
-        let silent_s = turn.now - self.heard_at;
+    fn cut_if_vanished(&mut self, pool: PoolId, ctx: &mut Context) {
+        let silent_s = ctx.now - self.heard_at;
         if !self.unreachable || silent_s < VANISHED_AFTER_S {
             return;
         }
-        let cut = turn.calls.cut(pool, turn.now, true);
+        let cut = ctx.calls.cut(pool, ctx.now, true);
         if cut > 0 {
             log::info!(server = self.name.as_str(), silent_s, cut; "server-vanished");
         }
@@ -137,14 +137,14 @@
 
     /// An answer came to a set-up sent at that time. Connections that were silent meanwhile are dead: what
     /// is open on them ends, and what the server said on them comes again on the next to be opened.
-    pub(super) fn close_overtaken(&mut self, pool: PoolId, sent_at: f64, link: &Link, turn: &mut Turn) {
+    pub(super) fn close_overtaken(&mut self, pool: PoolId, sent_at: f64, link: &Link, ctx: &mut Context) {
         let overtaken = |c: &Channel, set_up: &SentSetUp| {
             set_up.sent_at + OVERTAKEN_AFTER_S < sent_at && c.heard_at <= set_up.sent_at
         };
         let dead = |c: &Channel| c.open.values().any(|set_up| overtaken(c, set_up));
         let dead: Vec<Key> = self.channels.iter().filter(|(_, c)| dead(c)).map(|(key, _)| *key).collect();
         for key in dead {
-            self.close_failed(pool, key, &Over::Silent, link, turn);
+            self.close_failed(pool, key, &Over::Silent, link, ctx);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/release_queue.rs
+++ b/crates/gatekeeper/src/node/servers/release_queue.rs
@@ -15,7 +15,7 @@
 
 use super::channel::{last_heard, Channel};
 use super::release::Release;
-use super::{Server, Turn};
+use super::{Context, Server};
 use crate::node::poller::{Key, Watch};
 
 /// Releases kept for a server that could not be sent.
@@ -77,20 +77,20 @@
     }
 
     /// Sends the releases that are kept, where a connection is up.
-    pub(super) fn send_kept_releases(&mut self, turn: &mut Turn) {
+    pub(super) fn send_kept_releases(&mut self, ctx: &mut Context) {
         if last_heard(&mut self.channels).is_none() {
             return;
         }
         for release in std::mem::take(&mut self.releases.unsent) {
-            if !self.send_release(turn.now, release, turn.watch) {
+            if !self.send_release(ctx.now, release, ctx.watch) {
                 self.keep_unsent(release);
             }
         }
-        for release in self.releases.take_due(turn.now, turn.calls) {
+        for release in self.releases.take_due(ctx.now, ctx.calls) {
             let call = format_args!("{:016x}", release.id);
             log::debug!(server = self.name.as_str(), call:%; "release-resent");
             // Kept as it is, it brings no connection that would not come without it.
-            if !self.send_release(turn.now, release, turn.watch) {
+            if !self.send_release(ctx.now, release, ctx.watch) {
                 self.releases.keep_unconfirmed([release]);
             }
         }
--- a/crates/gatekeeper/src/node/servers/set_ups.rs
+++ b/crates/gatekeeper/src/node/servers/set_ups.rs
@@ -7,7 +7,7 @@
 
 use super::channel::{last_heard, SentSetUp};
 use super::release::Release;
-use super::{Server, Turn};
+use super::{Context, Server};
 use crate::node::config::Link;
 
 /// A set-up that waits for a connection.
@@ -26,13 +26,13 @@
     /// not be taken back when the server is told to drain, or when the caller leaves. Nor on old connections to a server that
     /// cannot be reached: set-ups swallowed there would be taken to run, while those that wait for a
     /// connection prove to have never run. One whose time is over stays for its timer, which is due.
-    pub(super) fn send_waiting(&mut self, pool: PoolId, link: &Link, turn: &mut Turn) {
+    pub(super) fn send_waiting(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
         let mut waiting = std::mem::take(&mut self.waiting);
         while !self.unreachable && !waiting.is_empty() {
             let Some((key, channel)) = last_heard(&mut self.channels) else { break };
-            let Some(next) = waiting.iter().position(|s| s.until > turn.now) else { break };
+            let Some(next) = waiting.iter().position(|s| s.until > ctx.now) else { break };
             let WaitingSetUp { id, class, until, content, .. } = &waiting[next];
-            let left = ((until - turn.now) * 1000.0).max(1.0);
+            let left = ((until - ctx.now) * 1000.0).max(1.0);
             let mut message = Message::new(kind::SET_UP, *id)
                 .with(code::CLASS, link.classes.get(*class).map_or("", |c| c.name.as_str()))
                 .with(code::WAIT, format!("{left:.0}"))
@@ -44,52 +44,52 @@
             match begun {
                 Ok(None) => break,
                 Ok(Some(end)) => {
-                    channel.open.insert(id, SentSetUp { sent_at: turn.now, end });
-                    turn.calls.forwards += 1;
-                    channel.watch(key, turn.watch);
+                    channel.open.insert(id, SentSetUp { sent_at: ctx.now, end });
+                    ctx.calls.forwards += 1;
+                    channel.watch(key, ctx.watch);
                     waiting.remove(next);
                     self.forget_releases(id);
                 }
                 // Whether any of it left is not known. The connection's end resets it.
                 Err(error) => {
-                    channel.open.insert(id, SentSetUp { sent_at: turn.now, end: 0 });
+                    channel.open.insert(id, SentSetUp { sent_at: ctx.now, end: 0 });
                     waiting.remove(next);
                     self.forget_releases(id);
-                    self.close_failed(pool, key, &error, link, turn);
+                    self.close_failed(pool, key, &error, link, ctx);
                 }
             }
         }
         self.waiting = waiting;
     }
 
-    pub(super) fn give_up(&mut self, pool: PoolId, id: u64, link: &Link, turn: &mut Turn) {
+    pub(super) fn give_up(&mut self, pool: PoolId, id: u64, link: &Link, ctx: &mut Context) {
         if let Some(at) = self.waiting.iter().position(|s| s.id == id) {
             self.waiting.remove(at);
-            return turn.calls.gave_up(pool, id);
+            return ctx.calls.gave_up(pool, id);
         }
         let Some((&key, channel)) = self.channels.iter_mut().find(|(_, c)| c.open.contains_key(&id)) else {
-            return turn.calls.gave_up(pool, id);
+            return ctx.calls.gave_up(pool, id);
         };
         let out = channel.open.remove(&id);
         // Half of it is written: the rest would bring the server a set-up that nobody waits for, however much later it
         // takes it. Nothing but the connection's end keeps it from arriving whole.
         if out.is_some_and(|out| out.end > channel.connection.written()) {
-            turn.calls.gave_up(pool, id);
-            return self.close_failed(pool, key, &Over::Stuck, link, turn);
+            ctx.calls.gave_up(pool, id);
+            return self.close_failed(pool, key, &Over::Stuck, link, ctx);
         }
-        let release = Release::new(turn.now, id);
-        match (channel.send_release(turn.now, key, release, turn.watch), out) {
+        let release = Release::new(ctx.now, id);
+        match (channel.send_release(ctx.now, key, release, ctx.watch), out) {
             (Some(end), _) => channel.give_ups.push_back((end, id)),
             // The end of this connection, which is broken, gives it up.
             (None, Some(out)) => drop(channel.open.insert(id, out)),
             (None, None) => {}
         }
-        channel.report_give_ups(pool, key, turn);
+        channel.report_give_ups(pool, key, ctx);
     }
 
-    pub(super) fn fail_waiting(&mut self, pool: PoolId, turn: &mut Turn) {
+    pub(super) fn fail_waiting(&mut self, pool: PoolId, ctx: &mut Context) {
         for set_up in std::mem::take(&mut self.waiting) {
-            turn.calls.never_ran(pool, set_up.id);
+            ctx.calls.never_ran(pool, set_up.id);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/tests.rs
+++ b/crates/gatekeeper/src/node/servers/tests.rs
@@ -40,15 +40,15 @@
         let (readiness, district) = (Readiness::Ready, None);
         let listed = Listed { address: self.address, number: 0, readiness, started, district };
         let list = Snapshot { position: position.into(), servers: [(name.to_owned(), listed)].into() };
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        self.servers.list(&list, ListKind::Full, &mut turn);
+        let mut ctx = Context { now, watch: &mut self.watch, calls: &mut self.calls };
+        self.servers.apply_list(&list, ListKind::Full, &mut ctx);
     }
 
     fn beat(&mut self, now: f64) {
         let ready = self.watch.wait(0.0).unwrap();
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        ready.into_iter().for_each(|ready| self.servers.ready(ready, &mut turn));
-        self.servers.beat(&mut turn);
+        let mut ctx = Context { now, watch: &mut self.watch, calls: &mut self.calls };
+        ready.into_iter().for_each(|ready| self.servers.handle_ready(ready, &mut ctx));
+        self.servers.maintain(&mut ctx);
     }
 
     /// The times at which a connection was tried, of those at which one might have been.
--- a/crates/gatekeeper/src/node/servers/tests/give_ups.rs
+++ b/crates/gatekeeper/src/node/servers/tests/give_ups.rs
@@ -32,8 +32,8 @@
 }
 
 impl World {
-    pub(super) fn turn(&mut self, now: f64) -> (&mut Servers, Turn<'_>) {
-        (&mut self.servers, Turn { now, watch: &mut self.watch, calls: &mut self.calls })
+    pub(super) fn context(&mut self, now: f64) -> (&mut Servers, Context<'_>) {
+        (&mut self.servers, Context { now, watch: &mut self.watch, calls: &mut self.calls })
     }
 
     /// An attempt of this call is given to the server. Returns the call's number here.
@@ -56,14 +56,14 @@
     pub(super) fn carry_out(&mut self, now: f64) {
         for effect in std::mem::take(&mut self.calls.effects) {
             let Effect::Server { pool, id, order } = effect else { continue };
-            let (servers, mut turn) = self.turn(now);
-            servers.order(pool, id, order, &mut turn);
+            let (servers, mut ctx) = self.context(now);
+            servers.execute(pool, id, order, &mut ctx);
         }
     }
 
     pub(super) fn send_waiting(&mut self, now: f64) {
-        let (servers, mut turn) = self.turn(now);
-        servers.send_waiting(&mut turn);
+        let (servers, mut ctx) = self.context(now);
+        servers.send_waiting(&mut ctx);
     }
 }
 
--- a/crates/gatekeeper/src/node/servers/tests/releases.rs
+++ b/crates/gatekeeper/src/node/servers/tests/releases.rs
@@ -18,8 +18,8 @@
 impl World {
     fn release(&mut self, now: f64, ids: impl IntoIterator<Item = u64>) {
         for id in ids {
-            let (servers, mut turn) = self.turn(now);
-            servers.order(POOL, id, Order::Release, &mut turn);
+            let (servers, mut ctx) = self.context(now);
+            servers.execute(POOL, id, Order::Release, &mut ctx);
         }
     }
 
@@ -58,8 +58,8 @@
     }
 
     fn connect(&mut self, now: f64) {
-        let mut turn = Turn { now, watch: &mut self.watch, calls: &mut self.calls };
-        self.servers.servers.get_mut(&POOL).unwrap().connect(POOL, &self.servers.link, &mut turn);
+        let mut ctx = Context { now, watch: &mut self.watch, calls: &mut self.calls };
+        self.servers.servers.get_mut(&POOL).unwrap().connect(POOL, &self.servers.link, &mut ctx);
         self.beat(now);
     }
 }
--- a/crates/gatekeeper/src/node/subjects.rs
+++ b/crates/gatekeeper/src/node/subjects.rs
@@ -276,7 +276,7 @@
             (None, Some(conf)) => {
                 let mut crossing = Crossing::new(conf.settings(room.platform), room.now);
                 // It was not there when the list came.
-                let entries = room.servers.entries();
+                let entries = room.servers.pool_entries();
                 crossing.on_event(room.now, &Event::List { kind: ListKind::Full, entries });
                 *gate = Some(crossing);
                 "on"
@@ -382,8 +382,8 @@
         if let (Some(fleet), Some(guard)) = (&mut self.fleet, &mut room.gates.fleet) {
             if fleet.tick(room.now, guard) {
                 // What waits at the socket was said before or while this process was paused.
-                room.resolver.forget_asked();
-                room.resolver.ask();
+                room.resolver.forget_queries();
+                room.resolver.send_query();
             }
         }
     }
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -620,8 +620,8 @@
         if let Some(joined) = &mut self.joined {
             if joined.tick(room.now) {
                 // What waits at the socket was said before or while this process was paused.
-                room.resolver.forget_asked();
-                room.resolver.ask();
+                room.resolver.forget_queries();
+                room.resolver.send_query();
             }
         }
     }
