--- a/crates/gatekeeper/tests/restarts/callers.rs
+++ b/crates/gatekeeper/tests/restarts/callers.rs
@@ -9,8 +9,8 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
+use crate::closing_callers::{never_read, Leaver, Step};
 use crate::history::{Call, Held, History, What};
-use crate::leavers::{never_read, Leaver, Step};
 use crate::plan::{manner, Load, Manner};
 
 /// Seconds between the two pieces of a set-up, and before a cancel.
--- a/crates/gatekeeper/tests/restarts/leavers.rs
+++ b/crates/gatekeeper/tests/restarts/closing_callers.rs
@@ -9,8 +9,8 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
+use crate::checks::SLACK;
 use crate::history::{Departure, History, What};
-use crate::judge::SLACK;
 use crate::plan::Manner;
 
 /// Seconds for which a caller waits at most before it closes, once what it waits for is there.
--- a/crates/gatekeeper/tests/restarts/drains.rs
+++ b/crates/gatekeeper/tests/restarts/drains.rs
@@ -16,8 +16,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::callers::Callers;
+use crate::checks::{judge, Broken, KILL_AFTER, SLACK, TERM};
 use crate::history::{Drain, History};
-use crate::judge::{judge, Broken, KILL_AFTER, SLACK, TERM};
 use crate::plan::{Load, Service, Signal};
 use crate::servers::Servers;
 use crate::{config, from_environment, send_signal, FULL_RATE, PAUSE, PROGRAM, RATE_AFTER, TURN};
--- a/crates/gatekeeper/tests/restarts/main.rs
+++ b/crates/gatekeeper/tests/restarts/main.rs
@@ -3,10 +3,10 @@
 //! platform's rules. `SEED=n RUNS=1` plays one again, `RUNS=n` plays more; `SIDE_BY_SIDE=n` plays so many at once.
 
 mod callers;
+mod checks;
+mod closing_callers;
 mod drains;
 mod history;
-mod judge;
-mod leavers;
 mod plan;
 mod servers;
 
@@ -21,8 +21,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use callers::Callers;
+use checks::{judge, Broken, EndsLeft, KILL_AFTER};
 use history::History;
-use judge::{judge, Broken, EndsLeft, KILL_AFTER};
 use plan::{Plan, Signal};
 use servers::Servers;
 
