--- a/crates/gatekeeper/tests/handover.rs
+++ b/crates/gatekeeper/tests/handover.rs
@@ -1,6 +1,6 @@
-//! An upgrade with real processes: a second gatekeeper starts beside the first at the same address, says that
-//! it is ready, and the first is told SIGTERM, all under load. Every request sent has to be heard and
-//! answered; none may be turned back by a refused or closed connection.
+//! An upgrade with real processes under load: a second gatekeeper starts beside the first at the same address, and
+//! the first receives SIGTERM once the second is ready. Every set-up must be answered; none may fail because its
+//! connection was refused or closed.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -12,21 +12,21 @@
 use hollypaddle_standin::resolver::{self, Listed};
 use hollypaddle_standin::{answer, free_addresses, peer, release, set_up, Peer};
 
-/// How long the load runs in all, and how many requests are out at once.
-const LOAD: Duration = Duration::from_secs(6);
-const AT_ONCE: usize = 8;
+/// Duration of the load, and the limit of set-ups that wait for an answer at the same time.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
+const MAX_WAITING: usize = 8;
 
-/// Starts the program; fails with its exit code and its log where it does not serve.
-fn start(folder: &Path, name: &str, config: &str, listen: SocketAddr, control: SocketAddr) -> Program {
+/// Starts the program; panics with its exit status and its log if it does not serve.
+fn start(dir: &Path, name: &str, config: &str, listen: SocketAddr, control: SocketAddr) -> Program {
     let (listen, control) = (listen.to_string(), control.to_string());
     let environment = [("PROXY_LISTEN", listen.as_str()), ("PROXY_CONTROL", control.as_str())];
     let program = Path::new(env!("CARGO_BIN_EXE_hollypaddle"));
-    let mut program = Program::start_in(program, folder, name, config, "", &environment).unwrap();
+    let mut program = Program::start_in(program, dir, name, config, "", &environment).unwrap();
     program.serving().unwrap();
     program
 }
 
-fn ready(control: SocketAddr) -> bool {
+fn is_ready(control: SocketAddr) -> bool {
     let timeout = Duration::from_secs(1);
     let Ok(mut stream) = TcpStream::connect_timeout(&control, timeout) else { return false };
     let _ = stream.set_write_timeout(Some(timeout));
@@ -37,18 +37,18 @@
     text.starts_with("HTTP/1.1 200")
 }
 
-struct Request {
+struct PendingSetUp {
     id: u64,
     caller: Peer,
-    since: Instant,
+    sent_at: Instant,
 }
 
 #[test]
-fn an_upgrade_under_load_turns_no_request_back() {
+fn an_upgrade_under_load_fails_no_set_up() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     server.set_nonblocking(true).unwrap();
     let dns = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let listed = Listed {
+    let server_entry = Listed {
         id: "s-0".into(),
         district: "downtown".into(),
         address: server.local_addr().unwrap(),
@@ -63,76 +63,77 @@
             "requestClasses":[{{"name":"meter-read","effect":"read_like","goalTime":1.5,"hardLimit":3.0,"value":1.0}}],
             "safety":{{"cold":14.0,"coldFrom":0.3,"overloadFactor":3.0}}}}}}"#,
         dns.local_addr().unwrap(),
-        resolver::known(1, &[listed])
+        resolver::known(1, &[server_entry])
     );
-    let folder = tempfile::tempdir().unwrap();
+    let dir = tempfile::tempdir().unwrap();
     let addresses = free_addresses(3).unwrap();
     let (listen, old_control, new_control) = (addresses[0], addresses[1], addresses[2]);
-    let mut old = start(folder.path(), "n0", &text, listen, old_control);
+    let mut old = start(dir.path(), "n0", &text, listen, old_control);
     let mut new: Option<Program> = None;
     let mut servers: Vec<Peer> = Vec::new();
-    let (mut out, mut next, mut answered, mut turned_back) = (Vec::<Request>::new(), 1u64, 0u64, Vec::new());
-    let began = Instant::now();
-    let mut termed = false;
-    while began.elapsed() < LOAD || !out.is_empty() {
+    let (mut waiting, mut next_id, mut answered, mut failures) =
+        (Vec::<PendingSetUp>::new(), 1u64, 0u64, Vec::new());
+    let started_at = Instant::now();
+    let mut term_sent = false;
+    while started_at.elapsed() < LOAD_DURATION || !waiting.is_empty() {
         assert!(
-            began.elapsed() < LOAD * 3,
-            "requests still out: {:?}",
-            out.iter().map(|r| r.id).collect::<Vec<_>>()
+            started_at.elapsed() < LOAD_DURATION * 3,
+            "set-ups still unanswered: {:?}",
+            waiting.iter().map(|p| p.id).collect::<Vec<_>>()
         );
-        // The upgrade: the new process after 1 s, SIGTERM to the old one once the new one is ready.
-        if new.is_none() && began.elapsed() > Duration::from_secs(1) {
-            new = Some(start(folder.path(), "n1", &text, listen, new_control));
+        // The upgrade: the new process starts after 1 s, and the old one gets SIGTERM once the new one is ready.
+        if new.is_none() && started_at.elapsed() > Duration::from_secs(1) {
+            new = Some(start(dir.path(), "n1", &text, listen, new_control));
         }
-        if new.is_some() && !termed && ready(new_control) {
+        if new.is_some() && !term_sent && is_ready(new_control) {
             old.signal("-TERM").unwrap();
-            termed = true;
+            term_sent = true;
         }
-        // Callers: one request a connection, as many at once as the bound.
-        while began.elapsed() < LOAD && out.len() < AT_ONCE {
+        // The callers: one set-up per connection, up to the limit.
+        while started_at.elapsed() < LOAD_DURATION && waiting.len() < MAX_WAITING {
             match TcpStream::connect(listen) {
                 Ok(stream) => {
                     let mut caller = peer(stream).unwrap();
-                    caller.send(&set_up("meter-read", 0, next, 2000)).unwrap();
-                    out.push(Request { id: next, caller, since: Instant::now() });
+                    caller.send(&set_up("meter-read", 0, next_id, 2000)).unwrap();
+                    waiting.push(PendingSetUp { id: next_id, caller, sent_at: Instant::now() });
                 }
-                Err(error) => turned_back.push(format!("{next}: connect: {error}")),
+                Err(error) => failures.push(format!("{next_id}: connect: {error}")),
             }
-            next += 1;
+            next_id += 1;
         }
-        // The server: every set-up stands, and ends at once.
+        // The server answers every set-up and ends the call at once.
         while let Ok((stream, _)) = server.accept() {
             servers.push(peer(stream).unwrap());
         }
         for s in &mut servers {
-            let mut heard = Vec::new();
-            let _ = s.read(&mut heard);
-            for m in heard.iter().filter(|m| m.kind == kind::SET_UP) {
+            let mut received = Vec::new();
+            let _ = s.read(&mut received);
+            for m in received.iter().filter(|m| m.kind == kind::SET_UP) {
                 let _ = s.send(&answer(m.call));
                 let _ = s.send(&release(m.call, cause::NORMAL));
             }
         }
-        out.retain_mut(|r| {
-            let mut heard: Vec<Message> = Vec::new();
-            let read = r.caller.read(&mut heard);
-            if heard.iter().any(|m| m.call == r.id && matches!(m.kind, kind::ANSWER | kind::RELEASE)) {
+        waiting.retain_mut(|p| {
+            let mut received: Vec<Message> = Vec::new();
+            let read = p.caller.read(&mut received);
+            if received.iter().any(|m| m.call == p.id && matches!(m.kind, kind::ANSWER | kind::RELEASE)) {
                 answered += 1;
                 return false;
             }
             if let Err(error) = read {
-                turned_back.push(format!("{}: {error}", r.id));
+                failures.push(format!("{}: {error}", p.id));
                 return false;
             }
-            if r.since.elapsed() > Duration::from_secs(4) {
-                turned_back.push(format!("{}: no answer", r.id));
+            if p.sent_at.elapsed() > Duration::from_secs(4) {
+                failures.push(format!("{}: no answer", p.id));
                 return false;
             }
             true
         });
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert!(termed, "the new process never said that it is ready");
-    // Bounded: an old process that does not end is a failure, not a hang.
+    assert!(term_sent, "the new process was never ready");
+    // With a deadline, so that an old process that does not end fails the test instead of blocking it.
     let deadline = Instant::now() + Duration::from_secs(10);
     let status = loop {
         if let Some(status) = old.child.try_wait().unwrap() {
@@ -143,9 +144,9 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     };
-    assert!(status.success(), "the old process ended badly: {status}");
-    assert!(ready(new_control), "the new process serves on");
+    assert!(status.success(), "the old process failed: {status}");
+    assert!(is_ready(new_control), "the new process is no longer ready");
     drop(new);
-    assert!(answered > 100, "too little load to tell: {answered}");
-    assert!(turned_back.is_empty(), "{} of {} turned back: {turned_back:?}", turned_back.len(), next - 1);
+    assert!(answered > 100, "too few set-ups answered to judge: {answered}");
+    assert!(failures.is_empty(), "{} of {} set-ups failed: {failures:?}", failures.len(), next_id - 1);
 }
