--- a/crates/gatekeeper/tests/rare.rs
+++ b/crates/gatekeeper/tests/rare.rs
@@ -1,4 +1,5 @@
-//! Rare moments of the program itself: what signals, limits and files do to a process while callers are there.
+//! Rare conditions of a real process: signals, descriptor limits and faulty configuration files while callers are
+//! connected.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -12,9 +13,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hollypaddle");
 
-/// A configuration with these servers, and the most descriptors.
+/// The platform file with these servers and this limit of descriptors.
 fn config(servers: &[TcpListener], dns: &UdpSocket, sockets: usize) -> String {
-    let listed = |(n, server): (usize, &TcpListener)| Listed {
+    let list_entry = |(n, server): (usize, &TcpListener)| Listed {
         id: format!("s-{n}"),
         district: "downtown".into(),
         address: server.local_addr().unwrap(),
@@ -22,7 +23,7 @@
         draining: false,
         started_ms: 0,
     };
-    let listed: Vec<Listed> = servers.iter().enumerate().map(listed).collect();
+    let listed: Vec<Listed> = servers.iter().enumerate().map(list_entry).collect();
     format!(
         r#"{{"seed":"8c1f","dns":"{}","limits":{{"sockets":{sockets}}},"known":{},
           "settings":{{"peersTotal":1,"period":0.005,"familyInfo":{{"release":0.3}},
@@ -40,6 +41,7 @@
     all
 }
 
+/// The command that starts the program under a limit of descriptors.
 fn command(config: &Path, listen: SocketAddr, descriptors: usize) -> Command {
     let mut command = Command::new("/bin/sh");
     command
@@ -51,7 +53,7 @@
     command
 }
 
-/// The program with its log, read in a thread of its own so that it never waits to write.
+/// A gatekeeper process with its log, which a separate thread reads so that the process never blocks on writing it.
 struct Program {
     child: Child,
     log: std::sync::mpsc::Receiver<String>,
@@ -64,18 +66,18 @@
         let (send, log) = std::sync::mpsc::channel();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(send.send(line))));
         let program = Program { child, log };
-        program.says("serving");
+        program.wait_for_log("serving");
         program
     }
 
-    fn says(&self, what: &str) {
-        let end = Instant::now() + Duration::from_secs(10);
-        while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
+    fn wait_for_log(&self, what: &str) {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while let Ok(line) = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
             if line.contains(what) {
                 return;
             }
         }
-        panic!("it does not say {what:?}");
+        panic!("{what:?} did not appear in the log within 10 s");
     }
 
     fn signal(&self, name: &str) {
@@ -91,7 +93,7 @@
     }
 }
 
-/// A server: every set-up stands, and ends at once.
+/// Serves as session servers that answer every set-up and end the call at once.
 fn serve(listeners: &[TcpListener], servers: &mut Vec<Peer>) {
     for listener in listeners {
         while let Ok((stream, _)) = listener.accept() {
@@ -99,49 +101,50 @@
         }
     }
     for server in servers {
-        let mut heard = Vec::new();
-        let _ = server.read(&mut heard);
-        for m in heard.iter().filter(|m| m.kind == kind::SET_UP) {
+        let mut received = Vec::new();
+        let _ = server.read(&mut received);
+        for m in received.iter().filter(|m| m.kind == kind::SET_UP) {
             let _ = server.send(&answer(m.call));
             let _ = server.send(&release(m.call, cause::NORMAL));
         }
     }
 }
 
-/// At every instant after SIGTERM in which the pages let set-ups come, on new connections for 0.4 s and on open ones for
-/// 0.6 s, each is answered; a second SIGTERM, a SIGHUP and one to a broken file change nothing; and it ends by itself.
+/// After SIGTERM, set-ups may by specification still come on new connections for 0.4 s and on open ones for 0.6 s. Each is
+/// answered, whenever it comes. A second SIGTERM, a SIGHUP and a SIGHUP with a broken file change nothing, and the process
+/// ends by itself.
 #[test]
-fn every_set_up_after_sigterm_is_answered_whatever_signals_come_between() {
-    let folder = tempfile::tempdir().unwrap();
-    let path: PathBuf = folder.path().join("n0.json");
+fn every_set_up_after_sigterm_is_answered_when_further_signals_follow() {
+    let dir = tempfile::tempdir().unwrap();
+    let path: PathBuf = dir.path().join("n0.json");
     let (listeners, dns) = (listeners(2), UdpSocket::bind("127.0.0.1:0").unwrap());
-    let whole = config(&listeners, &dns, 256);
-    std::fs::write(&path, &whole).unwrap();
+    let valid = config(&listeners, &dns, 256);
+    std::fs::write(&path, &valid).unwrap();
     let listen = free_addresses(1).unwrap()[0];
     let mut program = Program::start(&path, listen, 256);
     let mut servers = Vec::new();
-    let open: Vec<Peer> = (0..25).map(|_| peer(TcpStream::connect(listen).unwrap()).unwrap()).collect();
-    let mut open = open.into_iter();
-    let begun = Instant::now();
+    let kept_open: Vec<Peer> = (0..25).map(|_| peer(TcpStream::connect(listen).unwrap()).unwrap()).collect();
+    let mut kept_open = kept_open.into_iter();
+    let started_at = Instant::now();
     let mut callers: Vec<(u64, Peer, Vec<Message>)> = Vec::new();
     let mut signals = vec![(0.0, "-TERM"), (0.1, "-HUP"), (0.2, "-TERM"), (0.3, "-HUP")];
     let mut id = 0;
     let status = loop {
-        let at = begun.elapsed().as_secs_f64();
-        assert!(at < 10.0, "it does not end");
+        let at = started_at.elapsed().as_secs_f64();
+        assert!(at < 10.0, "the program did not end within 10 s of SIGTERM");
         while signals.first().is_some_and(|(due, _)| *due <= at) {
             let (due, name) = signals.remove(0);
             if due > 0.25 {
-                std::fs::write(&path, &whole[..whole.len() / 2]).unwrap();
+                std::fs::write(&path, &valid[..valid.len() / 2]).unwrap();
             }
             program.signal(name);
         }
         if at < 0.58 && at >= id as f64 * 0.01 {
             id += 1;
-            let fresh = at < 0.38 && id % 2 == 0;
-            let caller = match fresh {
+            let on_new = at < 0.38 && id % 2 == 0;
+            let caller = match on_new {
                 true => Some(peer(TcpStream::connect(listen).unwrap()).unwrap()),
-                false => open.next(),
+                false => kept_open.next(),
             };
             if let Some(mut caller) = caller {
                 caller.send(&set_up("meter-read", (id % 2) as u32, id, 2000)).unwrap();
@@ -149,82 +152,86 @@
             }
         }
         serve(&listeners, &mut servers);
-        callers.iter_mut().for_each(|(_, caller, heard)| drop(caller.read(heard)));
+        callers.iter_mut().for_each(|(_, caller, received)| drop(caller.read(received)));
         if let Some(status) = program.child.try_wait().unwrap() {
             break status;
         }
         std::thread::sleep(Duration::from_millis(1));
     };
     assert!(status.success(), "{status}");
-    assert!(begun.elapsed() < Duration::from_secs_f64(3.7), "killed before its end");
-    callers.iter_mut().for_each(|(_, caller, heard)| drop(caller.read(heard)));
+    assert!(
+        started_at.elapsed() < Duration::from_secs_f64(3.7),
+        "the program ended too late, it would have been killed"
+    );
+    callers.iter_mut().for_each(|(_, caller, received)| drop(caller.read(received)));
     let unanswered: Vec<u64> = (callers.iter())
-        .filter(|(id, _, heard)| !heard.iter().any(|m| m.call == *id && m.kind == kind::ANSWER))
+        .filter(|(id, _, received)| !received.iter().any(|m| m.call == *id && m.kind == kind::ANSWER))
         .map(|(id, ..)| *id)
         .collect();
-    assert!(callers.len() > 35, "{}", callers.len());
-    assert!(unanswered.is_empty(), "{unanswered:?} of {}", callers.len());
+    assert!(callers.len() > 35, "too few set-ups to judge: {}", callers.len());
+    assert!(unanswered.is_empty(), "unanswered: {unanswered:?} of {}", callers.len());
 }
 
-/// Idle callers take all that callers may while the resolver says nothing: every server still has its connection, one that
-/// asks is answered, and SIGHUP still finds a descriptor for the new resolver. The limit is the system's too.
+/// Idle callers use all descriptors that callers may have, while the resolver is silent. Every server still gets its
+/// connection, a caller that sends a set-up is answered, and a reload still finds a descriptor for the new resolver. The
+/// limit in the file is also the limit of the operating system.
 #[test]
-fn idle_callers_leave_descriptors_to_servers_and_to_a_reload() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("n0.json");
-    let (listeners, silent) = (listeners(16), UdpSocket::bind("127.0.0.1:0").unwrap());
-    std::fs::write(&path, config(&listeners, &silent, 64)).unwrap();
+fn idle_callers_leave_descriptors_for_servers_and_for_a_reload() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("n0.json");
+    let (listeners, silent_resolver) = (listeners(16), UdpSocket::bind("127.0.0.1:0").unwrap());
+    std::fs::write(&path, config(&listeners, &silent_resolver, 64)).unwrap();
     let listen = free_addresses(1).unwrap()[0];
     let program = Program::start(&path, listen, 64);
     let idle: Vec<TcpStream> = (0..120).map(|_| TcpStream::connect(listen).unwrap()).collect();
     let mut servers = Vec::new();
-    let mut until = |what: &str, done: &mut dyn FnMut(usize) -> bool| {
-        let begun = Instant::now();
+    let mut until = |what: &str, condition: &mut dyn FnMut(usize) -> bool| {
+        let started_at = Instant::now();
         loop {
             serve(&listeners, &mut servers);
-            if done(servers.iter_mut().filter_map(|s| s.read(&mut Vec::new()).ok()).count()) {
+            if condition(servers.iter_mut().filter_map(|s| s.read(&mut Vec::new()).ok()).count()) {
                 return;
             }
-            assert!(begun.elapsed() < Duration::from_secs(5), "waited in vain for {what}");
+            assert!(started_at.elapsed() < Duration::from_secs(5), "timed out waiting for {what}");
             std::thread::sleep(Duration::from_millis(1));
         }
     };
     until("a connection to each server", &mut |up| up >= 16);
-    let mut asking = peer(TcpStream::connect(listen).unwrap()).unwrap();
-    asking.send(&Message::new(kind::TEST, 1).caused(0)).unwrap();
-    asking.send(&set_up("meter-read", 3, 2, 2000)).unwrap();
-    let mut heard = Vec::new();
+    let mut active = peer(TcpStream::connect(listen).unwrap()).unwrap();
+    active.send(&Message::new(kind::TEST, 1).caused(0)).unwrap();
+    active.send(&set_up("meter-read", 3, 2, 2000)).unwrap();
+    let mut received = Vec::new();
     until("an answer beside idle callers", &mut |_| {
-        let _ = asking.read(&mut heard);
-        heard.iter().any(|m| m.call == 2 && m.kind == kind::ANSWER)
+        let _ = active.read(&mut received);
+        received.iter().any(|m| m.call == 2 && m.kind == kind::ANSWER)
     });
-    let awake = UdpSocket::bind("127.0.0.1:0").unwrap();
-    awake.set_nonblocking(true).unwrap();
-    std::fs::write(&path, config(&listeners, &awake, 64)).unwrap();
+    let new_resolver = UdpSocket::bind("127.0.0.1:0").unwrap();
+    new_resolver.set_nonblocking(true).unwrap();
+    std::fs::write(&path, config(&listeners, &new_resolver, 64)).unwrap();
     program.signal("-HUP");
-    until("a question to the new resolver", &mut |_| awake.recv_from(&mut [0; 512]).is_ok());
+    until("a query to the new resolver", &mut |_| new_resolver.recv_from(&mut [0; 512]).is_ok());
     drop(idle);
 }
 
-/// Callers in use hold all descriptors as the program is told to end, and three times as many wait in the listener's queue
-/// with their set-ups written. What happened: the close of the listener reset all that waited. Each hears what became of its
-/// set-up, those that find no descriptor before the end as others leave theirs.
+/// At SIGTERM active callers hold all descriptors, and three times as many connections with a written set-up wait in the
+/// backlog of the listener. Closing the listener used to reset all of the latter. Every caller must learn the result of its
+/// set-up; those beyond the descriptors are accepted as others close.
 #[test]
 fn callers_beyond_the_descriptors_are_answered_as_the_program_ends() {
     const CALLERS: u64 = 200;
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("n0.json");
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("n0.json");
     let (listeners, dns) = (listeners(1), UdpSocket::bind("127.0.0.1:0").unwrap());
     std::fs::write(&path, config(&listeners, &dns, 64)).unwrap();
     let listen = free_addresses(1).unwrap()[0];
     let mut program = Program::start(&path, listen, 64);
-    // The server takes set-ups and says nothing.
+    // The server receives set-ups and sends nothing.
     let mut servers = Vec::new();
-    let mut at_server = |listeners: &[TcpListener]| {
+    let mut set_up_arrived = |listeners: &[TcpListener]| {
         servers.extend(listeners[0].accept().into_iter().map(|(stream, _)| peer(stream).unwrap()));
-        let mut heard = Vec::new();
-        servers.iter_mut().for_each(|s: &mut Peer| drop(s.read(&mut heard)));
-        heard.iter().any(|m| m.kind == kind::SET_UP)
+        let mut received = Vec::new();
+        servers.iter_mut().for_each(|s: &mut Peer| drop(s.read(&mut received)));
+        received.iter().any(|m| m.kind == kind::SET_UP)
     };
     let mut waiting: Vec<(u64, Peer)> = (1..=CALLERS)
         .map(|id| {
@@ -233,38 +240,42 @@
             (id, caller)
         })
         .collect();
-    let begun = Instant::now();
-    while !at_server(&listeners) {
-        assert!(begun.elapsed() < Duration::from_secs(5), "no set-up reaches the server");
+    let started_at = Instant::now();
+    while !set_up_arrived(&listeners) {
+        assert!(started_at.elapsed() < Duration::from_secs(5), "no set-up reached the server");
     }
     program.signal("-TERM");
     let mut lost = Vec::new();
     while !waiting.is_empty() {
-        assert!(begun.elapsed() < Duration::from_secs(10), "{} wait for ever", waiting.len());
-        at_server(&listeners);
+        assert!(
+            started_at.elapsed() < Duration::from_secs(10),
+            "{} callers still wait after 10 s",
+            waiting.len()
+        );
+        set_up_arrived(&listeners);
         waiting.retain_mut(|(id, caller)| {
-            let mut heard = Vec::new();
-            let end = caller.read(&mut heard);
-            let answered = heard.iter().any(|m| m.call == *id && m.kind == kind::RELEASE);
-            if !answered && end.is_err() {
-                lost.push(format!("{id}: {end:?}"));
+            let mut received = Vec::new();
+            let read_result = caller.read(&mut received);
+            let answered = received.iter().any(|m| m.call == *id && m.kind == kind::RELEASE);
+            if !answered && read_result.is_err() {
+                lost.push(format!("{id}: {read_result:?}"));
             }
-            !answered && end.is_ok()
+            !answered && read_result.is_ok()
         });
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert!(lost.is_empty(), "{} of {CALLERS} lost: {lost:?}", lost.len());
+    assert!(lost.is_empty(), "{} of {CALLERS} set-ups lost: {lost:?}", lost.len());
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A file that cannot be served by ends the start with exit code 1 and a line that names what is wrong; read at SIGHUP it
+/// At the start an invalid file ends the program with exit code 1 and a message that names the setting; at a reload it
 /// changes nothing.
 #[test]
-fn absurd_figures_end_the_start_and_lose_nothing_at_a_reload() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("n0.json");
+fn an_invalid_setting_fails_the_start_with_its_name_and_is_rejected_at_a_reload() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("n0.json");
     let (listeners, dns) = (listeners(1), UdpSocket::bind("127.0.0.1:0").unwrap());
-    let whole = config(&listeners, &dns, 64);
+    let valid = config(&listeners, &dns, 64);
     let bad = [
         (r#""hardLimit":3.0"#, r#""hardLimit":-3.0"#, "hardLimit"),
         (r#""hardLimit":3.0"#, r#""hardLimit":1e300"#, "hardLimit"),
@@ -273,26 +284,29 @@
         (r#""cold":14.0,"#, "", "cold"),
     ];
     let listen = free_addresses(1).unwrap()[0];
-    for (from, to, named) in bad {
-        std::fs::write(&path, whole.replace(from, to)).unwrap();
+    for (valid_text, invalid_text, setting) in bad {
+        std::fs::write(&path, valid.replace(valid_text, invalid_text)).unwrap();
         let Output { status, stderr, .. } = command(&path, listen, 64).output().unwrap();
-        let told = String::from_utf8_lossy(&stderr).into_owned();
-        assert_eq!(status.code(), Some(1), "{to}: {told}");
-        assert!(told.contains(named), "{to}: {told}");
+        let stderr_text = String::from_utf8_lossy(&stderr).into_owned();
+        assert_eq!(status.code(), Some(1), "{invalid_text}: {stderr_text}");
+        assert!(stderr_text.contains(setting), "{invalid_text}: {stderr_text}");
     }
-    std::fs::write(&path, &whole).unwrap();
+    std::fs::write(&path, &valid).unwrap();
     let program = Program::start(&path, listen, 64);
-    for (from, to, named) in bad {
-        std::fs::write(&path, whole.replace(from, to)).unwrap();
+    for (valid_text, invalid_text, setting) in bad {
+        std::fs::write(&path, valid.replace(valid_text, invalid_text)).unwrap();
         program.signal("-HUP");
-        program.says(named);
+        program.wait_for_log(setting);
     }
     let mut caller = peer(TcpStream::connect(listen).unwrap()).unwrap();
     caller.send(&set_up("meter-read", 0, 1, 2000)).unwrap();
-    let (mut heard, mut servers, begun) = (Vec::new(), Vec::new(), Instant::now());
-    while !heard.iter().any(|m: &Message| m.call == 1 && m.kind == kind::ANSWER) {
-        assert!(begun.elapsed() < Duration::from_secs(5), "it serves no more: {heard:?}");
+    let (mut received, mut servers, started_at) = (Vec::new(), Vec::new(), Instant::now());
+    while !received.iter().any(|m: &Message| m.call == 1 && m.kind == kind::ANSWER) {
+        assert!(
+            started_at.elapsed() < Duration::from_secs(5),
+            "no answer after rejected reloads: {received:?}"
+        );
         serve(&listeners, &mut servers);
-        let _ = caller.read(&mut heard);
+        let _ = caller.read(&mut received);
     }
 }
--- a/crates/gatekeeper/tests/signals.rs
+++ b/crates/gatekeeper/tests/signals.rs
@@ -1,15 +1,16 @@
-//! The program itself and its signals.
+//! Signals sent to a real gatekeeper process: SIGHUP and SIGTERM.
 
 use std::io::{BufRead, BufReader};
 use std::net::UdpSocket;
 use std::process::{Command, Stdio};
 
-/// Guards against a gatekeeper that ends on SIGHUP, or goes on with a resolver that answers no more.
+/// Guards against a gatekeeper that ends on SIGHUP, or continues to query the resolver of the old configuration.
 #[test]
-fn sighup_reads_the_configuration_anew_and_sigterm_ends() {
-    let (old, new) = (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
+fn sighup_reloads_the_configuration_and_sigterm_ends_the_process() {
+    let (old_resolver, new_resolver) =
+        (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
     let path = std::env::temp_dir().join(format!("hollypaddle-signals-{}.json", std::process::id()));
-    let write = |dns: &UdpSocket| {
+    let write_config = |dns: &UdpSocket| {
         let text = format!(
             r#"{{"dns":"{}","seed":"1","settings":{{"peersTotal":1,"period":0.005,
             "familyInfo":{{"release":0.3}},"limits":{{"tryLimit":6}},
@@ -19,7 +20,7 @@
         );
         std::fs::write(&path, text).unwrap();
     };
-    write(&old);
+    write_config(&old_resolver);
     let mut program = Command::new(env!("CARGO_BIN_EXE_hollypaddle"))
         .env("PROXY_NAME", "n0")
         .env("PROXY_LISTEN", "127.0.0.1:0")
@@ -29,20 +30,20 @@
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(program.stderr.take().unwrap()).lines();
-    let mut until = |text: &str| lines.by_ref().any(|line| line.unwrap().contains(text));
+    let mut wait_for_log = |text: &str| lines.by_ref().any(|line| line.unwrap().contains(text));
     let signal = |name: &str| {
         assert!(Command::new("kill").args([name, &program.id().to_string()]).status().unwrap().success());
     };
-    assert!(until("serving"));
-    write(&new);
+    assert!(wait_for_log("serving"));
+    write_config(&new_resolver);
     signal("-HUP");
-    assert!(until("configuration-read"), "it ended");
-    assert!(new.recv_from(&mut [0; 512]).is_ok(), "the new resolver is asked");
+    assert!(wait_for_log("configuration-read"), "the program ended on SIGHUP");
+    assert!(new_resolver.recv_from(&mut [0; 512]).is_ok(), "the new resolver received no query");
     std::fs::write(&path, "{").unwrap();
     signal("-HUP");
-    assert!(until("configuration-rejected"), "it ended");
+    assert!(wait_for_log("configuration-rejected"), "the program ended on SIGHUP with a broken file");
     signal("-TERM");
-    assert!(until("stopped"));
+    assert!(wait_for_log("stopped"));
     assert!(program.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
 }
