--- a/crates/gatekeeper/tests/restarts/callers.rs
+++ b/crates/gatekeeper/tests/restarts/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a run.
+//! The callers of one gatekeeper.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -9,254 +9,287 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::closing_callers::{never_read, Leaver, Step};
-use crate::history::{Call, Held, History, What};
-use crate::plan::{manner, Load, Manner};
+use crate::closing_callers::{record_unread_at_end, ClosingCaller, Outcome};
+use crate::history::{Call, HeldConnection, History, ReplyContent};
+use crate::plan::{random_caller_behavior, CallerBehavior, Load};
 
-/// Seconds between the two pieces of a set-up, and before a cancel.
-const MOMENT: f64 = 0.02;
-/// Part of set-ups that come on a new connection while those come at all.
-const ON_NEW: f64 = 0.4;
-/// New connections that are open at the same time: callers hold a third of the descriptors at most.
-const MOST_NEW: usize = 60;
+/// Seconds between the two parts of a set-up, and between a set-up and its cancellation.
+const WRITE_DELAY_S: f64 = 0.02;
+/// Fraction of set-ups on a new connection, while callers open any.
+const NEW_CONNECTION_RATIO: f64 = 0.4;
+/// Limit of new connections open at the same time, so that callers hold at most a third of the descriptors.
+const MAX_NEW_CONNECTIONS: usize = 60;
 
 struct Connection {
     peer: Peer,
-    /// It stays open after an answer.
+    /// Whether it stays open after an answer.
     kept: bool,
-    deaf: bool,
-    open: Vec<u64>,
-    /// Calls that stand, which came on it.
+    never_reads: bool,
+    /// Calls whose set-up waits for an answer.
+    unanswered: Vec<u64>,
+    /// Standing calls that were set up on it.
     standing: BTreeSet<u64>,
     /// When the last set-up was sent on it.
-    asked_at: Option<f64>,
-    /// What is to be written: the rest of a set-up, or a cancel.
-    later: Option<(f64, Later)>,
+    last_set_up_at: Option<f64>,
+    /// A write that is due at a time.
+    pending_write: Option<(f64, PendingWrite)>,
     /// When it was last seen open.
-    seen: f64,
+    last_open_at: f64,
 }
 
-enum Later {
-    Rest(u64, Vec<u8>),
+enum PendingWrite {
+    /// The second part of the set-up of a call.
+    RestOfSetUp(u64, Vec<u8>),
+    /// The cancellation of a call.
     Cancel(u64),
 }
 
-/// All callers.
+/// The callers with their connections.
 pub struct Callers {
     gatekeeper: SocketAddr,
-    rate: f64,
-    wait_ms: u32,
-    kept: usize,
-    pools: u32,
+    set_ups_per_s: f64,
+    deadline_ms: u32,
+    kept_connections: usize,
+    first_choices: u32,
     connections: Vec<Connection>,
-    leavers: Vec<Leaver>,
+    closing_callers: Vec<ClosingCaller>,
     next_id: u64,
-    next_at: f64,
+    next_set_up_at: f64,
 }
 
 impl Callers {
-    /// Callers of a gatekeeper, none connected yet.
+    /// Creates the callers of a gatekeeper, with no connections yet.
     pub fn new(gatekeeper: SocketAddr, load: Load) -> Callers {
         Callers {
             gatekeeper,
-            rate: load.rate,
-            wait_ms: (load.deadline * 1000.0) as u32,
-            kept: load.kept,
-            pools: load.pools,
+            set_ups_per_s: load.set_ups_per_s,
+            deadline_ms: (load.deadline * 1000.0) as u32,
+            kept_connections: load.kept_connections,
+            first_choices: load.first_choices,
             connections: Vec::new(),
-            leavers: Vec::new(),
+            closing_callers: Vec::new(),
             next_id: load.first_id,
-            next_at: 0.0,
+            next_set_up_at: 0.0,
         }
     }
 
-    /// Opens the connections that are kept, as far as they are not there.
-    pub fn connect(&mut self, now: f64) {
-        let there = self.connections.iter().filter(|c| c.kept).count();
-        for _ in there..self.kept {
+    /// Opens the missing ones of the kept connections.
+    pub fn open_kept_connections(&mut self, now: f64) {
+        let already_open = self.connections.iter().filter(|c| c.kept).count();
+        for _ in already_open..self.kept_connections {
             let _ = self.open(now, true);
         }
     }
 
-    /// The connections that are open and read.
-    pub fn held(&self, now: f64) -> Vec<Held> {
-        let read = self.connections.iter().filter(|c| !c.deaf);
-        let held = |c: &Connection| Held {
-            open: c.open.len(),
+    /// The open connections whose callers read.
+    pub fn held_connections(&self, now: f64) -> Vec<HeldConnection> {
+        let read = self.connections.iter().filter(|c| !c.never_reads);
+        let to_held = |c: &Connection| HeldConnection {
+            unanswered: c.unanswered.len(),
             standing: c.standing.len(),
-            asked_ago: c.asked_at.map(|at| now - at),
+            since_last_set_up_s: c.last_set_up_at.map(|at| now - at),
         };
-        read.map(held).collect()
+        read.map(to_held).collect()
     }
 
-    /// Set-ups whose answer is waited for.
+    /// Number of set-ups whose caller waits for an answer.
     pub fn waiting(&self) -> usize {
-        let others: usize = self.connections.iter().filter(|c| !c.deaf).map(|c| c.open.len()).sum();
-        others + self.leavers.iter().filter(|leaver| leaver.waits()).count()
+        let on_open_connections: usize =
+            self.connections.iter().filter(|c| !c.never_reads).map(|c| c.unanswered.len()).sum();
+        on_open_connections + self.closing_callers.iter().filter(|caller| caller.waits_for_answer()).count()
     }
 
-    /// Connects; nothing where the gatekeeper does not listen any more.
+    /// Connects; returns `None` if the gatekeeper no longer listens.
     fn open(&mut self, now: f64, kept: bool) -> Option<usize> {
         let stream = TcpStream::connect(self.gatekeeper).ok()?;
         let peer = peer(stream).ok()?;
         self.connections.push(Connection {
             peer,
             kept,
-            deaf: false,
-            open: Vec::new(),
+            never_reads: false,
+            unanswered: Vec::new(),
             standing: BTreeSet::new(),
-            asked_at: None,
-            later: None,
-            seen: now,
+            last_set_up_at: None,
+            pending_write: None,
+            last_open_at: now,
         });
         Some(self.connections.len() - 1)
     }
 
-    /// Many connections in one moment, each with a set-up.
-    pub fn crowd(&mut self, now: f64, count: usize, rng: &mut ChaCha8Rng, history: &mut History) {
+    /// Opens many connections at once, and sends a set-up on each.
+    pub fn connect_burst(&mut self, now: f64, count: usize, rng: &mut ChaCha8Rng, history: &mut History) {
         for _ in 0..count {
             if let Some(n) = self.open(now, false) {
-                self.send(now, n, Manner::Plain, rng, history);
+                self.send(now, n, CallerBehavior::Plain, rng, history);
             }
         }
     }
 
-    /// The set-ups that are due at this part of the rate.
-    pub fn call(&mut self, now: f64, part: f64, connects: bool, rng: &mut ChaCha8Rng, history: &mut History) {
-        self.write_later(now, history);
-        if part <= 0.0 {
+    /// Sends the set-ups that are due at this fraction of the rate.
+    pub fn send_due_set_ups(
+        &mut self,
+        now: f64,
+        rate_ratio: f64,
+        connects: bool,
+        rng: &mut ChaCha8Rng,
+        history: &mut History,
+    ) {
+        self.write_pending(now, history);
+        if rate_ratio <= 0.0 {
             return;
         }
-        // A turn that came late brings no burst.
-        self.next_at = self.next_at.max(now - 0.05);
-        while self.next_at <= now {
-            self.next_at += 1.0 / (self.rate * part);
-            let fresh = self.connections.iter().filter(|c| !c.kept).count() + self.leavers.len();
-            let on_new = connects && fresh < MOST_NEW && rng.gen_bool(ON_NEW);
+        // A late iteration of the loop sends no burst.
+        self.next_set_up_at = self.next_set_up_at.max(now - 0.05);
+        while self.next_set_up_at <= now {
+            self.next_set_up_at += 1.0 / (self.set_ups_per_s * rate_ratio);
+            let new_connections =
+                self.connections.iter().filter(|c| !c.kept).count() + self.closing_callers.len();
+            let on_new =
+                connects && new_connections < MAX_NEW_CONNECTIONS && rng.gen_bool(NEW_CONNECTION_RATIO);
             let connection = match on_new {
                 true => self.open(now, false),
-                false => self.kept_one(rng),
+                false => self.random_kept_connection(rng),
             };
             if let Some(n) = connection {
-                let manner = if self.connections[n].kept { Manner::Plain } else { manner(rng) };
-                self.send(now, n, manner, rng, history);
+                let behavior = if self.connections[n].kept {
+                    CallerBehavior::Plain
+                } else {
+                    random_caller_behavior(rng)
+                };
+                self.send(now, n, behavior, rng, history);
             }
         }
     }
 
-    fn kept_one(&self, rng: &mut ChaCha8Rng) -> Option<usize> {
+    fn random_kept_connection(&self, rng: &mut ChaCha8Rng) -> Option<usize> {
         let kept: Vec<usize> = (0..self.connections.len()).filter(|n| self.connections[*n].kept).collect();
         (!kept.is_empty()).then(|| kept[rng.gen_range(0..kept.len())])
     }
 
-    fn send(&mut self, now: f64, n: usize, manner: Manner, rng: &mut ChaCha8Rng, history: &mut History) {
+    fn send(
+        &mut self,
+        now: f64,
+        n: usize,
+        behavior: CallerBehavior,
+        rng: &mut ChaCha8Rng,
+        history: &mut History,
+    ) {
         let id = self.next_id;
         self.next_id += 1;
-        let message = set_up("meter-read", rng.gen_range(0..self.pools), id, self.wait_ms);
+        let message = set_up("meter-read", rng.gen_range(0..self.first_choices), id, self.deadline_ms);
         let connection = &mut self.connections[n];
-        connection.deaf = manner == Manner::Deaf;
-        let deaf = matches!(manner, Manner::Deaf | Manner::LeavesBoth);
-        let mut call = Call { sent: true, deaf, kept: connection.kept, ..Call::default() };
-        connection.open.push(id);
-        connection.asked_at = Some(now);
-        if manner == Manner::Pieces {
+        connection.never_reads = behavior == CallerBehavior::NeverReads;
+        let never_reads = matches!(behavior, CallerBehavior::NeverReads | CallerBehavior::LeavesAllUnread);
+        let mut call =
+            Call { sent: true, never_reads, on_kept_connection: connection.kept, ..Call::default() };
+        connection.unanswered.push(id);
+        connection.last_set_up_at = Some(now);
+        if behavior == CallerBehavior::SendsInParts {
             let mut bytes = Vec::new();
             message.encode(&mut bytes);
             let rest = bytes.split_off(rng.gen_range(1..bytes.len()));
             let _ = connection.peer.stream().write_all(&bytes);
-            connection.later = Some((now + MOMENT, Later::Rest(id, rest)));
+            connection.pending_write = Some((now + WRITE_DELAY_S, PendingWrite::RestOfSetUp(id, rest)));
         } else if connection.peer.send(&message).is_ok() {
-            call.written = Some(now);
+            call.written_at = Some(now);
         }
-        match manner {
-            Manner::Cancels => connection.later = Some((now + MOMENT, Later::Cancel(id))),
-            Manner::Closes => {
-                call.left = Some(now);
+        match behavior {
+            CallerBehavior::Cancels => {
+                connection.pending_write = Some((now + WRITE_DELAY_S, PendingWrite::Cancel(id)))
+            }
+            CallerBehavior::Closes => {
+                call.left_at = Some(now);
                 drop(self.connections.swap_remove(n));
             }
-            Manner::LeavesEnd | Manner::LeavesBoth | Manner::HalfCloses | Manner::Aborts => {
+            CallerBehavior::LeavesEndUnread
+            | CallerBehavior::LeavesAllUnread
+            | CallerBehavior::HalfCloses
+            | CallerBehavior::ResetsAtEnd => {
                 let peer = self.connections.swap_remove(n).peer;
-                self.leavers.push(Leaver::new(peer, id, manner, now, rng));
+                self.closing_callers.push(ClosingCaller::new(peer, id, behavior, now, rng));
             }
-            Manner::Plain | Manner::Pieces | Manner::Deaf => {}
+            CallerBehavior::Plain | CallerBehavior::SendsInParts | CallerBehavior::NeverReads => {}
         }
         history.calls.insert(id, call);
     }
 
-    fn write_later(&mut self, now: f64, history: &mut History) {
+    fn write_pending(&mut self, now: f64, history: &mut History) {
         for connection in &mut self.connections {
-            let Some((_, later)) = connection.later.take_if(|(at, _)| *at <= now) else { continue };
-            match later {
-                Later::Rest(id, rest) => {
-                    connection.asked_at = Some(now);
+            let Some((_, write)) = connection.pending_write.take_if(|(at, _)| *at <= now) else { continue };
+            match write {
+                PendingWrite::RestOfSetUp(id, rest) => {
+                    connection.last_set_up_at = Some(now);
                     let written = connection.peer.stream().write_all(&rest).is_ok();
-                    history.calls.entry(id).or_default().written = written.then_some(now);
+                    history.calls.entry(id).or_default().written_at = written.then_some(now);
                 }
-                Later::Cancel(id) => {
+                PendingWrite::Cancel(id) => {
                     let _ = connection.peer.send(&release(id, cause::NORMAL));
-                    history.calls.entry(id).or_default().left.get_or_insert(now);
+                    history.calls.entry(id).or_default().left_at.get_or_insert(now);
                 }
             }
         }
     }
 
-    /// Takes what has come.
-    pub fn hear(&mut self, now: f64, history: &mut History) {
-        self.hear_leavers(now, history);
-        let mut over = Vec::new();
+    /// Receives the messages that have arrived.
+    pub fn receive(&mut self, now: f64, history: &mut History) {
+        self.poll_closing_callers(now, history);
+        let mut ended = Vec::new();
         self.connections.retain_mut(|connection| {
-            if connection.deaf {
+            if connection.never_reads {
                 return true;
             }
-            let mut heard = Vec::new();
-            let end = connection.peer.read(&mut heard);
-            over.extend(heard.iter().filter_map(|message| connection.take(now, message, history)));
-            if end.is_err() {
-                for id in connection.open.drain(..) {
-                    history.calls.entry(id).or_default().ended = Some(connection.seen);
+            let mut received = Vec::new();
+            let read_result = connection.peer.read(&mut received);
+            ended.extend(received.iter().filter_map(|message| connection.record(now, message, history)));
+            if read_result.is_err() {
+                for id in connection.unanswered.drain(..) {
+                    history.calls.entry(id).or_default().connection_ended_at = Some(connection.last_open_at);
                 }
                 return false;
             }
-            connection.seen = now;
+            connection.last_open_at = now;
             if connection.kept {
-                history.kept_until = now;
+                history.kept_open_until = now;
             }
-            connection.kept || !connection.open.is_empty()
+            connection.kept || !connection.unanswered.is_empty()
         });
-        // The end of a call may come on any connection.
-        for connection in self.connections.iter_mut().filter(|_| !over.is_empty()) {
-            connection.standing.retain(|id| !over.contains(id));
+        // The end of a call may arrive on any connection.
+        for connection in self.connections.iter_mut().filter(|_| !ended.is_empty()) {
+            connection.standing.retain(|id| !ended.contains(id));
         }
     }
 
-    fn hear_leavers(&mut self, now: f64, history: &mut History) {
-        for mut leaver in std::mem::take(&mut self.leavers) {
-            match leaver.turn(now, history) {
-                Step::Stays => self.leavers.push(leaver),
-                Step::Closes => leaver.close(now, history),
-                Step::Lost => {}
+    fn poll_closing_callers(&mut self, now: f64, history: &mut History) {
+        for mut caller in std::mem::take(&mut self.closing_callers) {
+            match caller.poll(now, history) {
+                Outcome::Open => self.closing_callers.push(caller),
+                Outcome::Close => caller.close(now, history),
+                Outcome::Lost => {}
             }
         }
     }
 
-    /// The run is over: what still waits on an open connection was never answered.
+    /// Completes the records at the end of the run: set-ups that still wait on an open connection were never answered.
     pub fn finish(&mut self, history: &mut History) {
-        // What came together with the end of the process.
-        self.hear(f64::INFINITY, history);
-        self.connections.iter().filter(|c| c.deaf).for_each(|c| never_read(&c.peer, history));
+        // Messages that arrived together with the end of the process.
+        self.receive(f64::INFINITY, history);
+        self.connections
+            .iter()
+            .filter(|c| c.never_reads)
+            .for_each(|c| record_unread_at_end(&c.peer, history));
     }
 }
 
 impl Connection {
-    /// Takes a message; returns the call that is over by it.
-    fn take(&mut self, now: f64, message: &Message, history: &mut History) -> Option<u64> {
-        let what = What::of(message)?;
-        let over = matches!(what, What::Release(_));
-        history.heard(now, message.call, what);
-        self.open.retain(|id| *id != message.call);
-        if !over {
+    /// Records a message; returns its call if the message ends it.
+    fn record(&mut self, now: f64, message: &Message, history: &mut History) -> Option<u64> {
+        let content = ReplyContent::of(message)?;
+        let is_end = matches!(content, ReplyContent::Release(_));
+        history.record_reply(now, message.call, content);
+        self.unanswered.retain(|id| *id != message.call);
+        if !is_end {
             self.standing.insert(message.call);
         }
-        over.then_some(message.call)
+        is_end.then_some(message.call)
     }
 }
--- a/crates/gatekeeper/tests/restarts/checks.rs
+++ b/crates/gatekeeper/tests/restarts/checks.rs
@@ -1,87 +1,94 @@
-//! The rules of the platform that the history of a run is held against.
+//! Checks of the history of a run against the rules of the platform.
 
 use std::collections::BTreeMap;
 
 use hollypaddle_platform::message::cause;
 
-use crate::history::{Attempt, Call, Departure, Drain, Held, History};
+use crate::history::{Attempt, Call, ClosedConnection, Drain, HeldConnection, History};
 #[cfg(test)]
-use crate::history::{Reply, What};
-
-/// A set-up that crosses the close of its connection by less is sent again by its caller, and is not lost.
-const CROSSING: f64 = 0.05;
-/// No attempt begins so long after its caller has closed or cancelled; the sockets' slack is in it.
-const AFTER_LEAVING: f64 = 0.15;
-/// Two attempts that overlap by less are one after the other, as seen from two sides.
-pub const SLACK: f64 = 0.05;
-/// The end of a call that stood reaches its caller so long after its server has written it.
-const END_TOLD: f64 = 1.0;
-/// A process that ends by itself tells before that what was left unread so long before.
-const LEFT_BEFORE_OVER: f64 = 0.3;
-/// A drained gatekeeper holds no connection idle, or with a request of the last [`IN_USE`], so long after the drain began.
-pub const TERM: f64 = 4.0;
-const IN_USE: f64 = 2.0;
-/// It is ready so long after the end of a drain.
-const READY_AFTER: f64 = 2.0;
-/// SIGKILL comes once the longest deadline, counted as 3 s where it is shorter, and this have passed.
-pub const KILL_AFTER: f64 = 0.7;
-
-/// A rule, and what broke it.
+use crate::history::{Reply, ReplyContent};
+
+/// A set-up written less than this before its connection closed crossed the close: its caller sends it again, so it is not
+/// lost.
+const CLOSE_RACE_S: f64 = 0.05;
+/// No attempt starts later than this after its caller has closed or cancelled; includes the delay of the sockets.
+const MAX_START_AFTER_LEAVING_S: f64 = 0.15;
+/// Tolerance of times recorded at two sides: attempts that overlap by less count as successive.
+pub const TOLERANCE_S: f64 = 0.05;
+/// The end of an established call reaches its caller within this time after its server has written it.
+const MAX_END_DELAY_S: f64 = 1.0;
+/// A process that ends by itself redelivers before that the ends that were left unread at least this time earlier.
+const MIN_UNREAD_BEFORE_EXIT_S: f64 = 0.3;
+/// The term of a drain: this long after its start, a drained gatekeeper holds no connection that is idle or had a set-up in
+/// the last [`IN_USE_S`].
+pub const DRAIN_TERM_S: f64 = 4.0;
+const IN_USE_S: f64 = 2.0;
+/// A gatekeeper is ready within this time after the end of a drain.
+const MAX_READY_AFTER_DRAIN_S: f64 = 2.0;
+/// SIGKILL comes this long after the longest deadline, which counts as at least 3 s.
+pub const KILL_AFTER_DEADLINE_S: f64 = 0.7;
+
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// The rule.
     pub rule: &'static str,
-    /// What broke it.
-    pub what: String,
+    /// What violated it.
+    pub detail: String,
 }
 
 impl History {
-    /// Whether an end that was left at a departure can be judged: its process is known, and it ran on with callers there.
-    fn judged(&self, departure: &Departure) -> bool {
-        // Which process a caller came to is not known while two listen.
-        let known = self.successor.is_none_or(|at| departure.connected < at);
-        known && self.kept_until.min(self.over()) > departure.closed + LEFT_BEFORE_OVER + self.paused
+    /// Whether an end that was left unread on this connection can be judged: its process is known, and went on to run with
+    /// connected callers for long enough.
+    fn can_judge(&self, connection: &ClosedConnection) -> bool {
+        // While two processes listen, it is not known which one accepted a connection.
+        let known = self.successor_started_at.is_none_or(|at| connection.connected_at < at);
+        known
+            && self.kept_open_until.min(self.exited_at())
+                > connection.closed_at + MIN_UNREAD_BEFORE_EXIT_S + self.paused_s
     }
 
     /// When the process ended.
-    fn over(&self) -> f64 {
+    fn exited_at(&self) -> f64 {
         self.exit.map_or(f64::INFINITY, |(at, _)| at)
     }
 
-    /// When an end is told at the latest that could be told from this moment on.
-    fn due(&self, since: f64) -> f64 {
-        since + END_TOLD + SLACK + self.paused
+    /// The latest time at which an end is received that can be delivered from this time on.
+    fn latest_delivery(&self, since: f64) -> f64 {
+        since + MAX_END_DELAY_S + TOLERANCE_S + self.paused_s
     }
 }
 
-/// Ends that callers left unread as they closed, by their place there.
+/// Numbers of ends that callers left unread as they closed, by their position among the unread messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EndsLeft {
-    /// Last, and held against the rule.
+pub struct UnreadEnds {
+    /// The last message, and judged by the rule.
     pub judged: usize,
-    /// Last, where the run was over too soon, or two processes listened.
+    /// The last message, but not judged: the run ended too soon, or two processes listened.
     pub unjudged: usize,
-    /// Before the last message: a gatekeeper has no evidence that they were unread.
+    /// Before the last message: the gatekeeper cannot tell that they were unread.
     pub before_last: usize,
 }
 
-impl EndsLeft {
-    /// Those of one run.
-    pub fn of(history: &History) -> EndsLeft {
-        let mut left = EndsLeft::default();
-        for departure in history.departures.iter().filter(|departure| departure.closed.is_finite()) {
-            let Some((last, before)) = departure.unread.split_last() else { continue };
-            left.before_last += history.ends(before).count();
-            let last = history.ends(std::slice::from_ref(last)).count();
-            let judged = history.judged(departure);
-            *(if judged { &mut left.judged } else { &mut left.unjudged }) += last;
+impl UnreadEnds {
+    /// The numbers of one run.
+    pub fn of(history: &History) -> UnreadEnds {
+        let mut ends = UnreadEnds::default();
+        for connection in
+            history.closed_connections.iter().filter(|connection| connection.closed_at.is_finite())
+        {
+            let Some((last, before)) = connection.unread.split_last() else { continue };
+            ends.before_last += history.unread_ends(before).count();
+            let last = history.unread_ends(std::slice::from_ref(last)).count();
+            let can_judge = history.can_judge(connection);
+            *(if can_judge { &mut ends.judged } else { &mut ends.unjudged }) += last;
         }
-        left
+        ends
     }
 
-    /// Both together.
-    pub fn and(self, other: EndsLeft) -> EndsLeft {
-        EndsLeft {
+    /// The sum of both.
+    pub fn plus(self, other: UnreadEnds) -> UnreadEnds {
+        UnreadEnds {
             judged: self.judged + other.judged,
             unjudged: self.unjudged + other.unjudged,
             before_last: self.before_last + other.before_last,
@@ -91,327 +98,387 @@
 
 type Check = fn(&History) -> Vec<String>;
 
-/// The rules by name.
+/// The rules, with their descriptions.
 pub const RULES: [(&str, Check); 13] = [
-    ("a set-up that was taken is answered", unanswered),
+    ("a set-up that was written is answered", unanswered_set_ups),
     ("a call has one final answer", answered_twice),
-    ("one attempt of a call is out at a time", two_out),
-    ("no attempt begins for a caller that left", begun_after_leaving),
-    ("the process ends by itself with exit code 0 before it would be killed", bad_exit),
-    ("an answer is one that a server made for the call", made_up),
-    ("a call that stands is answered before its end", ended_unanswered),
-    ("the end of a call reaches its caller in time", end_not_told),
-    ("nothing is said of a call that nobody asked for", of_nobodys_call),
-    ("an end left unread is told to a caller that is there", left_end_not_told),
+    ("a call has one open attempt at a time", overlapping_attempts),
+    ("no attempt starts for a caller that has closed or cancelled", started_after_leaving),
+    ("the process ends by itself with exit code 0 before it would be killed", failed_exit),
+    ("an answer was made by a server for this call", forged_answers),
+    ("an established call is answered before its end", ended_unanswered),
+    ("the end of a call reaches its caller in time", undelivered_ends),
+    ("no message is sent for a call that no caller set up", unknown_calls),
+    ("an end left unread is redelivered to a connected caller", unread_ends_not_redelivered),
     ("a drained gatekeeper holds no connection idle or in use at its term", held_past_term),
-    ("a drained gatekeeper does not say that it is ready", ready_while_drained),
-    ("a gatekeeper is ready in time after a drain", late_after_drain),
+    ("a drained gatekeeper does not report to be ready", ready_while_drained),
+    ("a gatekeeper is ready in time after a drain", not_ready_after_drain),
 ];
 
-/// What breaks a rule.
-pub fn judge(history: &History) -> Vec<Broken> {
-    let broken = |(rule, check): (&'static str, Check)| {
-        check(history).into_iter().map(move |what| Broken { rule, what })
+/// Applies all rules to the history of a run.
+pub fn find_violations(history: &History) -> Vec<Violation> {
+    let violations = |(rule, check): (&'static str, Check)| {
+        check(history).into_iter().map(move |detail| Violation { rule, detail })
     };
-    RULES.into_iter().flat_map(broken).collect()
+    RULES.into_iter().flat_map(violations).collect()
 }
 
-fn unanswered(history: &History) -> Vec<String> {
+fn unanswered_set_ups(history: &History) -> Vec<String> {
     let lost = |(id, call): (&u64, &Call)| {
-        let written = call.written?;
-        let excused = call.left.is_some() || call.deaf || !call.replies.is_empty();
-        let crossed = call.ended.is_some_and(|ended| ended - written <= CROSSING);
-        let what = format!("call {id}, written at {written:.3}, connection ended {:?}", call.ended);
-        (!excused && !crossed).then_some(what)
+        let written = call.written_at?;
+        let excused = call.left_at.is_some() || call.never_reads || !call.replies.is_empty();
+        let crossed = call.connection_ended_at.is_some_and(|ended| ended - written <= CLOSE_RACE_S);
+        let detail = format!(
+            "call {id}, written at {written:.3}, connection last open at {:?}",
+            call.connection_ended_at
+        );
+        (!excused && !crossed).then_some(detail)
     };
     history.calls.iter().filter_map(lost).collect()
 }
 
 fn answered_twice(history: &History) -> Vec<String> {
-    // A reset that a caller makes by itself looks like one by something unread.
-    let aborted =
-        |id: &u64| history.departures.iter().filter(|departure| departure.aborted.contains(id)).count();
+    // The gatekeeper cannot distinguish a reset by its caller from a reset because of unread messages.
+    let resets = |id: &u64| {
+        history
+            .closed_connections
+            .iter()
+            .filter(|connection| connection.ends_read_before_reset.contains(id))
+            .count()
+    };
     let twice =
-        |id: &u64, call: &Call| call.answers().count() > 1 || call.releases().count() > 1 + aborted(id);
-    let told = |(id, call): (&u64, &Call)| twice(id, call).then(|| format!("call {id}: {:?}", call.replies));
-    history.calls.iter().filter_map(told).collect()
+        |id: &u64, call: &Call| call.answers().count() > 1 || call.releases().count() > 1 + resets(id);
+    let duplicate =
+        |(id, call): (&u64, &Call)| twice(id, call).then(|| format!("call {id}: {:?}", call.replies));
+    history.calls.iter().filter_map(duplicate).collect()
 }
 
-fn two_out(history: &History) -> Vec<String> {
-    let mut out: BTreeMap<u64, f64> = BTreeMap::new();
-    let mut broken = Vec::new();
+fn overlapping_attempts(history: &History) -> Vec<String> {
+    let mut open_until: BTreeMap<u64, f64> = BTreeMap::new();
+    let mut overlaps = Vec::new();
     for attempt in &history.attempts {
-        if out.get(&attempt.id).is_some_and(|until| attempt.begun + SLACK < *until) {
-            broken.push(format!("call {} at {:.3}", attempt.id, attempt.begun));
+        if open_until.get(&attempt.id).is_some_and(|until| attempt.started_at + TOLERANCE_S < *until) {
+            overlaps.push(format!(
+                "call {}: attempt started at {:.3} during another one",
+                attempt.id, attempt.started_at
+            ));
         }
-        out.insert(attempt.id, attempt.ended.unwrap_or(f64::INFINITY));
+        open_until.insert(attempt.id, attempt.ended_at.unwrap_or(f64::INFINITY));
     }
-    broken
+    overlaps
 }
 
-fn begun_after_leaving(history: &History) -> Vec<String> {
+fn started_after_leaving(history: &History) -> Vec<String> {
     let late = |attempt: &Attempt| {
-        let left = history.calls.get(&attempt.id)?.left?;
-        let what = format!("call {}, left at {left:.3}, begun at {:.3}", attempt.id, attempt.begun);
-        (attempt.after > left + AFTER_LEAVING).then_some(what)
+        let left_at = history.calls.get(&attempt.id)?.left_at?;
+        let detail = format!(
+            "call {}, left by its caller at {left_at:.3}, attempt started at {:.3}",
+            attempt.id, attempt.started_at
+        );
+        (attempt.previous_poll_at > left_at + MAX_START_AFTER_LEAVING_S).then_some(detail)
     };
     history.attempts.iter().filter_map(late).collect()
 }
 
-fn bad_exit(history: &History) -> Vec<String> {
-    let kill = history.term + history.deadline.max(3.0) + KILL_AFTER;
+fn failed_exit(history: &History) -> Vec<String> {
+    let kill = history.term_sent_at + history.deadline.max(3.0) + KILL_AFTER_DEADLINE_S;
     match history.exit {
         Some((at, true)) if at <= kill => Vec::new(),
-        exit => vec![format!("SIGTERM at {:.3}, ended {exit:?}", history.term)],
+        exit => vec![format!("SIGTERM at {:.3}, exit (time, success) {exit:?}", history.term_sent_at)],
     }
 }
 
-fn made_up(history: &History) -> Vec<String> {
-    let made = |id: u64, heard: &[u8]| {
+fn forged_answers(history: &History) -> Vec<String> {
+    let made_by_server = |id: u64, description: &[u8]| {
         let mut attempts = history.attempts.iter().filter(|attempt| attempt.id == id);
-        attempts.any(|attempt| attempt.answer.as_deref() == Some(heard))
+        attempts.any(|attempt| attempt.answer.as_deref() == Some(description))
     };
-    let calls = history.calls.iter().flat_map(|(id, call)| call.answers().map(move |heard| (*id, heard)));
+    let calls =
+        history.calls.iter().flat_map(|(id, call)| call.answers().map(move |description| (*id, description)));
     calls
-        .filter(|(id, heard)| !made(*id, heard))
-        .map(|(id, heard)| format!("call {id}: {}", heard.escape_ascii()))
+        .filter(|(id, description)| !made_by_server(*id, description))
+        .map(|(id, description)| format!("call {id}: answer {}", description.escape_ascii()))
         .collect()
 }
 
-/// The cause of a normal end, which no refusal and no failure has: the call stood, and its caller was not told.
+/// Only the end of an established call has the cause of a normal end, not a refusal or a failure: so the call was
+/// established without an answer to its caller.
 fn ended_unanswered(history: &History) -> Vec<String> {
-    let ended = |call: &Call| call.releases().any(|(_, why)| why == Some(cause::NORMAL));
-    let excused = |call: &Call| call.left.is_some() || call.deaf || call.ended.is_some();
-    let broken = |call: &Call| ended(call) && call.answers().count() == 0 && !excused(call);
-    history.calls.iter().filter(|(_, call)| broken(call)).map(|(id, _)| format!("call {id}")).collect()
+    let ended = |call: &Call| call.releases().any(|(_, release_cause)| release_cause == Some(cause::NORMAL));
+    let excused =
+        |call: &Call| call.left_at.is_some() || call.never_reads || call.connection_ended_at.is_some();
+    let violates = |call: &Call| ended(call) && call.answers().count() == 0 && !excused(call);
+    history.calls.iter().filter(|(_, call)| violates(call)).map(|(id, _)| format!("call {id}")).collect()
 }
 
-/// Of connections that their callers keep open; what becomes of ends on others is judged by [`left_end_not_told`].
-fn end_not_told(history: &History) -> Vec<String> {
-    let over = history.over();
+/// Checks kept connections only; [`unread_ends_not_redelivered`] checks the ends on others.
+fn undelivered_ends(history: &History) -> Vec<String> {
+    let exited_at = history.exited_at();
     let late = |attempt: &Attempt| {
-        let (written, call) = (attempt.call_ended?, history.calls.get(&attempt.id)?);
-        let due = history.due(written);
-        let answered = call.answers().any(|heard| attempt.answer.as_deref() == Some(heard));
-        let excused = !call.kept || call.ended.is_some_and(|ended| ended <= due) || over <= due;
-        let told = call.releases().any(|(at, _)| at <= due);
-        let what = format!("call {}, ended at {written:.3}: {:?}", attempt.id, call.replies);
-        (answered && !excused && !told).then_some(what)
+        let (written, call) = (attempt.call_ended_at?, history.calls.get(&attempt.id)?);
+        let due = history.latest_delivery(written);
+        let answered = call.answers().any(|description| attempt.answer.as_deref() == Some(description));
+        let excused = !call.on_kept_connection
+            || call.connection_ended_at.is_some_and(|ended| ended <= due)
+            || exited_at <= due;
+        let delivered = call.releases().any(|(at, _)| at <= due);
+        let detail = format!("call {}, end written at {written:.3}, received {:?}", attempt.id, call.replies);
+        (answered && !excused && !delivered).then_some(detail)
     };
     history.attempts.iter().filter_map(late).collect()
 }
 
-fn of_nobodys_call(history: &History) -> Vec<String> {
+fn unknown_calls(history: &History) -> Vec<String> {
     let unknown = history.calls.iter().filter(|(_, call)| !call.sent);
     unknown.map(|(id, call)| format!("call {id:016x}: {:?}", call.replies)).collect()
 }
 
-/// An end that was the last message unread: an end before that may have been read, as far as its gatekeeper can tell.
-fn left_end_not_told(history: &History) -> Vec<String> {
-    let lost = |(n, departure): (usize, &Departure)| {
-        let id = history.ends(departure.unread.last_chunk::<1>()?).next()?;
-        let due = history.due(departure.closed);
-        // What came together with the end of the process is read after it.
-        let in_time = |at| at <= due || history.over() <= due;
+/// Checks only an end that was the last unread message: the gatekeeper cannot tell whether messages before it were read.
+fn unread_ends_not_redelivered(history: &History) -> Vec<String> {
+    let lost = |(n, connection): (usize, &ClosedConnection)| {
+        let id = history.unread_ends(connection.unread.last_chunk::<1>()?).next()?;
+        let due = history.latest_delivery(connection.closed_at);
+        // Messages that arrive together with the end of the process are read after it.
+        let in_time = |at| at <= due || history.exited_at() <= due;
         let read = history.calls.get(&id).is_some_and(|call| call.releases().any(|(at, _)| in_time(at)));
-        // Told to one that left it unread in its turn, or never reads.
-        let left_again = history.departures[n + 1..].iter().any(|later| later.left_release(id));
-        let what = format!("call {id}, left at {:.3} with {:?}", departure.closed, departure.unread);
-        (history.judged(departure) && !read && !left_again).then_some(what)
+        // Redelivered to a caller that left it unread as well, or that never reads.
+        let left_unread_again =
+            history.closed_connections[n + 1..].iter().any(|later| later.has_unread_release(id));
+        let detail = format!(
+            "call {id}, connection closed at {:.3} with unread {:?}",
+            connection.closed_at, connection.unread
+        );
+        (history.can_judge(connection) && !read && !left_unread_again).then_some(detail)
     };
-    history.departures.iter().enumerate().filter_map(lost).collect()
+    history.closed_connections.iter().enumerate().filter_map(lost).collect()
 }
 
 fn held_past_term(history: &History) -> Vec<String> {
-    let idle = |held: &Held| held.open == 0 && held.standing == 0;
-    let in_use = |held: &Held| held.asked_ago.is_some_and(|ago| ago < IN_USE);
-    let judge = |drain: &Drain| {
-        let (at, all) = drain.term.as_ref()?;
-        let held: Vec<&Held> = all.iter().filter(|held| idle(held) || in_use(held)).collect();
-        let what = format!("on at {:.3}, held at {at:.3}: {held:?} of {}", drain.on, all.len());
-        (!held.is_empty()).then_some(what)
+    let idle = |held: &HeldConnection| held.unanswered == 0 && held.standing == 0;
+    let in_use = |held: &HeldConnection| held.since_last_set_up_s.is_some_and(|seconds| seconds < IN_USE_S);
+    let held_connections = |drain: &Drain| {
+        let (at, all) = drain.held_at_term.as_ref()?;
+        let held: Vec<&HeldConnection> = all.iter().filter(|held| idle(held) || in_use(held)).collect();
+        let detail = format!(
+            "drain started at {:.3}, held at {at:.3}: {held:?} of {} connections",
+            drain.started_at,
+            all.len()
+        );
+        (!held.is_empty()).then_some(detail)
     };
-    history.drains.iter().filter_map(judge).collect()
+    history.drains.iter().filter_map(held_connections).collect()
 }
 
 fn ready_while_drained(history: &History) -> Vec<String> {
-    let said = |drain: &Drain| {
-        Some(format!("on at {:.3}, said that it is ready at {:.3}", drain.on, drain.said_yes?))
+    let reported = |drain: &Drain| {
+        Some(format!(
+            "drain started at {:.3}, reported to be ready at {:.3}",
+            drain.started_at, drain.reported_ready_at?
+        ))
     };
-    history.drains.iter().filter_map(said).collect()
+    history.drains.iter().filter_map(reported).collect()
 }
 
-/// One that was stopped before is never ready again.
-fn late_after_drain(history: &History) -> Vec<String> {
+/// A gatekeeper that received SIGTERM before is never ready again.
+fn not_ready_after_drain(history: &History) -> Vec<String> {
     let late = |drain: &Drain| {
-        let off = drain.off?;
-        let due = off + READY_AFTER + SLACK + history.paused;
-        let known = history.term.min(history.over()) > due;
-        let in_time = drain.ready.is_some_and(|at| at <= due);
-        (known && !in_time).then(|| format!("off at {off:.3}, ready {:?}", drain.ready))
+        let ended_at = drain.ended_at?;
+        let due = ended_at + MAX_READY_AFTER_DRAIN_S + TOLERANCE_S + history.paused_s;
+        let known = history.term_sent_at.min(history.exited_at()) > due;
+        let in_time = drain.ready_at.is_some_and(|at| at <= due);
+        (known && !in_time).then(|| format!("drain ended at {ended_at:.3}, ready at {:?}", drain.ready_at))
     };
     history.drains.iter().filter_map(late).collect()
 }
 
-/// A run without fault, with one call of each kind.
-fn sound() -> History {
-    let reply = |at, what| Reply { at, what };
-    let replies = vec![reply(0.62, What::Answer(vec![7])), reply(0.92, What::Release(Some(cause::NORMAL)))];
-    let sent = Call { sent: true, kept: true, ..Call::default() };
-    let answered = Call { written: Some(0.1), replies, ..sent.clone() };
-    let left = Call { written: Some(0.2), left: Some(0.3), ended: Some(0.3), ..sent.clone() };
-    let crossed = Call { written: Some(1.0), ended: Some(1.04), ..sent.clone() };
-    let heard = vec![reply(0.2, What::Answer(vec![8])), reply(0.35, What::Release(Some(cause::NORMAL)))];
-    let end_left = Call { written: Some(0.1), kept: false, replies: heard, ..sent };
-    let unread = vec![(4, What::Release(Some(cause::NORMAL)))];
-    let departure = Departure { closed: 0.3, unread, ..Departure::default() };
-    let attempt =
-        |id, begun, ended| Attempt { id, after: begun, begun, ended, answer: None, call_ended: None };
-    let left_at_its_end =
-        Attempt { answer: Some(vec![8]), call_ended: Some(0.25), ..attempt(4, 0.11, Some(0.15)) };
-    let stood = Attempt { answer: Some(vec![7]), call_ended: Some(0.9), ..attempt(1, 0.5, Some(0.6)) };
-    let waits = Held { open: 1, standing: 0, asked_ago: Some(2.1) };
-    let stands = Held { open: 0, standing: 1, asked_ago: Some(2.6) };
+/// The history of a run without violations, with one call of each kind.
+fn valid_history() -> History {
+    let reply = |at, content| Reply { at, content };
+    let replies = vec![
+        reply(0.62, ReplyContent::Answer(vec![7])),
+        reply(0.92, ReplyContent::Release(Some(cause::NORMAL))),
+    ];
+    let sent = Call { sent: true, on_kept_connection: true, ..Call::default() };
+    let answered = Call { written_at: Some(0.1), replies, ..sent.clone() };
+    let cancelled =
+        Call { written_at: Some(0.2), left_at: Some(0.3), connection_ended_at: Some(0.3), ..sent.clone() };
+    let crossed = Call { written_at: Some(1.0), connection_ended_at: Some(1.04), ..sent.clone() };
+    let received = vec![
+        reply(0.2, ReplyContent::Answer(vec![8])),
+        reply(0.35, ReplyContent::Release(Some(cause::NORMAL))),
+    ];
+    let unread_end = Call { written_at: Some(0.1), on_kept_connection: false, replies: received, ..sent };
+    let unread = vec![(4, ReplyContent::Release(Some(cause::NORMAL)))];
+    let connection = ClosedConnection { closed_at: 0.3, unread, ..ClosedConnection::default() };
+    let attempt = |id, started_at, ended_at| Attempt {
+        id,
+        previous_poll_at: started_at,
+        started_at,
+        ended_at,
+        answer: None,
+        call_ended_at: None,
+    };
+    let answered_by_server =
+        Attempt { answer: Some(vec![8]), call_ended_at: Some(0.25), ..attempt(4, 0.11, Some(0.15)) };
+    let second_attempt =
+        Attempt { answer: Some(vec![7]), call_ended_at: Some(0.9), ..attempt(1, 0.5, Some(0.6)) };
+    let with_unanswered = HeldConnection { unanswered: 1, standing: 0, since_last_set_up_s: Some(2.1) };
+    let with_standing = HeldConnection { unanswered: 0, standing: 1, since_last_set_up_s: Some(2.6) };
     let drain = Drain {
-        on: 0.1,
-        off: Some(6.0),
-        ready: Some(6.1),
-        said_yes: None,
-        term: Some((4.15, vec![waits, stands])),
+        started_at: 0.1,
+        ended_at: Some(6.0),
+        ready_at: Some(6.1),
+        reported_ready_at: None,
+        held_at_term: Some((4.15, vec![with_unanswered, with_standing])),
     };
     History {
-        calls: BTreeMap::from([(1, answered), (2, left), (3, crossed), (4, end_left)]),
-        attempts: vec![attempt(1, 0.11, Some(0.12)), stood, attempt(2, 0.35, Some(0.4)), left_at_its_end],
-        term: 0.5,
+        calls: BTreeMap::from([(1, answered), (2, cancelled), (3, crossed), (4, unread_end)]),
+        attempts: vec![
+            attempt(1, 0.11, Some(0.12)),
+            second_attempt,
+            attempt(2, 0.35, Some(0.4)),
+            answered_by_server,
+        ],
+        term_sent_at: 0.5,
         deadline: 3.0,
-        paused: 0.0,
+        paused_s: 0.0,
         exit: Some((2.0, true)),
-        successor: None,
-        departures: vec![departure],
-        kept_until: 2.0,
+        successor_started_at: None,
+        closed_connections: vec![connection],
+        kept_open_until: 2.0,
         drains: vec![drain],
     }
 }
 
 #[test]
-fn a_run_without_fault_breaks_no_rule() {
-    assert_eq!(judge(&sound()), []);
+fn a_history_without_faults_violates_no_rule() {
+    assert_eq!(find_violations(&valid_history()), []);
 }
 
-/// Each rule finds the fault that is planted for it, and no other rule does.
+/// Each rule reports the fault that is injected for it, and no other rule does.
 #[test]
-fn faults_put_in_on_purpose_are_found() {
-    let planted: [fn(&mut History); 13] = [
-        |h| h.calls.get_mut(&3).unwrap().ended = Some(1.06),
+fn each_injected_fault_violates_exactly_its_rule() {
+    let faults: [fn(&mut History); 13] = [
+        |h| h.calls.get_mut(&3).unwrap().connection_ended_at = Some(1.06),
         |h| {
             let replies = &mut h.calls.get_mut(&1).unwrap().replies;
             replies.push(replies[1].clone());
         },
-        |h| h.attempts[0].ended = Some(0.7),
-        |h| h.attempts[2].after = 0.46,
+        |h| h.attempts[0].ended_at = Some(0.7),
+        |h| h.attempts[2].previous_poll_at = 0.46,
         |h| h.exit = Some((2.0, false)),
-        |h| h.calls.get_mut(&1).unwrap().replies[0].what = What::Answer(vec![7, 0]),
+        |h| h.calls.get_mut(&1).unwrap().replies[0].content = ReplyContent::Answer(vec![7, 0]),
         |h| drop(h.calls.get_mut(&1).unwrap().replies.remove(0)),
         |h| drop(h.calls.get_mut(&1).unwrap().replies.pop()),
         |h| h.calls.get_mut(&2).unwrap().sent = false,
         |h| drop(h.calls.get_mut(&4).unwrap().replies.pop()),
-        |h| h.drains[0].term.as_mut().unwrap().1[0].asked_ago = Some(1.9),
-        |h| h.drains[0].said_yes = Some(3.0),
-        |h| (h.term, h.exit, h.drains[0].ready) = (9.0, Some((10.0, true)), Some(8.1)),
+        |h| h.drains[0].held_at_term.as_mut().unwrap().1[0].since_last_set_up_s = Some(1.9),
+        |h| h.drains[0].reported_ready_at = Some(3.0),
+        |h| (h.term_sent_at, h.exit, h.drains[0].ready_at) = (9.0, Some((10.0, true)), Some(8.1)),
     ];
-    for ((rule, _), plant) in RULES.into_iter().zip(planted) {
-        let mut history = sound();
-        plant(&mut history);
-        let found: Vec<&str> = judge(&history).iter().map(|broken| broken.rule).collect();
+    for ((rule, _), inject) in RULES.into_iter().zip(faults) {
+        let mut history = valid_history();
+        inject(&mut history);
+        let found: Vec<&str> = find_violations(&history).iter().map(|violation| violation.rule).collect();
         assert_eq!(found, [rule]);
     }
-    let late = History { exit: Some((4.3, true)), ..sound() };
-    assert_eq!(judge(&late).len(), 1);
+    let late_exit = History { exit: Some((4.3, true)), ..valid_history() };
+    assert_eq!(find_violations(&late_exit).len(), 1);
 }
 
-/// The rules that are broken once the sound run is changed.
+/// The rules that are violated once the valid history is changed.
 #[cfg(test)]
-fn broken_by(change: fn(&mut History)) -> Vec<&'static str> {
-    let mut history = sound();
+fn violated_rules(change: fn(&mut History)) -> Vec<&'static str> {
+    let mut history = valid_history();
     change(&mut history);
-    judge(&history).iter().map(|broken| broken.rule).collect()
+    find_violations(&history).iter().map(|violation| violation.rule).collect()
 }
 
-/// Guards against ends taken for told as they were unread once more, and against any end excused that was the last message.
+/// Guards against a check that counts an end as delivered although it was left unread once more and not redelivered, or
+/// that excuses an end that was the last unread message.
 #[test]
-fn an_end_that_is_left_again_is_due_again() {
-    let chain: fn(&mut History) = |h| {
-        h.departures.push(Departure { closed: 0.34, ..h.departures[0].clone() });
-        h.departures.push(Departure { closed: 0.345, ..h.departures[0].clone() });
+fn an_end_left_unread_again_must_be_redelivered_again() {
+    let left_twice: fn(&mut History) = |h| {
+        h.closed_connections.push(ClosedConnection { closed_at: 0.34, ..h.closed_connections[0].clone() });
+        h.closed_connections.push(ClosedConnection { closed_at: 0.345, ..h.closed_connections[0].clone() });
     };
-    assert_eq!(broken_by(chain), [""; 0]);
-    let unheard: fn(&mut History) = |h| {
-        h.departures.push(Departure { closed: 0.34, ..h.departures[0].clone() });
+    assert_eq!(violated_rules(left_twice), [""; 0]);
+    let never_redelivered: fn(&mut History) = |h| {
+        h.closed_connections.push(ClosedConnection { closed_at: 0.34, ..h.closed_connections[0].clone() });
         h.calls.get_mut(&4).unwrap().replies.pop();
     };
-    assert_eq!(broken_by(unheard), ["an end left unread is told to a caller that is there"]);
+    assert_eq!(
+        violated_rules(never_redelivered),
+        ["an end left unread is redelivered to a connected caller"]
+    );
     let late: fn(&mut History) = |h| h.calls.get_mut(&4).unwrap().replies[1].at = 1.36;
-    assert_eq!(broken_by(late), ["an end left unread is told to a caller that is there"]);
-    let over_before: fn(&mut History) = |h| {
+    assert_eq!(violated_rules(late), ["an end left unread is redelivered to a connected caller"]);
+    let exited_before: fn(&mut History) = |h| {
         h.exit = Some((1.0, true));
         h.calls.get_mut(&4).unwrap().replies.pop();
     };
-    assert_eq!(broken_by(over_before), ["an end left unread is told to a caller that is there"]);
-    let cut: fn(&mut History) = |h| {
-        h.departures[0].unread[0].1 = What::Release(Some(cause::TEMPORARY_FAILURE));
+    assert_eq!(violated_rules(exited_before), ["an end left unread is redelivered to a connected caller"]);
+    let failed_call: fn(&mut History) = |h| {
+        h.closed_connections[0].unread[0].1 = ReplyContent::Release(Some(cause::TEMPORARY_FAILURE));
         h.calls.get_mut(&4).unwrap().replies.pop();
     };
-    assert_eq!(broken_by(cut), ["an end left unread is told to a caller that is there"]);
+    assert_eq!(violated_rules(failed_call), ["an end left unread is redelivered to a connected caller"]);
 }
 
-/// Guards against a rule that asks for what nobody can know or do: which of several unread ends were unread, who came to which
-/// of two processes, or what would have been told after the end of the process or of its callers.
+/// Guards against a check that demands the impossible: a redelivery by a process that cannot tell which of several ends
+/// were unread, that may not have accepted the connection, or that ended or lost its callers too early.
 #[test]
-fn an_end_that_cannot_be_told_is_excused() {
-    let lose: fn(&mut History) = |h| drop(h.calls.get_mut(&4).unwrap().replies.pop());
+fn an_unread_end_that_cannot_be_redelivered_is_excused() {
+    let lose_end: fn(&mut History) = |h| drop(h.calls.get_mut(&4).unwrap().replies.pop());
     let excuses: [fn(&mut History); 5] = [
-        |h| h.departures[0].unread.push((1, What::Release(Some(cause::NORMAL)))),
-        |h| h.successor = Some(0.0),
+        |h| h.closed_connections[0].unread.push((1, ReplyContent::Release(Some(cause::NORMAL)))),
+        |h| h.successor_started_at = Some(0.0),
         |h| h.exit = Some((0.6, true)),
-        |h| h.kept_until = 0.6,
-        |h| h.paused = 1.4,
+        |h| h.kept_open_until = 0.6,
+        |h| h.paused_s = 1.4,
     ];
     for excuse in excuses {
-        let mut history = sound();
-        lose(&mut history);
+        let mut history = valid_history();
+        lose_end(&mut history);
         excuse(&mut history);
-        assert_eq!(judge(&history), []);
+        assert_eq!(find_violations(&history), []);
     }
-    let mut history = sound();
-    assert_eq!(EndsLeft::of(&history), EndsLeft { judged: 1, ..EndsLeft::default() });
+    let mut history = valid_history();
+    assert_eq!(UnreadEnds::of(&history), UnreadEnds { judged: 1, ..UnreadEnds::default() });
     excuses[0](&mut history);
-    assert_eq!(EndsLeft::of(&history), EndsLeft { judged: 1, before_last: 1, ..EndsLeft::default() });
+    assert_eq!(UnreadEnds::of(&history), UnreadEnds { judged: 1, before_last: 1, ..UnreadEnds::default() });
     excuses[1](&mut history);
-    assert_eq!(EndsLeft::of(&history), EndsLeft { unjudged: 1, before_last: 1, ..EndsLeft::default() });
+    assert_eq!(UnreadEnds::of(&history), UnreadEnds { unjudged: 1, before_last: 1, ..UnreadEnds::default() });
 }
 
-/// Guards against an end told twice that is excused for anything but a reset by its caller, or for more than one.
+/// Guards against a check that excuses a second end for any reason but a reset by its caller, or more ends than one per
+/// reset.
 #[test]
-fn only_an_end_whose_caller_reset_its_connection_may_come_once_more() {
-    let twice: fn(&mut History) = |h| {
+fn an_end_may_come_once_more_only_after_a_reset_by_its_caller() {
+    let repeat_end: fn(&mut History) = |h| {
         let replies = &mut h.calls.get_mut(&4).unwrap().replies;
         replies.push(replies[1].clone());
     };
-    assert_eq!(broken_by(twice), ["a call has one final answer"]);
-    let aborted = |times: usize| {
-        let mut history = sound();
-        history.departures[0] = Departure { closed: 0.3, aborted: vec![4], ..Departure::default() };
-        (0..times).for_each(|_| twice(&mut history));
-        judge(&history).len()
+    assert_eq!(violated_rules(repeat_end), ["a call has one final answer"]);
+    let violations_after_reset = |times: usize| {
+        let mut history = valid_history();
+        history.closed_connections[0] = ClosedConnection {
+            closed_at: 0.3,
+            ends_read_before_reset: vec![4],
+            ..ClosedConnection::default()
+        };
+        (0..times).for_each(|_| repeat_end(&mut history));
+        find_violations(&history).len()
     };
-    assert_eq!((aborted(1), aborted(2)), (0, 1));
+    assert_eq!((violations_after_reset(1), violations_after_reset(2)), (0, 1));
 }
 
-/// Guards against a connection taken for needed on which nothing waits or stands, and against one held for what stands.
+/// Guards against a check that accepts an idle connection past the term, or rejects one with a standing call.
 #[test]
-fn a_connection_is_held_past_the_term_idle_but_not_with_a_call() {
-    let idle: fn(&mut History) = |h| h.drains[0].term.as_mut().unwrap().1[1].standing = 0;
-    assert_eq!(broken_by(idle), ["a drained gatekeeper holds no connection idle or in use at its term"]);
-    let never_asked: fn(&mut History) = |h| h.drains[0].term.as_mut().unwrap().1[1].asked_ago = None;
-    assert_eq!(broken_by(never_asked), [""; 0]);
+fn a_connection_held_past_the_drain_term_violates_the_rule_only_without_a_call() {
+    let idle: fn(&mut History) = |h| h.drains[0].held_at_term.as_mut().unwrap().1[1].standing = 0;
+    assert_eq!(violated_rules(idle), ["a drained gatekeeper holds no connection idle or in use at its term"]);
+    let never_asked: fn(&mut History) =
+        |h| h.drains[0].held_at_term.as_mut().unwrap().1[1].since_last_set_up_s = None;
+    assert_eq!(violated_rules(never_asked), [""; 0]);
 }
--- a/crates/gatekeeper/tests/restarts/drains.rs
+++ b/crates/gatekeeper/tests/restarts/drains.rs
@@ -1,6 +1,7 @@
-//! Drains of several gatekeepers, in series and side by side, each drawn from a seed, while callers go on using open
-//! connections. `SEED=n DRAINS=1` plays one again, `DRAINS=n` plays more; `SIDE_BY_SIDE=n` plays so many at once. With
-//! `PROGRAM_LOG=debug` the gatekeepers' logs are written into the target folder's `tmp`, with seconds of the run.
+//! Successive and concurrent drains of several gatekeepers, planned from a seed, while callers go on using open
+//! connections. `SEED=n DRAINS=1` repeats the run of a seed, `DRAINS=n` sets the number of runs, and `SIDE_BY_SIDE=n` how
+//! many run concurrently. With `PROGRAM_LOG=debug` the logs of the gatekeepers are written into `tmp` of the target
+//! directory, with times in seconds since the start of the run.
 
 mod control;
 mod plan;
@@ -16,130 +17,140 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::callers::Callers;
-use crate::checks::{judge, Broken, KILL_AFTER, SLACK, TERM};
+use crate::checks::{find_violations, Violation, DRAIN_TERM_S, KILL_AFTER_DEADLINE_S, TOLERANCE_S};
 use crate::history::{Drain, History};
-use crate::plan::{Load, Service, Signal};
+use crate::plan::{Load, ServerBehavior, Signal};
 use crate::servers::Servers;
-use crate::{config, from_environment, send_signal, FULL_RATE, PAUSE, PROGRAM, RATE_AFTER, TURN};
-use plan::{DrainPlan, Use, Wave};
+use crate::{
+    config, from_environment, send_signal, FULL_RATE_S, LATE_RATE_RATIO, PAUSE_S, POLL_INTERVAL, PROGRAM,
+};
+use plan::{ConnectionUse, DrainGroup, DrainPlan};
 
-/// Seeds where the environment names no others, and how many run side by side.
-const SEED: u64 = 1;
-const RUNS: u64 = 6;
-const SIDE_BY_SIDE: u64 = 3;
-/// The front sends new connections for so long after its no, in seconds, and asks so often whether a gatekeeper is ready.
-const CONNECTS_AFTER_NO: f64 = 0.2;
-const FRONT_ASKS_EVERY: f64 = 0.1;
-/// After SIGTERM new connections come for so long, in seconds; one gatekeeper is told to end so long after another.
-const CONNECTS_AFTER_TERM: f64 = 0.3;
-const BETWEEN_TERMS: f64 = 0.1;
-/// Ids of the calls of one gatekeeper.
-const IDS_PER_NODE: u64 = 1_000_000;
+/// Values if the environment sets none: the first seed, the number of runs, and how many run concurrently.
+const DEFAULT_SEED: u64 = 1;
+const DEFAULT_RUNS: u64 = 6;
+const DEFAULT_CONCURRENT_RUNS: u64 = 3;
+/// How long the load balancer goes on to send new connections after a drain has started, and how often it polls the
+/// readiness of a gatekeeper.
+const CONNECTS_AFTER_DRAIN_S: f64 = 0.2;
+const READINESS_POLL_INTERVAL_S: f64 = 0.1;
+/// How long new connections come after SIGTERM, and the time between the SIGTERMs of two gatekeepers.
+const CONNECTS_AFTER_TERM_S: f64 = 0.3;
+const BETWEEN_TERMS_S: f64 = 0.1;
+/// Size of the range of call ids of one gatekeeper.
+const IDS_PER_GATEKEEPER: u64 = 1_000_000;
 
-/// One gatekeeper with its callers.
-struct Node {
+/// A gatekeeper with its callers.
+struct Gatekeeper {
     program: Program,
     name: String,
     control: SocketAddr,
     callers: Callers,
     history: History,
-    /// While it is drained: since when, and how its callers go on.
-    drained: Option<(f64, Use)>,
-    /// The front takes it for ready.
+    /// During a drain: its start, and how the callers use the open connections.
+    drained: Option<(f64, ConnectionUse)>,
+    /// Whether the load balancer holds it to be ready.
     ready: bool,
-    front_asks_at: f64,
+    next_readiness_poll_at: f64,
     paused_until: Option<f64>,
-    termed: bool,
+    term_sent: bool,
 }
 
-impl Node {
-    /// What its callers do now: the part of the rate, and whether they connect.
+impl Gatekeeper {
+    /// The current load of its callers: the fraction of the rate, and whether they open new connections.
     fn load(&self, now: f64) -> (f64, bool) {
-        let since_term = now - self.history.term;
+        let since_term = now - self.history.term_sent_at;
         match self.drained {
-            Some((since, usage)) => (usage.part(now - since), now - since <= CONNECTS_AFTER_NO),
-            None if self.termed && since_term > CONNECTS_AFTER_TERM + FULL_RATE => (RATE_AFTER, false),
-            None if self.termed => (1.0, since_term <= CONNECTS_AFTER_TERM),
+            Some((since, usage)) => (usage.rate_ratio(now - since), now - since <= CONNECTS_AFTER_DRAIN_S),
+            None if self.term_sent && since_term > CONNECTS_AFTER_TERM_S + FULL_RATE_S => {
+                (LATE_RATE_RATIO, false)
+            }
+            None if self.term_sent => (1.0, since_term <= CONNECTS_AFTER_TERM_S),
             None => (1.0, self.ready),
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn has_exited(&self) -> bool {
         self.history.exit.is_some()
     }
 
-    /// Drains it, or ends its drain. One that is paused goes on first: nobody would see to it while the answer is waited for.
-    fn lameduck(&mut self, on: bool, usage: Use, clock: &Instant) {
-        if self.is_over() || self.termed {
+    /// Starts or ends a drain. A paused gatekeeper is resumed first, because the run waits for the response and would not
+    /// resume it meanwhile.
+    fn set_drained(&mut self, on: bool, usage: ConnectionUse, clock: &Instant) {
+        if self.has_exited() || self.term_sent {
             return;
         }
-        self.go_on();
+        self.resume();
         let path = if on { "/_lameduck/on" } else { "/_lameduck/off" };
-        let said_yes = control::ask(self.control, "POST", path) == Some(true);
+        let accepted = control::request(self.control, "POST", path) == Some(true);
         let now = clock.elapsed().as_secs_f64();
-        assert!(said_yes, "{} does not take {path} at {now:.3}", self.name);
+        assert!(accepted, "{} did not accept {path} at {now:.3}", self.name);
         if on {
-            self.history.drains.push(Drain { on: now, ..Drain::default() });
+            self.history.drains.push(Drain { started_at: now, ..Drain::default() });
             self.drained = Some((now, usage));
         } else {
             self.drained = None;
-            self.history.drains.last_mut().unwrap().off = Some(now);
+            self.history.drains.last_mut().unwrap().ended_at = Some(now);
         }
         self.ready = false;
     }
 
     /// Ends its pause.
-    fn go_on(&mut self) {
+    fn resume(&mut self) {
         if self.paused_until.take().is_some() {
-            self.history.paused += PAUSE;
+            self.history.paused_s += PAUSE_S;
             self.program.signal("-CONT").unwrap();
         }
     }
 
-    /// The front asks whether it is ready.
-    fn ask_ready(&mut self, now: f64) {
-        if self.is_over() || self.termed || self.paused_until.is_some() || now < self.front_asks_at {
+    /// Polls its readiness, as the load balancer does.
+    fn poll_readiness(&mut self, now: f64) {
+        if self.has_exited()
+            || self.term_sent
+            || self.paused_until.is_some()
+            || now < self.next_readiness_poll_at
+        {
             return;
         }
-        self.front_asks_at = now + FRONT_ASKS_EVERY;
+        self.next_readiness_poll_at = now + READINESS_POLL_INTERVAL_S;
         if self.ready && self.drained.is_none() {
-            return self.callers.connect(now);
+            return self.callers.open_kept_connections(now);
         }
-        if control::ask(self.control, "GET", "/_ready") != Some(true) {
+        if control::request(self.control, "GET", "/_ready") != Some(true) {
             return;
         }
         let drain = self.history.drains.last_mut();
         if self.drained.is_some() {
-            drain.unwrap().said_yes = Some(now);
+            drain.unwrap().reported_ready_at = Some(now);
         } else {
             self.ready = true;
-            drain.map(|drain| drain.ready.get_or_insert(now));
+            drain.map(|drain| drain.ready_at.get_or_insert(now));
         }
     }
 
-    /// Notes which connections are open at the term of its drain.
-    fn look_at_term(&mut self, now: f64) {
-        let (over, held) = (self.is_over(), self.callers.held(now));
+    /// Records the connections that are open at the term of its drain.
+    fn record_held_at_term(&mut self, now: f64) {
+        let (exited, held) = (self.has_exited(), self.callers.held_connections(now));
         let Some(drain) = self.history.drains.last_mut() else { return };
-        let due = drain.on + TERM + SLACK;
-        if now >= due && drain.term.is_none() && drain.off.is_none() && !over {
-            drain.term = Some((now, held));
+        let due = drain.started_at + DRAIN_TERM_S + TOLERANCE_S;
+        if now >= due && drain.held_at_term.is_none() && drain.ended_at.is_none() && !exited {
+            drain.held_at_term = Some((now, held));
         }
     }
 }
 
-/// One run as it is played.
+/// A run in progress.
 struct Run {
     plan: DrainPlan,
-    begun: Instant,
-    begun_unix: f64,
+    started_at: Instant,
+    started_at_unix_s: f64,
     seed: u64,
     rng: ChaCha8Rng,
     servers: Servers,
     resolver: Resolver,
     config: String,
-    folder: tempfile::TempDir,
-    nodes: Vec<Node>,
+    dir: tempfile::TempDir,
+    gatekeepers: Vec<Gatekeeper>,
 }
 
 impl Run {
@@ -148,131 +159,151 @@
         let resolver = Resolver::open().unwrap();
         let config = config(plan.deadline, &servers, &resolver);
         let mut run = Run {
-            begun: Instant::now(),
-            begun_unix: 0.0,
+            started_at: Instant::now(),
+            started_at_unix_s: 0.0,
             seed,
             rng: ChaCha8Rng::seed_from_u64(!seed),
             servers,
             resolver,
             config,
-            folder: tempfile::tempdir().unwrap(),
-            nodes: Vec::new(),
+            dir: tempfile::tempdir().unwrap(),
+            gatekeepers: Vec::new(),
             plan,
         };
-        run.nodes = (0..run.plan.nodes).map(|n| run.start(n)).collect();
-        (run.begun, run.begun_unix) = (Instant::now(), unix_time());
+        run.gatekeepers = (0..run.plan.gatekeepers).map(|n| run.start(n)).collect();
+        (run.started_at, run.started_at_unix_s) = (Instant::now(), unix_time());
         run
     }
 
-    fn start(&self, n: usize) -> Node {
+    fn start(&self, n: usize) -> Gatekeeper {
         let addresses = free_addresses(2).unwrap();
         let (listen, control) = (addresses[0].to_string(), addresses[1].to_string());
         let name = format!("n{n}");
         let environment = [("PROXY_LISTEN", listen.as_str()), ("PROXY_CONTROL", control.as_str())];
         let program = Path::new(PROGRAM);
         let mut program =
-            Program::start_in(program, self.folder.path(), &name, &self.config, "", &environment).unwrap();
+            Program::start_in(program, self.dir.path(), &name, &self.config, "", &environment).unwrap();
         program.serving().unwrap();
-        let (plan, first_id) = (&self.plan, 1 + n as u64 * IDS_PER_NODE);
-        let (rate, deadline, kept) = (plan.rate, plan.deadline, plan.kept);
-        let load = Load { rate, deadline, kept, pools: plan.servers.len() as u32, first_id };
-        Node {
+        let (plan, first_id) = (&self.plan, 1 + n as u64 * IDS_PER_GATEKEEPER);
+        let (set_ups_per_s, deadline, kept_connections) =
+            (plan.set_ups_per_s, plan.deadline, plan.kept_connections);
+        let load = Load {
+            set_ups_per_s,
+            deadline,
+            kept_connections,
+            first_choices: plan.servers.len() as u32,
+            first_id,
+        };
+        Gatekeeper {
             program,
             name,
             control: addresses[1],
             callers: Callers::new(addresses[0], load),
-            // Told to end only later.
-            history: History { deadline, term: f64::INFINITY, ..History::default() },
+            // SIGTERM comes later.
+            history: History { deadline, term_sent_at: f64::INFINITY, ..History::default() },
             drained: None,
             ready: true,
-            front_asks_at: 0.0,
+            next_readiness_poll_at: 0.0,
             paused_until: None,
-            termed: false,
+            term_sent: false,
         }
     }
 
-    /// Plays the run to its end: what was seen of each gatekeeper.
-    fn play(mut self) -> Vec<History> {
-        let mut waves: Vec<Wave> = self.plan.waves.clone();
-        let mut ends: Vec<Wave> = Vec::new();
+    /// Performs the run, and returns the history of each gatekeeper.
+    fn perform(mut self) -> Vec<History> {
+        let mut drain_groups: Vec<DrainGroup> = self.plan.drain_groups.clone();
+        let mut drained_groups: Vec<DrainGroup> = Vec::new();
         let mut signals = self.plan.signals.clone();
-        let mut crowd = self.plan.crowd;
-        while self.nodes.iter().any(|node| !node.is_over()) {
-            let now = self.begun.elapsed().as_secs_f64();
-            if now > self.plan.term_at + 1.0 + self.plan.deadline.max(3.0) + KILL_AFTER {
+        let mut burst = self.plan.connection_burst;
+        while self.gatekeepers.iter().any(|gatekeeper| !gatekeeper.has_exited()) {
+            let now = self.started_at.elapsed().as_secs_f64();
+            if now > self.plan.term_at + 1.0 + self.plan.deadline.max(3.0) + KILL_AFTER_DEADLINE_S {
                 break;
             }
-            if waves.first().is_some_and(|wave| now >= wave.on) {
-                let wave = waves.remove(0);
-                wave.nodes.iter().for_each(|n| self.nodes[*n].lameduck(true, wave.usage, &self.begun));
-                ends.push(wave);
+            if drain_groups.first().is_some_and(|group| now >= group.starts_at) {
+                let group = drain_groups.remove(0);
+                group
+                    .gatekeepers
+                    .iter()
+                    .for_each(|n| self.gatekeepers[*n].set_drained(true, group.usage, &self.started_at));
+                drained_groups.push(group);
             }
-            if ends.first().is_some_and(|wave| now >= wave.off) {
-                let wave = ends.remove(0);
-                wave.nodes.iter().for_each(|n| self.nodes[*n].lameduck(false, wave.usage, &self.begun));
+            if drained_groups.first().is_some_and(|group| now >= group.ends_at) {
+                let group = drained_groups.remove(0);
+                group
+                    .gatekeepers
+                    .iter()
+                    .for_each(|n| self.gatekeepers[*n].set_drained(false, group.usage, &self.started_at));
             }
             if signals.first().is_some_and(|(at, ..)| now >= *at) {
                 let (_, n, signal) = signals.remove(0);
                 self.signal(now, n, signal);
             }
-            if let Some((_, n, count)) = crowd.take_if(|(at, ..)| now >= *at) {
-                let node = &mut self.nodes[n];
-                if node.load(now).1 {
-                    node.callers.crowd(now, count, &mut self.rng, &mut node.history);
+            if let Some((_, n, count)) = burst.take_if(|(at, ..)| now >= *at) {
+                let gatekeeper = &mut self.gatekeepers[n];
+                if gatekeeper.load(now).1 {
+                    gatekeeper.callers.connect_burst(now, count, &mut self.rng, &mut gatekeeper.history);
                 }
             }
-            self.turn();
+            self.step();
         }
         self.finish()
     }
 
     fn signal(&mut self, now: f64, n: usize, signal: Signal) {
-        let node = &mut self.nodes[n];
-        if node.is_over() || node.termed || node.paused_until.is_some() {
+        let gatekeeper = &mut self.gatekeepers[n];
+        if gatekeeper.has_exited() || gatekeeper.term_sent || gatekeeper.paused_until.is_some() {
             return;
         }
-        send_signal(&node.program, self.folder.path(), &node.name, &self.config, signal);
-        node.paused_until = (signal == Signal::Pause).then_some(now + PAUSE);
+        send_signal(&gatekeeper.program, self.dir.path(), &gatekeeper.name, &self.config, signal);
+        gatekeeper.paused_until = (signal == Signal::Pause).then_some(now + PAUSE_S);
     }
 
-    fn turn(&mut self) {
-        let now = self.begun.elapsed().as_secs_f64();
-        self.servers.turn(now);
+    fn step(&mut self) {
+        let now = self.started_at.elapsed().as_secs_f64();
+        self.servers.poll(now);
         self.resolver.turn(1, self.servers.listed());
-        for (n, node) in self.nodes.iter_mut().enumerate() {
-            node.program.take_lines();
-            if node.is_over() {
+        for (n, gatekeeper) in self.gatekeepers.iter_mut().enumerate() {
+            gatekeeper.program.take_lines();
+            if gatekeeper.has_exited() {
                 continue;
             }
-            if node.paused_until.is_some_and(|until| now >= until) {
-                node.go_on();
+            if gatekeeper.paused_until.is_some_and(|until| now >= until) {
+                gatekeeper.resume();
             }
-            let term_at = self.plan.term_at + n as f64 * BETWEEN_TERMS;
-            if !node.termed && now >= term_at && node.paused_until.is_none() {
-                (node.termed, node.history.term) = (true, now);
-                node.program.signal("-TERM").unwrap();
+            let term_at = self.plan.term_at + n as f64 * BETWEEN_TERMS_S;
+            if !gatekeeper.term_sent && now >= term_at && gatekeeper.paused_until.is_none() {
+                (gatekeeper.term_sent, gatekeeper.history.term_sent_at) = (true, now);
+                gatekeeper.program.signal("-TERM").unwrap();
             }
-            if let Some(status) = node.program.child.try_wait().unwrap() {
-                node.history.exit = Some((now, status.success()));
+            if let Some(status) = gatekeeper.program.child.try_wait().unwrap() {
+                gatekeeper.history.exit = Some((now, status.success()));
             }
-            node.ask_ready(now);
-            let (part, connects) = node.load(now);
-            node.callers.call(now, part, connects, &mut self.rng, &mut node.history);
-            node.callers.hear(now, &mut node.history);
-            node.look_at_term(now);
+            gatekeeper.poll_readiness(now);
+            let (rate_ratio, connects) = gatekeeper.load(now);
+            gatekeeper.callers.send_due_set_ups(
+                now,
+                rate_ratio,
+                connects,
+                &mut self.rng,
+                &mut gatekeeper.history,
+            );
+            gatekeeper.callers.receive(now, &mut gatekeeper.history);
+            gatekeeper.record_held_at_term(now);
         }
-        std::thread::sleep(TURN);
+        std::thread::sleep(POLL_INTERVAL);
     }
 
-    /// Writes the logs of the gatekeepers, a line an event.
+    /// Writes the logs of the gatekeepers, one event per line.
     fn write_logs(&self) {
-        for node in &self.nodes {
+        for gatekeeper in &self.gatekeepers {
             let line = |event: &serde_json::Value| {
-                let at = event["time"].as_f64().unwrap_or(0.0) - self.begun_unix;
+                let at = event["time"].as_f64().unwrap_or(0.0) - self.started_at_unix_s;
                 format!("{at:.3} {event}\n")
             };
-            let file = format!("{}/drains-{}-{}.log", env!("CARGO_TARGET_TMPDIR"), self.seed, node.name);
-            std::fs::write(file, node.program.log.iter().map(line).collect::<String>()).unwrap();
+            let file =
+                format!("{}/drains-{}-{}.log", env!("CARGO_TARGET_TMPDIR"), self.seed, gatekeeper.name);
+            std::fs::write(file, gatekeeper.program.log.iter().map(line).collect::<String>()).unwrap();
         }
     }
 
@@ -281,95 +312,99 @@
             self.write_logs();
         }
         let attempts = self.servers.attempts();
-        for node in &mut self.nodes {
-            node.callers.finish(&mut node.history);
-            let calls = &node.history.calls;
+        for gatekeeper in &mut self.gatekeepers {
+            gatekeeper.callers.finish(&mut gatekeeper.history);
+            let calls = &gatekeeper.history.calls;
             let own = attempts.iter().filter(|attempt| calls.contains_key(&attempt.id));
-            node.history.attempts = own.cloned().collect();
+            gatekeeper.history.attempts = own.cloned().collect();
         }
-        self.nodes.into_iter().map(|node| node.history).collect()
+        self.gatekeepers.into_iter().map(|gatekeeper| gatekeeper.history).collect()
     }
 }
 
-/// What breaks a rule at one of these gatekeepers.
-fn judge_all(histories: &[History]) -> Vec<Broken> {
-    let broken = histories.iter().enumerate().flat_map(|(n, history)| {
-        judge(history).into_iter().map(move |b| Broken { what: format!("n{n}: {}", b.what), ..b })
+/// The violations at all of these gatekeepers.
+fn find_all_violations(histories: &[History]) -> Vec<Violation> {
+    let violations = histories.iter().enumerate().flat_map(|(n, history)| {
+        find_violations(history)
+            .into_iter()
+            .map(move |v| Violation { detail: format!("n{n}: {}", v.detail), ..v })
     });
-    broken.collect()
+    violations.collect()
 }
 
 #[test]
-fn drains_side_by_side_keep_their_term_and_lose_nothing() {
-    let (seed, runs) = (from_environment("SEED", SEED), from_environment("DRAINS", RUNS));
-    let side_by_side = from_environment("SIDE_BY_SIDE", SIDE_BY_SIDE).max(1);
+fn random_concurrent_drains_violate_no_rule() {
+    let (seed, runs) = (from_environment("SEED", DEFAULT_SEED), from_environment("DRAINS", DEFAULT_RUNS));
+    let concurrent_runs = from_environment("SIDE_BY_SIDE", DEFAULT_CONCURRENT_RUNS).max(1);
     let seeds: Vec<u64> = (seed..seed + runs).collect();
-    let (mut failed, mut calls, mut terms, mut held) = (Vec::new(), 0, 0, 0);
-    for together in seeds.chunks(side_by_side as usize) {
-        let play = |seed: u64| std::thread::spawn(move || Run::new(DrainPlan::of(seed), seed).play());
-        let started: Vec<_> = together.iter().map(|seed| (*seed, play(*seed))).collect();
+    let (mut failures, mut calls, mut terms, mut held) = (Vec::new(), 0, 0, 0);
+    for batch in seeds.chunks(concurrent_runs as usize) {
+        let start_run =
+            |seed: u64| std::thread::spawn(move || Run::new(DrainPlan::from_seed(seed), seed).perform());
+        let started: Vec<_> = batch.iter().map(|seed| (*seed, start_run(*seed))).collect();
         for (seed, run) in started {
             let Ok(histories) = run.join() else {
-                failed.push(format!("SEED={seed} DRAINS=1: the run itself failed"));
+                failures.push(format!("SEED={seed} DRAINS=1: the run itself failed"));
                 continue;
             };
             calls += histories.iter().map(|history| history.calls.len()).sum::<usize>();
             let drains = histories.iter().flat_map(|history| &history.drains);
-            let at_term: Vec<usize> = drains.filter_map(|d| Some(d.term.as_ref()?.1.len())).collect();
+            let at_term: Vec<usize> = drains.filter_map(|d| Some(d.held_at_term.as_ref()?.1.len())).collect();
             (terms, held) = (terms + at_term.len(), held + at_term.iter().sum::<usize>());
-            let broken = judge_all(&histories);
-            if !broken.is_empty() {
+            let violations = find_all_violations(&histories);
+            if !violations.is_empty() {
                 let first: Vec<String> =
-                    broken.iter().take(5).map(|b| format!("{}: {}", b.rule, b.what)).collect();
-                let plan = DrainPlan::of(seed);
-                failed.push(format!(
-                    "SEED={seed} DRAINS=1: {} broken, {}\n{plan:?}",
-                    broken.len(),
+                    violations.iter().take(5).map(|v| format!("{}: {}", v.rule, v.detail)).collect();
+                let plan = DrainPlan::from_seed(seed);
+                failures.push(format!(
+                    "SEED={seed} DRAINS=1: {} violations, {}\n{plan:?}",
+                    violations.len(),
                     first.join("; ")
                 ));
             }
         }
     }
     println!(
-        "{runs} runs of drains from seed {seed}, {side_by_side} side by side, {calls} set-ups, {terms} drains past their term, \
+        "{runs} runs of drains from seed {seed}, {concurrent_runs} concurrently, {calls} set-ups, {terms} drains past their term, \
          {held} connections held there; {} runs failed",
-        failed.len()
+        failures.len()
     );
-    assert!(terms as u64 >= runs, "too few drains past their term to tell: {terms}");
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(terms as u64 >= runs, "too few drains past their term to judge: {terms}");
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// One gatekeeper that is drained for 6 s, whose callers use three connections all the while.
-fn busy_drain(deadline: f64, service: Service) -> Vec<Broken> {
-    let wave = Wave { on: 1.0, off: 7.0, nodes: vec![0], usage: Use::GoesOn };
+/// The violations of a 6 s drain of one gatekeeper whose callers keep using three connections.
+fn violations_of_busy_drain(deadline: f64, behavior: ServerBehavior) -> Vec<Violation> {
+    let group =
+        DrainGroup { starts_at: 1.0, ends_at: 7.0, gatekeepers: vec![0], usage: ConnectionUse::Continues };
     let plan = DrainPlan {
         deadline,
-        rate: 50.0,
-        kept: 3,
-        nodes: 1,
-        servers: vec![service],
-        waves: vec![wave],
+        set_ups_per_s: 50.0,
+        kept_connections: 3,
+        gatekeepers: 1,
+        servers: vec![behavior],
+        drain_groups: vec![group],
         signals: Vec::new(),
-        crowd: None,
+        connection_burst: None,
         term_at: 7.5,
     };
-    judge_all(&Run::new(plan, SEED).play())
+    find_all_violations(&Run::new(plan, DEFAULT_SEED).perform())
 }
 
-/// Guards against connections kept past the term, as calls that came on them stand, and used on.
+/// Guards against connections that stay open and in use past the term because of standing calls.
 #[test]
-fn connections_in_use_with_standing_calls_are_let_go_by_the_term_of_a_drain() {
-    assert_eq!(busy_drain(3.0, Service::Stands(0.06, 5.0)), []);
+fn connections_in_use_with_standing_calls_are_closed_by_the_term_of_a_drain() {
+    assert_eq!(violations_of_busy_drain(3.0, ServerBehavior::HoldsRandomly(0.06, 5.0)), []);
 }
 
-/// Guards against connections kept past the term, as set-ups of them are always open.
+/// Guards against connections that stay open past the term because a set-up always waits for its answer.
 #[test]
-fn connections_in_use_with_slow_answers_are_let_go_by_the_term_of_a_drain() {
-    assert_eq!(busy_drain(3.0, Service::Stands(2.4, 0.03)), []);
+fn connections_in_use_with_slow_answers_are_closed_by_the_term_of_a_drain() {
+    assert_eq!(violations_of_busy_drain(3.0, ServerBehavior::HoldsRandomly(2.4, 0.03)), []);
 }
 
-/// Guards against the last connection kept past the term, as callers move to it.
+/// Guards against a last connection that stays open past the term because all callers move to it.
 #[test]
-fn the_last_connection_in_use_is_let_go_by_the_term_of_a_drain() {
-    assert_eq!(busy_drain(3.0, Service::Stands(0.06, 0.03)), []);
+fn the_last_connection_in_use_is_closed_by_the_term_of_a_drain() {
+    assert_eq!(violations_of_busy_drain(3.0, ServerBehavior::HoldsRandomly(0.06, 0.03)), []);
 }
--- a/crates/gatekeeper/tests/restarts/history.rs
+++ b/crates/gatekeeper/tests/restarts/history.rs
@@ -1,194 +1,199 @@
-//! What callers and servers saw of one run.
+//! The records of one run, as its callers and servers saw it.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use hollypaddle_platform::message::{cause, code, kind, Message};
 
-/// A set-up, as its caller saw it. Times are seconds of the run.
+/// A set-up, as its caller saw it. Times are in seconds since the start of the run.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
     /// When its last byte was written.
-    pub written: Option<f64>,
-    /// When its caller closed or cancelled.
-    pub left: Option<f64>,
-    /// Its caller does not read.
-    pub deaf: bool,
-    /// Its connection stays open after an answer.
-    pub kept: bool,
-    /// It was sent; else something was said of a call that nobody asked for.
+    pub written_at: Option<f64>,
+    /// When its caller closed the connection or cancelled the set-up.
+    pub left_at: Option<f64>,
+    /// Whether its caller does not read.
+    pub never_reads: bool,
+    /// Whether its connection is kept open after an answer.
+    pub on_kept_connection: bool,
+    /// Whether it was sent; if not, a message was received for a call that no caller set up.
     pub sent: bool,
-    /// What its caller heard of it, in order.
+    /// The messages that its caller received for it, in order.
     pub replies: Vec<Reply>,
-    /// When its connection was last seen open, before it ended without one of them.
-    pub ended: Option<f64>,
+    /// When its connection was last seen open, if it ended before any message for this call.
+    pub connection_ended_at: Option<f64>,
 }
 
 impl Call {
-    /// The descriptions of the answers that its caller heard.
+    /// The descriptions of the answers that its caller received.
     pub fn answers(&self) -> impl Iterator<Item = &[u8]> {
-        self.replies.iter().filter_map(|reply| match &reply.what {
-            What::Answer(description) => Some(&description[..]),
-            What::Release(_) => None,
+        self.replies.iter().filter_map(|reply| match &reply.content {
+            ReplyContent::Answer(description) => Some(&description[..]),
+            ReplyContent::Release(_) => None,
         })
     }
 
-    /// The releases that its caller heard: when, and with which cause.
+    /// The time and cause of each release that its caller received.
     pub fn releases(&self) -> impl Iterator<Item = (f64, Option<u8>)> + '_ {
-        self.replies.iter().filter_map(|reply| match reply.what {
-            What::Release(why) => Some((reply.at, why)),
-            What::Answer(_) => None,
+        self.replies.iter().filter_map(|reply| match reply.content {
+            ReplyContent::Release(release_cause) => Some((reply.at, release_cause)),
+            ReplyContent::Answer(_) => None,
         })
     }
 }
 
-/// Something that a caller heard of its call.
+/// A message that a caller received for its call.
 #[derive(Clone, PartialEq)]
 pub struct Reply {
     /// When it was read.
     pub at: f64,
-    /// What it was.
-    pub what: What,
+    /// Its content.
+    pub content: ReplyContent,
 }
 
 impl fmt::Debug for Reply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.what {
-            What::Answer(description) => write!(f, "{:.3} answer {}", self.at, description.escape_ascii()),
-            What::Release(why) => write!(f, "{:.3} release {why:?}", self.at),
+        match &self.content {
+            ReplyContent::Answer(description) => {
+                write!(f, "{:.3} answer {}", self.at, description.escape_ascii())
+            }
+            ReplyContent::Release(release_cause) => write!(f, "{:.3} release {release_cause:?}", self.at),
         }
     }
 }
 
-/// What a caller can hear.
+/// The content of a message to a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// The call stands, with this description.
+pub enum ReplyContent {
+    /// The call is established, with this description.
     Answer(Vec<u8>),
-    /// A refusal, a failure, or the end of a call that stood: the cause.
+    /// The cause of a refusal, of a failure, or of the end of a standing call.
     Release(Option<u8>),
 }
 
-impl What {
-    /// What a caller hears by a message; none where it says nothing of a call.
-    pub fn of(message: &Message) -> Option<What> {
+impl ReplyContent {
+    /// The content of a message; `None` if the message concerns no call.
+    pub fn of(message: &Message) -> Option<ReplyContent> {
         match message.kind {
-            kind::ANSWER => Some(What::Answer(message.bytes(code::DESCRIPTION).unwrap_or_default().to_vec())),
-            kind::RELEASE => Some(What::Release(message.cause())),
+            kind::ANSWER => {
+                Some(ReplyContent::Answer(message.bytes(code::DESCRIPTION).unwrap_or_default().to_vec()))
+            }
+            kind::RELEASE => Some(ReplyContent::Release(message.cause())),
             _ => None,
         }
     }
 }
 
-/// The close of a connection whose caller left something unread or reset it, as its caller saw it.
+/// A connection that its caller closed with unread messages, or reset, as the caller saw it.
 #[derive(Clone, Debug, Default)]
-pub struct Departure {
+pub struct ClosedConnection {
     /// When it was connected.
-    pub connected: f64,
-    /// When it was closed; never where its caller was there to the end of the run.
-    pub closed: f64,
-    /// What was unread then, in order, and of which calls.
-    pub unread: Vec<(u64, What)>,
-    /// The calls whose ends its caller read right before it reset the connection.
-    pub aborted: Vec<u64>,
+    pub connected_at: f64,
+    /// When it was closed; infinity if its caller stayed to the end of the run.
+    pub closed_at: f64,
+    /// The unread messages at that time, in order, with the ids of their calls.
+    pub unread: Vec<(u64, ReplyContent)>,
+    /// The calls whose ends its caller read directly before it reset the connection.
+    pub ends_read_before_reset: Vec<u64>,
 }
 
-impl Departure {
-    /// Whether the end, or another release, of a call was there unread.
-    pub fn left_release(&self, id: u64) -> bool {
-        self.unread.iter().any(|(of, what)| *of == id && matches!(what, What::Release(_)))
+impl ClosedConnection {
+    /// Whether the end or another release of a call was among the unread messages.
+    pub fn has_unread_release(&self, id: u64) -> bool {
+        self.unread.iter().any(|(of, content)| *of == id && matches!(content, ReplyContent::Release(_)))
     }
 
-    fn left_answer(&self, id: u64) -> bool {
-        self.unread.iter().any(|(of, what)| *of == id && matches!(what, What::Answer(_)))
+    fn has_unread_answer(&self, id: u64) -> bool {
+        self.unread.iter().any(|(of, content)| *of == id && matches!(content, ReplyContent::Answer(_)))
     }
 }
 
-/// A connection as its caller saw it at the term of a drain.
+/// A connection that was still open at the term of a drain, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
-    /// Calls that wait for their answer.
-    pub open: usize,
-    /// Calls that stand, which came on it.
+pub struct HeldConnection {
+    /// Number of set-ups that wait for an answer.
+    pub unanswered: usize,
+    /// Number of standing calls that were set up on it.
     pub standing: usize,
-    /// How long before its last request was sent.
-    pub asked_ago: Option<f64>,
+    /// Seconds since the last set-up on it.
+    pub since_last_set_up_s: Option<f64>,
 }
 
-/// A drain, as the operators and the callers saw it.
+/// A drain, as the operators and the callers saw it. Times are in seconds since the start of the run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Drain {
-    /// When the gatekeeper said yes to it.
-    pub on: f64,
-    /// When it said yes to its end.
-    pub off: Option<f64>,
-    /// When it was first ready again after that.
-    pub ready: Option<f64>,
-    /// When it last said while drained that it is ready.
-    pub said_yes: Option<f64>,
-    /// When the connections were looked at that were open at its term, and these.
-    pub term: Option<(f64, Vec<Held>)>,
+    /// When the gatekeeper confirmed its start.
+    pub started_at: f64,
+    /// When the gatekeeper confirmed its end.
+    pub ended_at: Option<f64>,
+    /// When the gatekeeper first reported to be ready again after that.
+    pub ready_at: Option<f64>,
+    /// When the gatekeeper last reported during the drain that it is ready.
+    pub reported_ready_at: Option<f64>,
+    /// When the connections that were open at its term were recorded, and these connections.
+    pub held_at_term: Option<(f64, Vec<HeldConnection>)>,
 }
 
 /// An attempt, as its server saw it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The call.
+    /// Id of the call.
     pub id: u64,
-    /// When it was looked for in vain for the last time, and when it had arrived whole.
-    pub after: f64,
-    /// The latter.
-    pub begun: f64,
-    /// When its end was written, it was given up or its connection ended.
-    pub ended: Option<f64>,
-    /// The description of the answer that was written whole.
+    /// The last poll before its set-up had arrived completely.
+    pub previous_poll_at: f64,
+    /// The poll at which its set-up had arrived completely.
+    pub started_at: f64,
+    /// When its answer or refusal was written, it was given up, or its connection ended.
+    pub ended_at: Option<f64>,
+    /// The description of the answer that was written completely.
     pub answer: Option<Vec<u8>>,
-    /// When the end of the call, which stood, was written.
-    pub call_ended: Option<f64>,
+    /// When the end of the established call was written.
+    pub call_ended_at: Option<f64>,
 }
 
-/// One run.
+/// The records of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// By id.
+    /// The set-ups by call id.
     pub calls: BTreeMap<u64, Call>,
-    /// In the order of their beginnings.
+    /// The attempts in the order of their starts.
     pub attempts: Vec<Attempt>,
     /// When SIGTERM was sent.
-    pub term: f64,
-    /// The longest deadline.
+    pub term_sent_at: f64,
+    /// The longest deadline, in seconds.
     pub deadline: f64,
-    /// For how long the process was paused, in all.
-    pub paused: f64,
-    /// When the process ended, and whether with exit code 0; none where it had to be killed.
+    /// Total seconds for which the process was paused.
+    pub paused_s: f64,
+    /// When the process ended, and whether with exit code 0; `None` if it had to be killed.
     pub exit: Option<(f64, bool)>,
     /// When a second process was started at the same address.
-    pub successor: Option<f64>,
-    /// In the order of their closes.
-    pub departures: Vec<Departure>,
-    /// Until when a connection that its caller keeps was open to the first process.
-    pub kept_until: f64,
-    /// In the order of their beginnings.
+    pub successor_started_at: Option<f64>,
+    /// In the order in which they were closed.
+    pub closed_connections: Vec<ClosedConnection>,
+    /// When a kept connection to the first process was last seen open.
+    pub kept_open_until: f64,
+    /// The drains in the order of their starts.
     pub drains: Vec<Drain>,
 }
 
 impl History {
-    /// A caller has read something of a call.
-    pub fn heard(&mut self, at: f64, id: u64, what: What) {
-        self.calls.entry(id).or_default().replies.push(Reply { at, what });
+    /// Records a message that a caller received for a call.
+    pub fn record_reply(&mut self, at: f64, id: u64, content: ReplyContent) {
+        self.calls.entry(id).or_default().replies.push(Reply { at, content });
     }
 
-    /// Whether a release is the end of a call that stood, and no refusal and no failure, as far as callers saw.
-    fn is_end(&self, id: u64, why: Option<u8>) -> bool {
+    /// Whether a release is the end of an established call rather than a refusal or a failure, as far as callers saw.
+    fn is_end(&self, id: u64, release_cause: Option<u8>) -> bool {
         let answered = || self.calls.get(&id).is_some_and(|call| call.answers().count() > 0);
-        let left = || self.departures.iter().any(|departure| departure.left_answer(id));
-        why == Some(cause::NORMAL) || answered() || left()
+        let left_unread =
+            || self.closed_connections.iter().any(|connection| connection.has_unread_answer(id));
+        release_cause == Some(cause::NORMAL) || answered() || left_unread()
     }
 
-    /// The ends in what was unread.
-    pub fn ends<'a>(&'a self, unread: &'a [(u64, What)]) -> impl Iterator<Item = u64> + 'a {
-        unread.iter().filter_map(|(id, what)| match what {
-            What::Release(why) if self.is_end(*id, *why) => Some(*id),
+    /// The calls whose ends are among the unread messages.
+    pub fn unread_ends<'a>(&'a self, unread: &'a [(u64, ReplyContent)]) -> impl Iterator<Item = u64> + 'a {
+        unread.iter().filter_map(|(id, content)| match content {
+            ReplyContent::Release(release_cause) if self.is_end(*id, *release_cause) => Some(*id),
             _ => None,
         })
     }
--- a/crates/gatekeeper/tests/restarts/main.rs
+++ b/crates/gatekeeper/tests/restarts/main.rs
@@ -1,6 +1,7 @@
-//! Restarts of the real program, each drawn from a seed: callers that keep connections and callers that come anew, servers that
-//! answer late, hang, refuse or reset, signals in series, crowds, and upgrades. What callers and servers saw is judged by the
-//! platform's rules. `SEED=n RUNS=1` plays one again, `RUNS=n` plays more; `SIDE_BY_SIDE=n` plays so many at once.
+//! Restarts of the real program, each planned from a seed: callers with kept and with new connections, servers that answer
+//! late, hang, refuse or reset, series of signals, connection bursts, and upgrades. The records of callers and servers are
+//! checked against the rules of the platform. `SEED=n RUNS=1` repeats the run of a seed, `RUNS=n` sets the number of runs,
+//! and `SIDE_BY_SIDE=n` how many run concurrently.
 
 mod callers;
 mod checks;
@@ -21,56 +22,58 @@
 use rand_chacha::ChaCha8Rng;
 
 use callers::Callers;
-use checks::{judge, Broken, EndsLeft, KILL_AFTER};
+use checks::{find_violations, UnreadEnds, Violation, KILL_AFTER_DEADLINE_S};
 use history::History;
 use plan::{Plan, Signal};
 use servers::Servers;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hollypaddle");
-/// Seeds where the environment names no others, and how many run side by side.
-const SEED: u64 = 1;
-const RUNS: u64 = 24;
-const SIDE_BY_SIDE: u64 = 4;
-/// A run that is paused from just before SIGTERM on for 0.1 s, and again right after.
-const PAUSED_AROUND_SIGTERM: u64 = 3065;
-/// A run in which a crowd takes all places while a caller has the end of its call unread.
-const CROWDED_AT_AN_END: u64 = 9009;
-/// Requests on open connections come for so long after the last new connection at the full rate, and then at a part of it.
-const FULL_RATE: f64 = 0.2;
-const RATE_AFTER: f64 = 0.2;
-/// Signals come from so long before SIGTERM on.
-const BEFORE: f64 = 0.2;
-/// For how long the program stands still at a pause.
-const PAUSE: f64 = 0.1;
-const TURN: Duration = Duration::from_micros(500);
+/// Values if the environment sets none: the first seed, the number of runs, and how many run concurrently.
+const DEFAULT_SEED: u64 = 1;
+const DEFAULT_RUNS: u64 = 24;
+const DEFAULT_CONCURRENT_RUNS: u64 = 4;
+/// Seed of a run whose program is paused for 0.1 s from just before SIGTERM on, and again directly afterwards.
+const SEED_PAUSED_AROUND_SIGTERM: u64 = 3065;
+/// Seed of a run in which a connection burst uses all places while a caller has the end of its call unread.
+const SEED_BURST_AT_UNREAD_END: u64 = 9009;
+/// How long callers send set-ups on open connections at the full rate after the last new connection, and the fraction of the
+/// rate after that.
+const FULL_RATE_S: f64 = 0.2;
+const LATE_RATE_RATIO: f64 = 0.2;
+/// How long before SIGTERM the first of the further signals may come.
+const SIGNALS_BEFORE_TERM_S: f64 = 0.2;
+/// How long the program is stopped by a pause.
+const PAUSE_S: f64 = 0.1;
+/// Time between two iterations of the run.
+const POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// One run as it is played.
+/// A run in progress.
 struct Run {
     plan: Plan,
-    begun: Instant,
+    started_at: Instant,
     rng: ChaCha8Rng,
     servers: Servers,
     callers: Callers,
     resolver: Resolver,
     config: String,
-    folder: tempfile::TempDir,
+    dir: tempfile::TempDir,
     listen: SocketAddr,
     history: History,
 }
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let plan = Plan::of(seed);
+        let plan = Plan::from_seed(seed);
         let servers = Servers::open(&plan.servers);
         let resolver = Resolver::open().unwrap();
         let config = config(plan.deadline, &servers, &resolver);
         let listen = free_addresses(1).unwrap()[0];
         Run {
-            begun: Instant::now(),
+            started_at: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(!seed),
             callers: Callers::new(listen, plan.load()),
             history: History { deadline: plan.deadline, ..History::default() },
-            folder: tempfile::tempdir().unwrap(),
+            dir: tempfile::tempdir().unwrap(),
             plan,
             servers,
             resolver,
@@ -80,48 +83,48 @@
     }
 
     fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
     fn start(&self, name: &str) -> Program {
-        let (program, folder) = (Path::new(PROGRAM), self.folder.path());
+        let (program, dir) = (Path::new(PROGRAM), self.dir.path());
         let listen = self.listen.to_string();
-        let mut program = Program::start_with(program, folder, name, &self.config, "", &listen).unwrap();
+        let mut program = Program::start_with(program, dir, name, &self.config, "", &listen).unwrap();
         program.serving().unwrap();
         program
     }
 
-    /// Plays the run to its end.
-    fn play(mut self) -> History {
+    /// Performs the run, and returns its history.
+    fn perform(mut self) -> History {
         let mut program = self.start("n0");
         let mut successor = None;
-        self.begun = Instant::now();
-        self.callers.connect(0.0);
-        while self.now() < self.plan.term_at - BEFORE {
-            self.turn(1.0, true);
+        self.started_at = Instant::now();
+        self.callers.open_kept_connections(0.0);
+        while self.now() < self.plan.term_at - SIGNALS_BEFORE_TERM_S {
+            self.step(1.0, true);
             if self.plan.upgrade && successor.is_none() {
-                self.history.successor = Some(self.now());
+                self.history.successor_started_at = Some(self.now());
                 successor = Some(self.start("n1"));
             }
         }
-        self.end(&mut program);
-        // What is open at the successor is answered there.
+        self.terminate(&mut program);
+        // The successor answers the set-ups that are open there.
         let until = self.now() + self.plan.deadline + 0.3;
         while successor.is_some() && self.callers.waiting() > 0 && self.now() < until {
-            self.turn(0.0, false);
+            self.step(0.0, false);
         }
         self.callers.finish(&mut self.history);
         self.history.attempts = self.servers.attempts();
         self.history
     }
 
-    /// SIGTERM and what comes with it, until the process has ended or would be killed.
-    fn end(&mut self, program: &mut Program) {
-        let term = self.plan.term_at;
-        let kill = term + self.plan.deadline.max(3.0) + KILL_AFTER;
+    /// Sends SIGTERM and the other signals, until the process has ended or would be killed.
+    fn terminate(&mut self, program: &mut Program) {
+        let sigterm_at = self.plan.term_at;
+        let kill_at = sigterm_at + self.plan.deadline.max(3.0) + KILL_AFTER_DEADLINE_S;
         let mut signals: Vec<(f64, Signal)> = self.plan.signals.clone();
-        let mut crowd = self.plan.crowd;
-        let (mut termed, mut paused_until) = (false, None);
+        let mut burst = self.plan.connection_burst;
+        let (mut term_sent, mut paused_until) = (false, None);
         loop {
             let now = self.now();
             program.take_lines();
@@ -129,54 +132,55 @@
                 self.history.exit = Some((now, status.success()));
                 return;
             }
-            if now > kill {
+            if now > kill_at {
                 return;
             }
-            if !termed && now >= term {
-                termed = true;
-                self.history.term = now;
+            if !term_sent && now >= sigterm_at {
+                term_sent = true;
+                self.history.term_sent_at = now;
                 program.signal("-TERM").unwrap();
             }
             if paused_until.is_some_and(|until| now >= until) {
                 paused_until = None;
-                self.history.paused += PAUSE;
+                self.history.paused_s += PAUSE_S;
                 program.signal("-CONT").unwrap();
             }
-            let due = signals.first().is_some_and(|(at, _)| now >= term + at) && paused_until.is_none();
+            let due = signals.first().is_some_and(|(at, _)| now >= sigterm_at + at) && paused_until.is_none();
             if due {
                 paused_until = self.signal(signals.remove(0).1, program);
             }
-            if let Some((_, count)) = crowd.filter(|(at, _)| now >= term + at) {
-                crowd = None;
-                self.callers.crowd(now, count, &mut self.rng, &mut self.history);
+            if let Some((_, count)) = burst.filter(|(at, _)| now >= sigterm_at + at) {
+                burst = None;
+                self.callers.connect_burst(now, count, &mut self.rng, &mut self.history);
             }
-            let since = now - term;
-            let connects = since <= self.plan.connects || self.plan.upgrade;
-            let part = if since <= self.plan.connects + FULL_RATE { 1.0 } else { RATE_AFTER };
-            self.turn(part, connects);
+            let since_term = now - sigterm_at;
+            let connects = since_term <= self.plan.connects_for_s || self.plan.upgrade;
+            let rate_ratio =
+                if since_term <= self.plan.connects_for_s + FULL_RATE_S { 1.0 } else { LATE_RATE_RATIO };
+            self.step(rate_ratio, connects);
         }
     }
 
-    /// Sends a signal; returns until when the program is paused.
+    /// Sends a signal; returns the end of the pause, if it is one.
     fn signal(&self, signal: Signal, program: &Program) -> Option<f64> {
-        send_signal(program, self.folder.path(), "n0", &self.config, signal);
-        (signal == Signal::Pause).then(|| self.now() + PAUSE)
+        send_signal(program, self.dir.path(), "n0", &self.config, signal);
+        (signal == Signal::Pause).then(|| self.now() + PAUSE_S)
     }
 
-    /// One turn, with set-ups at this part of the rate.
-    fn turn(&mut self, part: f64, connects: bool) {
+    /// Performs one iteration, with set-ups at this fraction of the rate.
+    fn step(&mut self, rate_ratio: f64, connects: bool) {
         let now = self.now();
-        self.callers.call(now, part, connects, &mut self.rng, &mut self.history);
-        self.servers.turn(now);
+        self.callers.send_due_set_ups(now, rate_ratio, connects, &mut self.rng, &mut self.history);
+        self.servers.poll(now);
         self.resolver.turn(1, self.servers.listed());
-        self.callers.hear(now, &mut self.history);
-        std::thread::sleep(TURN);
+        self.callers.receive(now, &mut self.history);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Sends a signal to a program of this name, with the platform's file that goes with it.
-fn send_signal(program: &Program, folder: &Path, name: &str, config: &str, signal: Signal) {
-    let write = |text: &str| std::fs::write(folder.join(format!("{name}.json")), text).unwrap();
+/// Writes the platform file that goes with a signal, and sends the signal to the program of this name.
+fn send_signal(program: &Program, dir: &Path, name: &str, config: &str, signal: Signal) {
+    let write = |text: &str| std::fs::write(dir.join(format!("{name}.json")), text).unwrap();
     match signal {
         Signal::SameFile => write(config),
         Signal::NewFile => write(&config.replace(r#""goalTime":0.5"#, r#""goalTime":0.6"#)),
@@ -188,11 +192,11 @@
         Signal::Term => "-TERM",
         Signal::Pause => "-STOP",
     };
-    // It may have ended by itself in this moment.
+    // The process may just have ended by itself.
     let _ = program.signal(name);
 }
 
-/// The platform's file.
+/// The content of the platform file.
 fn config(deadline: f64, servers: &Servers, resolver: &Resolver) -> String {
     let pools: Vec<String> = (0..servers.listed().len()).map(|n| n.to_string()).collect();
     format!(
@@ -209,70 +213,71 @@
     )
 }
 
-fn from_environment(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).map_or(otherwise, |text| text.parse().expect("a number"))
+fn from_environment(name: &str, default_value: u64) -> u64 {
+    std::env::var(name).map_or(default_value, |text| text.parse().expect("the variable is a number"))
 }
 
 #[test]
-fn restarts_lose_nothing() {
-    let (seed, runs) = (from_environment("SEED", SEED), from_environment("RUNS", RUNS));
-    let side_by_side = from_environment("SIDE_BY_SIDE", SIDE_BY_SIDE).max(1);
+fn random_restarts_violate_no_rule() {
+    let (seed, runs) = (from_environment("SEED", DEFAULT_SEED), from_environment("RUNS", DEFAULT_RUNS));
+    let concurrent_runs = from_environment("SIDE_BY_SIDE", DEFAULT_CONCURRENT_RUNS).max(1);
     let seeds: Vec<u64> = (seed..seed + runs).collect();
-    let played = seeds.chunks(side_by_side as usize).flat_map(|together| {
-        let started: Vec<_> = together
+    let histories = seeds.chunks(concurrent_runs as usize).flat_map(|batch| {
+        let started: Vec<_> = batch
             .iter()
             .map(|seed| {
                 (
                     *seed,
                     std::thread::spawn({
                         let seed = *seed;
-                        move || Run::new(seed).play()
+                        move || Run::new(seed).perform()
                     }),
                 )
             })
             .collect();
         started.into_iter().map(|(seed, run)| (seed, run.join())).collect::<Vec<_>>()
     });
-    let (mut failed, mut calls, mut left) = (Vec::new(), 0, EndsLeft::default());
-    for (seed, history) in played {
+    let (mut failures, mut calls, mut unread_ends) = (Vec::new(), 0, UnreadEnds::default());
+    for (seed, history) in histories {
         let Ok(history) = history else {
-            failed.push(format!("SEED={seed} RUNS=1: the run itself failed"));
+            failures.push(format!("SEED={seed} RUNS=1: the run itself failed"));
             continue;
         };
         calls += history.calls.len();
-        left = left.and(EndsLeft::of(&history));
-        let broken: Vec<Broken> = judge(&history);
-        if !broken.is_empty() {
+        unread_ends = unread_ends.plus(UnreadEnds::of(&history));
+        let violations: Vec<Violation> = find_violations(&history);
+        if !violations.is_empty() {
             let rules: Vec<String> =
-                broken.iter().take(5).map(|b| format!("{}: {}", b.rule, b.what)).collect();
-            let plan = Plan::of(seed);
-            failed.push(format!(
-                "SEED={seed} RUNS=1: {} broken, {}\n{plan:?}",
-                broken.len(),
+                violations.iter().take(5).map(|v| format!("{}: {}", v.rule, v.detail)).collect();
+            let plan = Plan::from_seed(seed);
+            failures.push(format!(
+                "SEED={seed} RUNS=1: {} violations, {}\n{plan:?}",
+                violations.len(),
                 rules.join("; ")
             ));
         }
     }
     println!(
-        "{runs} runs from seed {seed}, {side_by_side} side by side, {calls} set-ups, {} runs failed; {} ends left unread last, \
-         {} more not judged, {} before the last",
-        failed.len(),
-        left.judged,
-        left.unjudged,
-        left.before_last,
+        "{runs} runs from seed {seed}, {concurrent_runs} concurrently, {calls} set-ups, {} runs failed; ends left unread: {} as the \
+         last message, {} more not judged, {} before the last message",
+        failures.len(),
+        unread_ends.judged,
+        unread_ends.unjudged,
+        unread_ends.before_last,
     );
-    assert!(calls as u64 > 20 * runs, "too few set-ups to tell: {calls}");
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(calls as u64 > 20 * runs, "too few set-ups to judge: {calls}");
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards against a program that is killed with calls unanswered, as a pause let it see SIGTERM late.
+/// Guards against a program that is killed with unanswered set-ups because a pause delayed its reaction to SIGTERM.
 #[test]
 fn a_program_paused_around_sigterm_ends_before_it_would_be_killed() {
-    assert_eq!(judge(&Run::new(PAUSED_AROUND_SIGTERM).play()), []);
+    assert_eq!(find_violations(&Run::new(SEED_PAUSED_AROUND_SIGTERM).perform()), []);
 }
 
-/// Guards against an end lost on a connection that is closed to make room and dropped before its caller leaves it unread.
+/// Guards against the loss of the end of a call: the program closes the connection to make room for a burst, and forgets it
+/// before its caller closes with the end unread.
 #[test]
-fn an_end_left_unread_as_a_crowd_takes_all_places_is_told() {
-    assert_eq!(judge(&Run::new(CROWDED_AT_AN_END).play()), []);
+fn an_end_left_unread_on_a_connection_closed_for_a_burst_is_redelivered() {
+    assert_eq!(find_violations(&Run::new(SEED_BURST_AT_UNREAD_END).perform()), []);
 }
--- a/crates/gatekeeper/tests/restarts/servers.rs
+++ b/crates/gatekeeper/tests/restarts/servers.rs
@@ -11,54 +11,54 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::history::Attempt;
-use crate::plan::Service;
+use crate::plan::ServerBehavior;
 
 struct Connection {
     peer: Peer,
-    /// Set-ups that it brought.
-    brought: usize,
-    /// Attempts open on it, by their place in the record.
-    open: Vec<usize>,
-    /// What is due, and for which attempt.
-    due: Vec<(f64, usize, Due)>,
-    /// Answers written so far.
-    answered: usize,
+    /// Number of set-ups received on it.
+    set_ups: usize,
+    /// The open attempts on it, as indices into the recorded attempts.
+    open_attempts: Vec<usize>,
+    /// Scheduled messages: the time, the index of the attempt, and the message.
+    scheduled: Vec<(f64, usize, ScheduledMessage)>,
+    /// Number of answers so far, truncated ones included.
+    answers: usize,
 }
 
-/// What a server writes at its time.
+/// A message that a server sends at a scheduled time.
 #[derive(Clone, Copy, PartialEq)]
-enum Due {
+enum ScheduledMessage {
     Answer,
     End,
 }
 
 struct Server {
     listener: TcpListener,
-    service: Service,
+    behavior: ServerBehavior,
     connections: Vec<Connection>,
 }
 
-/// All of them, with the record of what was attempted.
+/// The servers, with the record of their attempts.
 pub struct Servers {
     servers: Vec<Server>,
     listed: Vec<Listed>,
     attempts: Vec<Attempt>,
-    /// The last turn.
-    turned: f64,
+    /// Time of the last poll.
+    polled_at: f64,
 }
 
 impl Servers {
-    /// Opens them.
-    pub fn open(services: &[Service]) -> Servers {
-        let servers: Vec<Server> = services
+    /// Opens a listener for each server.
+    pub fn open(behaviors: &[ServerBehavior]) -> Servers {
+        let servers: Vec<Server> = behaviors
             .iter()
-            .map(|service| {
+            .map(|behavior| {
                 let listener = TcpListener::bind("127.0.0.1:0").unwrap();
                 listener.set_nonblocking(true).unwrap();
-                Server { listener, service: *service, connections: Vec::new() }
+                Server { listener, behavior: *behavior, connections: Vec::new() }
             })
             .collect();
-        let listed = |(n, server): (usize, &Server)| Listed {
+        let list_entry = |(n, server): (usize, &Server)| Listed {
             id: format!("s-{n}"),
             district: "downtown".into(),
             address: server.listener.local_addr().unwrap(),
@@ -66,62 +66,68 @@
             draining: false,
             started_ms: 0,
         };
-        let listed = servers.iter().enumerate().map(listed).collect();
-        Servers { servers, listed, attempts: Vec::new(), turned: 0.0 }
+        let listed = servers.iter().enumerate().map(list_entry).collect();
+        Servers { servers, listed, attempts: Vec::new(), polled_at: 0.0 }
     }
 
-    /// The list of them.
+    /// The entries of the servers in the resolver's list.
     pub fn listed(&self) -> &[Listed] {
         &self.listed
     }
 
-    /// What was attempted.
+    /// The attempts so far.
     pub fn attempts(&self) -> Vec<Attempt> {
         self.attempts.clone()
     }
 
-    /// One turn.
-    pub fn turn(&mut self, now: f64) {
-        let turn = Turn { now, last: std::mem::replace(&mut self.turned, now) };
+    /// Accepts connections, receives messages, and sends the scheduled messages that are due.
+    pub fn poll(&mut self, now: f64) {
+        let times = PollTimes { now, previous: std::mem::replace(&mut self.polled_at, now) };
         let attempts = &mut self.attempts;
         for server in &mut self.servers {
             while let Ok((stream, _)) = server.listener.accept() {
                 let peer = peer(stream).unwrap();
-                let (open, due) = (Vec::new(), Vec::new());
-                server.connections.push(Connection { peer, brought: 0, open, due, answered: 0 });
+                let (open_attempts, scheduled) = (Vec::new(), Vec::new());
+                server.connections.push(Connection {
+                    peer,
+                    set_ups: 0,
+                    open_attempts,
+                    scheduled,
+                    answers: 0,
+                });
             }
-            let service = server.service;
+            let behavior = server.behavior;
             server.connections.retain_mut(|connection| {
-                let stays = connection.turn(turn, service, attempts);
-                if !stays {
-                    connection.open.iter().for_each(|n| end(&mut attempts[*n], now));
+                let stays_open = connection.poll(times, behavior, attempts);
+                if !stays_open {
+                    connection.open_attempts.iter().for_each(|n| record_end(&mut attempts[*n], now));
                 }
-                stays
+                stays_open
             });
         }
     }
 }
 
-/// When this turn is, and when the last one was.
+/// The times of this poll and of the previous one.
 #[derive(Clone, Copy)]
-struct Turn {
+struct PollTimes {
     now: f64,
-    last: f64,
+    previous: f64,
 }
 
-fn end(attempt: &mut Attempt, now: f64) {
-    attempt.ended.get_or_insert(now);
+fn record_end(attempt: &mut Attempt, now: f64) {
+    attempt.ended_at.get_or_insert(now);
 }
 
-/// The answer to an attempt: no other one has its description.
+/// The answer to an attempt, with a description that no other answer has.
 fn answer_to(attempt: usize, id: u64) -> Message {
     Message::new(kind::ANSWER, id).with(code::DESCRIPTION, format!("made for {id:016x}, attempt {attempt}"))
 }
 
-/// For how long a call stands: drawn from its id, exponentially, with this mean.
-fn hold(id: u64, mean: f64) -> f64 {
-    let share = ChaCha8Rng::seed_from_u64(id).gen_range(0.0..1.0_f64);
-    -mean * (1.0 - share).ln()
+/// How long a call stands: exponentially distributed with this mean, drawn from the id of the call.
+fn random_hold_time(id: u64, mean: f64) -> f64 {
+    let fraction = ChaCha8Rng::seed_from_u64(id).gen_range(0.0..1.0_f64);
+    -mean * (1.0 - fraction).ln()
 }
 
 fn description(answer: &Message) -> Option<Vec<u8>> {
@@ -129,116 +135,128 @@
 }
 
 impl Connection {
-    /// One turn; returns whether the connection stays.
-    fn turn(&mut self, turn: Turn, service: Service, attempts: &mut Vec<Attempt>) -> bool {
-        let now = turn.now;
-        let mut heard = Vec::new();
-        let open = self.peer.read(&mut heard).is_ok();
-        for message in &heard {
+    /// Receives messages and sends those that are due; returns whether the connection stays open.
+    fn poll(&mut self, times: PollTimes, behavior: ServerBehavior, attempts: &mut Vec<Attempt>) -> bool {
+        let now = times.now;
+        let mut received = Vec::new();
+        let open = self.peer.read(&mut received).is_ok();
+        for message in &received {
             match message.kind {
-                kind::SET_UP => self.set_up(turn, message, service, attempts),
-                kind::RELEASE => self.released(now, message.call, attempts),
+                kind::SET_UP => self.set_up(times, message, behavior, attempts),
+                kind::RELEASE => self.give_up(now, message.call, attempts),
                 _ => {}
             }
         }
-        let (due, later): (Vec<_>, Vec<_>) = self.due.drain(..).partition(|(at, ..)| *at <= now);
-        self.due = later;
-        for (_, attempt, what) in due {
-            match what {
-                Due::Answer => self.answer(now, attempt, service, attempts),
-                Due::End => self.end_call(now, &mut attempts[attempt]),
+        let (due, later): (Vec<_>, Vec<_>) = self.scheduled.drain(..).partition(|(at, ..)| *at <= now);
+        self.scheduled = later;
+        for (_, attempt, due_message) in due {
+            match due_message {
+                ScheduledMessage::Answer => self.answer(now, attempt, behavior, attempts),
+                ScheduledMessage::End => self.end_call(now, &mut attempts[attempt]),
             }
         }
-        let reset = matches!(service, Service::Resets(most) if self.brought >= most);
+        let reset = matches!(behavior, ServerBehavior::Resets(max_set_ups) if self.set_ups >= max_set_ups);
         if reset {
-            // Closed with nothing lingering: the other side is reset.
+            // Closing with a linger time of zero resets the connection.
             let socket = socket2::SockRef::from(self.peer.stream());
             let _ = socket.set_linger(Some(std::time::Duration::ZERO));
         }
         open && !reset
     }
 
-    fn set_up(&mut self, turn: Turn, message: &Message, service: Service, attempts: &mut Vec<Attempt>) {
-        let now = turn.now;
+    fn set_up(
+        &mut self,
+        times: PollTimes,
+        message: &Message,
+        behavior: ServerBehavior,
+        attempts: &mut Vec<Attempt>,
+    ) {
+        let now = times.now;
         let attempt = attempts.len();
         attempts.push(Attempt {
             id: message.call,
-            after: turn.last,
-            begun: now,
-            ended: None,
+            previous_poll_at: times.previous,
+            started_at: now,
+            ended_at: None,
             answer: None,
-            call_ended: None,
+            call_ended_at: None,
         });
-        self.brought += 1;
-        self.open.push(attempt);
-        match service {
-            Service::Answers(after) | Service::Stands(after, _) => {
-                self.due.push((now + after, attempt, Due::Answer));
+        self.set_ups += 1;
+        self.open_attempts.push(attempt);
+        match behavior {
+            ServerBehavior::Answers(after) | ServerBehavior::HoldsRandomly(after, _) => {
+                self.scheduled.push((now + after, attempt, ScheduledMessage::Answer));
             }
-            Service::Resets(_) | Service::Holds(_) | Service::StopsShort(_) | Service::Repeats => {
-                self.due.push((now, attempt, Due::Answer));
+            ServerBehavior::Resets(_)
+            | ServerBehavior::Holds(_)
+            | ServerBehavior::TruncatesAnswers(_)
+            | ServerBehavior::RepeatsAnswers => {
+                self.scheduled.push((now, attempt, ScheduledMessage::Answer));
             }
-            Service::Hangs => {}
-            Service::Full => {
+            ServerBehavior::Hangs => {}
+            ServerBehavior::Full => {
                 let _ = self.peer.send(&full(message.call, "throttled"));
-                self.close(now, attempt, attempts);
+                self.close_attempt(now, attempt, attempts);
             }
         }
     }
 
-    fn answer(&mut self, now: f64, attempt: usize, service: Service, attempts: &mut [Attempt]) {
-        if attempts[attempt].ended.is_some() {
+    fn answer(&mut self, now: f64, attempt: usize, behavior: ServerBehavior, attempts: &mut [Attempt]) {
+        if attempts[attempt].ended_at.is_some() {
             return;
         }
         let id = attempts[attempt].id;
         let answer = answer_to(attempt, id);
-        self.answered += 1;
-        if matches!(service, Service::StopsShort(every) if self.answered.is_multiple_of(every)) {
-            return self.stop_short(&answer);
+        self.answers += 1;
+        if matches!(behavior, ServerBehavior::TruncatesAnswers(every) if self.answers.is_multiple_of(every)) {
+            return self.send_truncated(&answer);
         }
-        if service == Service::Repeats {
-            // Ids of callers are small numbers.
+        if behavior == ServerBehavior::RepeatsAnswers {
+            // Callers use small ids, so the complement is an unknown one.
             let _ = self.peer.send(&answer_to(attempt, !id));
             let _ = self.peer.send(&answer);
         }
         if self.peer.send(&answer).is_ok() {
             attempts[attempt].answer = description(&answer);
         }
-        self.close(now, attempt, attempts);
-        match service {
-            Service::Holds(hold) => self.due.push((now + hold, attempt, Due::End)),
-            Service::Stands(_, mean) => self.due.push((now + hold(id, mean), attempt, Due::End)),
-            // The reset may destroy it.
-            Service::Resets(_) => drop(self.peer.send(&release(id, cause::NORMAL))),
+        self.close_attempt(now, attempt, attempts);
+        match behavior {
+            ServerBehavior::Holds(hold) => self.scheduled.push((now + hold, attempt, ScheduledMessage::End)),
+            ServerBehavior::HoldsRandomly(_, mean) => {
+                self.scheduled.push((now + random_hold_time(id, mean), attempt, ScheduledMessage::End))
+            }
+            // The reset may discard this message, so it is not recorded.
+            ServerBehavior::Resets(_) => drop(self.peer.send(&release(id, cause::NORMAL))),
             _ => self.end_call(now, &mut attempts[attempt]),
         }
     }
 
-    /// Writes an answer less its last bytes, from one to all of the description by its call's id.
-    fn stop_short(&mut self, answer: &Message) {
+    /// Writes an answer without its last bytes; the id of the call selects how many bytes of the description are missing, from
+    /// one to all.
+    fn send_truncated(&mut self, answer: &Message) {
         let mut bytes = Vec::new();
         answer.encode(&mut bytes);
-        let described = description(answer).map_or(1, |description| description.len());
-        let missing = 1 + answer.call as usize % described;
-        // The connection may have gone; then this attempt ends with it.
+        let description_length = description(answer).map_or(1, |description| description.len());
+        let missing = 1 + answer.call as usize % description_length;
+        // If the connection is gone, this attempt ends with it.
         let _ = self.peer.stream().write_all(&bytes[..bytes.len() - missing]);
     }
 
     fn end_call(&mut self, now: f64, attempt: &mut Attempt) {
         if self.peer.send(&release(attempt.id, cause::NORMAL)).is_ok() {
-            attempt.call_ended = Some(now);
+            attempt.call_ended_at = Some(now);
         }
     }
 
-    /// The gatekeeper gives it up.
-    fn released(&mut self, now: f64, id: u64, attempts: &mut [Attempt]) {
-        if let Some(attempt) = self.open.iter().copied().find(|n| attempts[*n].id == id) {
-            self.close(now, attempt, attempts);
+    /// The gatekeeper has given the attempt up.
+    fn give_up(&mut self, now: f64, id: u64, attempts: &mut [Attempt]) {
+        if let Some(attempt) = self.open_attempts.iter().copied().find(|n| attempts[*n].id == id) {
+            self.close_attempt(now, attempt, attempts);
         }
     }
 
-    fn close(&mut self, now: f64, attempt: usize, attempts: &mut [Attempt]) {
-        end(&mut attempts[attempt], now);
-        self.open.retain(|n| *n != attempt);
+    fn close_attempt(&mut self, now: f64, attempt: usize, attempts: &mut [Attempt]) {
+        record_end(&mut attempts[attempt], now);
+        self.open_attempts.retain(|n| *n != attempt);
     }
 }
