--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -38,7 +38,7 @@
 /// Initial spacing of set-ups to a pool without free lines.
 const LINE_SPACING_UNITS: f64 = 0.25;
 /// Initial spacing of attempts to a number dialled that was busy.
-const BUSY_SPACING_UNITS: f64 = 2.0;
+const BUSY_NUMBER_SPACING_UNITS: f64 = 2.0;
 /// Factor on either spacing after each attempt that found no line.
 const SPACING_GROWTH_RATIO: f64 = 1.5;
 /// Factor on either spacing after each attempt that found a line.
@@ -283,6 +283,7 @@
     }
 
     /// Replaces the settings. Open calls keep their class index, so an index must not get another meaning.
+    /// The times that were derived from the first settings stay.
     pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
@@ -553,9 +554,9 @@
     }
 
     /// Fraction of its usual calls that a cold pool may be sent: its capacity after the time since its
-    /// restart, times the overload factor. `None` if the pool is warm. Keeps a restarted processor from
-    /// overload, even when all other pools are closed. Cost: calls move to a pool with spare capacity only as
-    /// fast as its budget allows.
+    /// restart, times the overload factor and a margin. `None` if the pool is warm. Keeps a restarted
+    /// processor from overload, even when all other pools are closed. Cost: calls move to a pool with spare
+    /// capacity only as fast as its budget allows.
     fn cold_ratio(&self, now: f64, i: usize) -> Option<f64> {
         let age = now - self.pools[i].ready_at;
         if age >= self.settings.warm_up_time || self.settings.warm_up_time.is_nan() {
@@ -748,7 +749,7 @@
 
     /// Records that a number was busy or, if `free`, not: then it is tried more often, and finally forgotten.
     fn record_number(&mut self, now: f64, dialled: u64, free: bool) {
-        let (min, max) = (BUSY_SPACING_UNITS * self.unit, MAX_SPACING_UNITS * self.unit);
+        let (min, max) = (BUSY_NUMBER_SPACING_UNITS * self.unit, MAX_SPACING_UNITS * self.unit);
         let (jitter, has_room) = (0.5 + self.random(), self.busy_numbers.len() < MAX_BUSY_NUMBERS);
         match self.busy_numbers.get_mut(&dialled) {
             Some(busy) if free => busy.narrow(min),
@@ -889,7 +890,7 @@
         p.min_delay = p.min_delay.min(delay);
         p.established.count(now, LOAD_LIFETIME_UNITS * self.unit);
         p.spacing.narrow(LINE_SPACING_UNITS * self.unit);
-        // All of it is the set-up's wait: where answers are sent ahead of set-ups, the answer did not wait.
+        // The whole excess is the set-up's wait: where answers go ahead of set-ups, the answer did not wait.
         let wait = delay - p.min_delay;
         p.measured_wait += NEWEST_DELAY_RATIO * (wait - p.measured_wait);
         p.measured_at = now;
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -157,7 +157,7 @@
     Timeout,
     /// No connection to the server was made before the timeout.
     ConnectFailed,
-    /// The connection to the server was lost.
+    /// Cut off by a lost connection or a temporary failure of the server.
     Reset,
     /// The gatekeeper cancelled the attempt, or the caller left.
     Cancelled,
