--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -164,7 +164,7 @@
 
     fn event(self, call: CallId, pool: PoolId, attempt: u8, complete: bool) -> Event {
         let End { outcome, cause, wait, report } = self;
-        Event::Ended { call, pool, attempt, complete, outcome, cause, wait, report }
+        Event::Ended { call, pool, attempt, complete, outcome, cause, retry_after: wait, report }
     }
 }
 
@@ -489,7 +489,7 @@
         let Some(c) = self.calls.get_mut(&call) else {
             // The caller gave up while the module decided. The module counts this attempt as open until its end is
             // reported, and a set-up that stays open makes a pool look as if it no longer answers.
-            let end = End::with_outcome(Outcome::Moot);
+            let end = End::with_outcome(Outcome::NotSent);
             return self.events.push(end.event(call, pool, 0, true));
         };
         if !matches!(c.state, State::Pending) {
@@ -500,7 +500,7 @@
         // The timer of the caller's deadline is already set, so only a shorter limit needs one.
         let until = if limit > 0.0 { c.deadline.min(now + limit) } else { c.deadline };
         if now >= until {
-            self.events.push(c.ended(call, pool, false, End::with_outcome(Outcome::Moot)));
+            self.events.push(c.ended(call, pool, false, End::with_outcome(Outcome::NotSent)));
             return;
         }
         c.state = State::Attempting(Attempt { pool, sent_at: now, giving_up: None });
@@ -719,7 +719,7 @@
                     c.content = Rc::default();
                     c.state = State::Standing { pool, since: now };
                     let attempt = c.attempts.saturating_sub(1);
-                    self.events.push(Event::Stood { call, pool, lag: now - sent_at, attempt });
+                    self.events.push(Event::Established { call, pool, delay: now - sent_at, attempt });
                     self.remove_open(origin, bytes);
                     *self.standing_by_origin.entry(origin).or_default() += 1;
                     self.record_change(change);
--- a/crates/core/src/calls/tests.rs
+++ b/crates/core/src/calls/tests.rs
@@ -99,7 +99,7 @@
                 let gone = !self.calls.calls.contains_key(&call);
                 self.calls.start_attempt(self.now, call, pool, if what == 0 { 0.0 } else { 1.0 });
                 if gone {
-                    let end = End::with_outcome(Outcome::Moot).event(call, pool, 0, true);
+                    let end = End::with_outcome(Outcome::NotSent).event(call, pool, 0, true);
                     assert_eq!(self.calls.events, [end], "the module counts the attempt that it started");
                     self.calls.events.clear();
                 }
@@ -183,7 +183,7 @@
     calls.caller_release(0.0, 1);
     assert!(calls.events.is_empty() && calls.effects.is_empty() && calls.held_bytes == 0);
     calls.start_attempt(0.0, 1, PoolId(1), 0.0);
-    assert_eq!(calls.events, [End::with_outcome(Outcome::Moot).event(1, PoolId(1), 0, true)]);
+    assert_eq!(calls.events, [End::with_outcome(Outcome::NotSent).event(1, PoolId(1), 0, true)]);
 }
 
 /// Guards against two calls with the same id, which servers and callers could not tell apart, and against a set-up that a
--- a/crates/gatekeeper/src/node/clients/draining.rs
+++ b/crates/gatekeeper/src/node/clients/draining.rs
@@ -31,13 +31,13 @@
 
 /// What is to be done to calls before connections can be closed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct DrainOrders {
+pub struct DrainActions {
     /// The connections whose open set-ups get their final answer now.
-    pub answer: Vec<Key>,
+    pub answer_set_ups_of: Vec<Key>,
     /// Calls that stand are cut, as no connection stays on which their ends could be told.
-    pub cut: bool,
+    pub cut_calls: bool,
     /// The connections that stay for calls of their own, which are not cut.
-    pub staying: BTreeSet<Key>,
+    pub kept: BTreeSet<Key>,
 }
 
 impl Clients {
@@ -58,7 +58,7 @@
     }
 
     /// Whether connections are closed as soon as they wait for nothing, so that every turn may bring one.
-    pub fn drains_firmly(&self, now: f64) -> bool {
+    pub fn closes_idle_immediately(&self, now: f64) -> bool {
         self.drain.as_ref().is_some_and(|drain| now - drain.began >= drain::FIRM_AFTER_S)
     }
 
@@ -70,11 +70,13 @@
         told_elsewhere: bool,
         poller: &Poller,
         calls: &mut Calls,
-    ) -> DrainOrders {
-        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else { return DrainOrders::default() };
+    ) -> DrainActions {
+        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else {
+            return DrainActions::default();
+        };
         let staying = self.staying(now, began, calls);
         let end_path = self.end_path(now, began, &staying, calls);
-        let mut orders = DrainOrders { staying, ..DrainOrders::default() };
+        let mut actions = DrainActions { kept: staying, ..DrainActions::default() };
         let mut closing = Vec::new();
         let decide = |state: &drain::Connection| match drain::decide(now, began, state) {
             Decision::CutCalls if told_elsewhere => Decision::Close,
@@ -84,8 +86,8 @@
             let state = client.state(*key, end_path, calls);
             match decide(&state) {
                 Decision::Close => closing.push(*key),
-                Decision::AnswerSetUps => orders.answer.push(*key),
-                Decision::CutCalls => orders.cut = true,
+                Decision::AnswerSetUps => actions.answer_set_ups_of.push(*key),
+                Decision::CutCalls => actions.cut_calls = true,
                 Decision::Keep(reason) => client.log_kept(*key, reason, &state),
             }
         }
@@ -99,13 +101,13 @@
         if now - began >= drain::DROP_AFTER_S {
             self.drop_blocked(now, poller);
         }
-        if orders.cut {
+        if actions.cut_calls {
             self.send_all_undelivered(now, poller, calls);
         }
         if now - began >= drain::TERM_S {
             self.log_term(now, calls);
         }
-        orders
+        actions
     }
 
     /// Drops the closed connections whose peers do not read what was sent before the close.
@@ -125,8 +127,8 @@
             let call = format_args!("{:016x}", message.call);
             log::debug!(call:%, caller = key; "set-up-refused-in-drain");
             self.drain_counts.refused += 1;
-            self.turned_away.push(request_class(message, &self.classes));
-            let refusal = encode(message.call, Reply::Refused(self.stay_away()));
+            self.refused_classes.push(request_class(message, &self.classes));
+            let refusal = encode(message.call, Reply::Refused(self.retry_after()));
             self.send(now, key, &refusal, BestReply::Outcome, poller);
         }
         refuses
--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -290,8 +290,8 @@
             (None, Some(conf)) => {
                 let mut crossing = Crossing::new(conf.settings(ctx.platform), ctx.now);
                 // The gate did not exist when the list of servers came.
-                let entries = ctx.servers.entries();
-                crossing.hear(ctx.now, &Event::List { kind: ListKind::Full, entries });
+                let entries = ctx.servers.pool_entries();
+                crossing.on_event(ctx.now, &Event::List { kind: ListKind::Full, entries });
                 *gate = Some(crossing);
                 "on"
             }
@@ -344,7 +344,7 @@
     fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some(conf) = fleet_without_relays(new) else { return Ok(()) };
         let name = &ctx.platform.name;
-        if conf.own(name).is_none() || !self.joined.as_ref().is_some_and(|f| f.stays(conf, name)) {
+        if conf.own(name).is_none() || !self.joined.as_ref().is_some_and(|f| f.keeps_identity(conf, name)) {
             self.prepared = Some(Fleet::join(ctx.now, conf, name, ctx.seed, ctx.calls, ctx.poller)?);
         }
         Ok(())
@@ -352,7 +352,7 @@
 
     fn abandon(&mut self, ctx: &mut ComponentContext) {
         if let Some(prepared) = self.prepared.take() {
-            prepared.undo(ctx.now, ctx.poller);
+            prepared.discard(ctx.now, ctx.poller);
             // A fleet that stays joined continues to record changes.
             if self.joined.is_none() {
                 ctx.calls.record_changes(false);
@@ -373,7 +373,7 @@
                 "joined"
             }
             (Some(fleet), None, Some(conf)) => {
-                fleet.change(ctx.now, conf, ctx.poller);
+                fleet.reconfigure(ctx.now, conf, ctx.poller);
                 "changed"
             }
             (old, None, _) => {
@@ -397,15 +397,15 @@
         if let (Some(fleet), Some(guard)) = (&mut self.joined, &mut ctx.gates.fleet) {
             if fleet.tick(ctx.now, guard) {
                 // Answers that wait at the socket were sent before or while this process was paused, so they are old.
-                ctx.resolver.forget_asked();
-                ctx.resolver.ask();
+                ctx.resolver.forget_queries();
+                ctx.resolver.send_query();
             }
         }
     }
 
     fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
         if let Some(fleet) = &mut self.joined {
-            fleet.heard(ctx.now, ready, ctx.poller);
+            fleet.handle_ready(ctx.now, ready, ctx.poller);
         }
     }
 
@@ -417,8 +417,8 @@
             self.shares = None;
         }
         let (Some(fleet), Some(guard)) = (&mut self.joined, &mut ctx.gates.fleet) else { return };
-        let entries = fleet.beat(ctx.now, ctx.list_at, ctx.servers, ctx.calls, guard, ctx.poller);
-        fleet.hand_over(ctx.now, ctx.clients);
+        let entries = fleet.maintain(ctx.now, ctx.list_at, ctx.servers, ctx.calls, guard, ctx.poller);
+        fleet.hand_over_ends(ctx.now, ctx.clients);
         if !entries.is_empty() {
             ctx.calls.events.push(Event::List { kind: ListKind::Changes, entries });
         }
@@ -426,7 +426,7 @@
 
     fn finish_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(fleet) = &mut self.joined {
-            fleet.carry_out(ctx.now, ctx.calls, ctx.poller);
+            fleet.send_pending(ctx.now, ctx.calls, ctx.poller);
         }
     }
 
@@ -439,7 +439,7 @@
     /// A member that catches up gets one piece per iteration, so there are more iterations meanwhile. Changes since the last
     /// message are also sent soon.
     fn next_iteration_at(&self) -> Option<f64> {
-        self.joined.as_ref().and_then(Fleet::gives_at)
+        self.joined.as_ref().and_then(Fleet::next_send_at)
     }
 
     fn not_ready_reason(&self) -> Option<&'static str> {
--- a/crates/gatekeeper/src/node/config.rs
+++ b/crates/gatekeeper/src/node/config.rs
@@ -259,17 +259,17 @@
         check(format!("settings.tenants[{n}].quotaPerS"), tenant.quota_per_s, NON_NEGATIVE)?;
     }
     let values = [
-        ("settings.peersTotal", f64::from(settings.fronts), COUNT),
-        ("settings.period", settings.period, SECONDS),
+        ("settings.peersTotal", f64::from(settings.gatekeepers), COUNT),
+        ("settings.period", settings.min_batch_interval, SECONDS),
         ("settings.overShareWorth", settings.over_share_worth, NON_NEGATIVE),
-        ("settings.familyInfo.release", settings.release, SECONDS),
-        ("settings.familyInfo.retransmit", settings.retransmit, SECONDS),
+        ("settings.familyInfo.release", settings.release_time, SECONDS),
+        ("settings.familyInfo.retransmit", settings.retransmit_time, SECONDS),
         ("settings.limits.tryLimit", f64::from(settings.try_limit), COUNT),
-        ("settings.limits.maxRetryAfter", settings.retry_after.unwrap_or(0.0), SECONDS),
+        ("settings.limits.maxRetryAfter", settings.max_retry_after.unwrap_or(0.0), SECONDS),
         ("settings.limits.connectTimeout", section.limits.connect_timeout, POSITIVE_SECONDS),
         ("settings.safety.drainGrace", section.safety.drain_grace, SECONDS),
-        ("settings.safety.cold", settings.cold, SECONDS),
-        ("settings.safety.coldFrom", settings.cold_from, FRACTION),
+        ("settings.safety.cold", settings.warm_up_time, SECONDS),
+        ("settings.safety.coldFrom", settings.initial_capacity_ratio, FRACTION),
         ("settings.safety.overloadFactor", settings.overload_factor, COUNT),
         ("limits.sockets", limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS) as f64, SOCKET_COUNT),
         ("limits.memory_mb", limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB), MEGABYTES),
@@ -341,7 +341,7 @@
         let address = |field, text: &str| {
             text.parse::<SocketAddr>().map_err(|_| ConfigError::InvalidValue(field, text.to_string()))
         };
-        let (mut settings, telemetry) = settings::read(file.settings.to_string().as_bytes())?;
+        let (mut settings, telemetry) = settings::parse(file.settings.to_string().as_bytes())?;
         let section: SettingsSection = serde_json::from_value(file.settings)?;
         check_ranges(&settings, &section, &file.limits)?;
         settings.try_limit = settings.try_limit.min(MAX_ATTEMPTS);
@@ -360,9 +360,9 @@
             districts: section.zones.clone(),
             own: section.zone.filter(|zone| *zone < section.zones.len()),
             classes: names.zip(settings.classes.iter().map(|c| c.goal_time)).collect(),
-            fronts: settings.fronts,
+            fronts: settings.gatekeepers,
         };
-        let servers_report_state = telemetry.any();
+        let servers_report_state = telemetry.has_fields();
         let min_goal_time = settings.classes.iter().map(|c| c.goal_time).fold(MAX_GOAL_TIME_S, f64::min);
         Ok(Config {
             name,
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -61,7 +61,7 @@
             servers: &mut $node.servers,
             clients: &mut $node.clients,
             resolver: &mut $node.resolver,
-            gates: $node.controller.gate(),
+            gates: $node.controller.gate_mut(),
             list_at: $node.list_at,
             platform: &$node.platform,
             seed: $node.seed,
@@ -163,8 +163,11 @@
         let resolver_key = poller.add(resolver.socket(), false)?;
         // The descriptors of links to other gatekeepers and of the control address are subtracted from the limit that callers
         // and servers share.
-        let link_descriptors =
-            config.own_conf.fleet.as_ref().map_or(0, |fleet| super::tier::descriptors(fleet, &config.name));
+        let link_descriptors = config
+            .own_conf
+            .fleet
+            .as_ref()
+            .map_or(0, |fleet| super::tier::max_link_descriptors(fleet, &config.name));
         let control_descriptors = config.control.map_or(0, |_| super::http::MAX_CONNECTIONS + 1);
         let fixed = descriptors::FIXED + control_descriptors;
         let descriptors = Descriptors { all: config.max_sockets.saturating_sub(link_descriptors), fixed };
@@ -191,7 +194,7 @@
         let names = config.names();
         let configured = config.settings;
         let mut settings = configured.clone();
-        settings.release += LIMIT_TOLERANCE_S;
+        settings.release_time += LIMIT_TOLERANCE_S;
         let resolver_interval = (config.protocol.drain_grace * RESOLVER_INTERVAL_RATIO)
             .clamp(MIN_RESOLVER_INTERVAL_S, MAX_RESOLVER_INTERVAL_S);
         let max_stop_time = config.protocol.max_wait().min(MAX_WAIT_S) + KILL_AFTER_S - KILL_RESERVE_S;
@@ -199,7 +202,7 @@
             clock,
             poller,
             wheel: TimerWheel::new(now, TICK_S),
-            controller: Controller::gated(settings, config.seed, Gates::default()),
+            controller: Controller::with_gate(settings, config.seed, Gates::default()),
             calls: Calls::new(now, config.memory_bytes / HELD_MEMORY_DIVISOR),
             clients,
             servers: Servers::new(config.protocol, config.telemetry, descriptors, config.seed),
@@ -227,12 +230,12 @@
             #[cfg(test)]
             before_writing: None,
         };
-        node.calls.set_mean_call_duration(node.settings.hold);
-        node.clients.set_stay_away(node.settings.retry_after);
+        node.calls.set_mean_call_duration(node.settings.mean_holding_time);
+        node.clients.set_max_retry_after(node.settings.max_retry_after);
         node.apply_own_conf(now, config.own_conf)?;
         let mut ctx = Context { now, poller: &mut node.poller, calls: &mut node.calls };
-        node.servers.list(&config.initial_list, ListKind::Cached, &mut ctx);
-        node.servers.beat(&mut ctx);
+        node.servers.apply_list(&config.initial_list, ListKind::Cached, &mut ctx);
+        node.servers.maintain(&mut ctx);
         node.wheel.schedule(now, Timer::Heartbeat);
         node.wheel.schedule(now, Timer::QueryResolver);
         node.decide(now);
@@ -251,7 +254,7 @@
 
     /// Counts and budgets of set-ups to other districts, if configured.
     pub fn crossing(&mut self) -> Option<&mut Crossing> {
-        self.controller.gate().crossing.as_mut()
+        self.controller.gate_mut().crossing.as_mut()
     }
 
     /// The time, in Unix seconds.
@@ -321,7 +324,8 @@
             true => {
                 let now = self.clock.now();
                 let wait = self.wheel.time_to_next(now).unwrap_or(HEARTBEAT_S).min(HEARTBEAT_S);
-                let wait = self.servers.release_due().map_or(wait, |at| wait.min((at - now).max(0.0)));
+                let wait =
+                    self.servers.held_messages_due_at().map_or(wait, |at| wait.min((at - now).max(0.0)));
                 self.components
                     .next_iteration_at()
                     .map_or(wait, |at| wait.min((at - now).max(MIN_CATCH_UP_INTERVAL_S)))
@@ -338,22 +342,22 @@
         for ready in all {
             let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
             if ready.key == self.resolver_key {
-                if let Some(list) = self.resolver.read() {
-                    self.servers.list(&list, ListKind::Full, &mut ctx);
-                    self.clients.set_most(self.servers.left_to_callers());
+                if let Some(list) = self.resolver.read_answers() {
+                    self.servers.apply_list(&list, ListKind::Full, &mut ctx);
+                    self.clients.set_max_connections(self.servers.max_caller_connections());
                 }
-                if self.resolver.confirmed() {
+                if self.resolver.take_confirmed() {
                     self.list_at = now;
                 }
             } else {
-                self.servers.ready(ready, &mut ctx);
+                self.servers.handle_ready(ready, &mut ctx);
                 let mut component_ctx = component_context!(self, now);
                 self.components
                     .all_mut()
                     .into_iter()
                     .for_each(|component| component.handle_ready(&mut component_ctx, ready));
-                self.clients.ready(now, ready, &mut self.poller, &mut self.calls);
-                for class in std::mem::take(&mut self.clients.turned_away) {
+                self.clients.handle_ready(now, ready, &mut self.poller, &mut self.calls);
+                for class in std::mem::take(&mut self.clients.refused_classes) {
                     self.count_answer(class, Outcome::Declined);
                 }
                 let called = self.http.as_mut().and_then(|h| h.ready(now, ready, &mut self.poller));
@@ -369,7 +373,11 @@
                 }
             }
         }
-        self.servers.release_held(&mut Context { now, poller: &mut self.poller, calls: &mut self.calls });
+        self.servers.process_held_messages(&mut Context {
+            now,
+            poller: &mut self.poller,
+            calls: &mut self.calls,
+        });
         let mut is_heartbeat = false;
         for timer in self.wheel.advance(now) {
             match timer {
@@ -378,7 +386,7 @@
                 Timer::AttemptLimit(call, attempt) => self.calls.attempt_timed_out(call, attempt),
                 Timer::Heartbeat => {
                     let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-                    self.servers.beat(&mut ctx);
+                    self.servers.maintain(&mut ctx);
                     let mut component_ctx = component_context!(self, now);
                     self.components
                         .all_mut()
@@ -391,12 +399,12 @@
                     self.wheel.schedule(now + HEARTBEAT_S, Timer::Heartbeat);
                 }
                 Timer::QueryResolver => {
-                    self.resolver.ask();
+                    self.resolver.send_query();
                     self.wheel.schedule(now + self.resolver_interval, Timer::QueryResolver);
                 }
             }
         }
-        if let Some(set) = self.components.tier.offered() {
+        if let Some(set) = self.components.tier.take_offered_settings() {
             self.apply_fleet_settings(now, &set);
         }
         #[cfg(test)]
@@ -407,10 +415,10 @@
         if is_heartbeat {
             // Checked only now that all messages of this iteration are written. Otherwise a connection could be closed as
             // idle while the end of the call that kept it open is still to be written to it.
-            self.clients.beat(now, &self.poller, &mut self.calls);
+            self.clients.maintain(now, &self.poller, &mut self.calls);
             self.update_listener(now);
         }
-        if is_heartbeat || self.clients.drains_firmly(now) {
+        if is_heartbeat || self.clients.closes_idle_immediately(now) {
             self.drain(now);
             self.decide(now);
         }
@@ -485,9 +493,9 @@
             }
             Effect::Command { pool, id, command } => {
                 let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-                self.servers.order(pool, id, command, &mut ctx);
+                self.servers.execute(pool, id, command, &mut ctx);
             }
-            Effect::ReleaseEverywhere { id } => self.servers.release_anywhere(now, id, &self.poller),
+            Effect::ReleaseEverywhere { id } => self.servers.release_everywhere(now, id, &self.poller),
             Effect::UnknownCallEnded { id, cut, may_predate_start, .. } => {
                 // The call belongs to another gatekeeper. Whichever member receives its end reports it to the caller.
                 if self
@@ -495,20 +503,20 @@
                     .fleet
                     .joined
                     .as_mut()
-                    .is_some_and(|fleet| fleet.end(now, id, cut, may_predate_start))
+                    .is_some_and(|fleet| fleet.handle_unknown_end(now, id, cut, may_predate_start))
                 {
                     self.calls.report_end(id, cut);
                 }
             }
             Effect::UnknownCallReleased { id, release_everywhere } => {
                 let Some(fleet) = &self.components.fleet.joined else { return };
-                match fleet.call(id).and_then(|call| fleet.pool(call.fact.server)) {
+                match fleet.adopted_call(id).and_then(|call| fleet.pool_of(call.fact.server)) {
                     Some(pool) => {
                         self.calls.released_elsewhere(id);
                         let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-                        self.servers.order(pool, id, Command::Release, &mut ctx);
+                        self.servers.execute(pool, id, Command::Release, &mut ctx);
                     }
-                    None if release_everywhere => self.servers.release_anywhere(now, id, &self.poller),
+                    None if release_everywhere => self.servers.release_everywhere(now, id, &self.poller),
                     None => {}
                 }
             }
@@ -524,12 +532,12 @@
     /// Closes or opens the callers' listener according to the lifecycle. If that is not possible yet, it is tried again at
     /// the next heartbeat: the listener can't close while callers wait for a free connection, and its address may be in use.
     fn update_listener(&mut self, now: f64) {
-        let (listening, may_listen) = (self.clients.listening(), self.lifecycle.listens(now));
+        let (listening, may_listen) = (self.clients.is_listening(), self.lifecycle.listens(now));
         if listening && !may_listen && self.clients.stop_listening(now, &mut self.poller, &mut self.calls) {
             log::info!("listener-closed");
         }
         if !listening && self.lifecycle.phase() == Phase::Serving {
-            match self.clients.listen_again(&mut self.poller) {
+            match self.clients.resume_listening(&mut self.poller) {
                 Ok(()) => log::info!("listener-open"),
                 Err(error) => log::warn!(error:%; "listener-failed"),
             }
--- a/crates/gatekeeper/src/node/event_loop/draining.rs
+++ b/crates/gatekeeper/src/node/event_loop/draining.rs
@@ -18,14 +18,14 @@
         let fleet = self.components.fleet.joined.as_ref();
         let reported_elsewhere = fleet.is_some_and(|fleet| fleet.others_have_callers());
         let actions = self.clients.drain(now, reported_elsewhere, &self.poller, &mut self.calls);
-        for origin in actions.answer {
+        for origin in actions.answer_set_ups_of {
             let open = self.calls.open_count(origin);
             log::info!(caller = origin, open; "drain-set-ups-answered");
             self.drained_calls.answered += open as u64;
-            self.calls.answer_origin(origin, repeatable(&self.classes), self.clients.stay_away());
+            self.calls.answer_origin(origin, repeatable(&self.classes), self.clients.retry_after());
         }
-        if actions.cut {
-            let cut = self.calls.cut_standing(|origin| !actions.staying.contains(&origin));
+        if actions.cut_calls {
+            let cut = self.calls.cut_standing(|origin| !actions.kept.contains(&origin));
             log::warn!(calls = cut; "drain-calls-cut");
             self.drained_calls.cut += cut as u64;
         }
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -45,7 +45,7 @@
         }
         // Everything that can fail comes first, so that either all of the new configuration is applied or nothing.
         let opened =
-            resolver::open(new.dns).and_then(|socket| Ok((self.poller.add(&socket, false)?, socket)));
+            resolver::open_socket(new.dns).and_then(|socket| Ok((self.poller.add(&socket, false)?, socket)));
         let (key, socket) = match opened {
             Ok(opened) => opened,
             Err(error) => {
@@ -76,16 +76,16 @@
         if !keeps_fleet_settings {
             self.fleet_entries.clear();
         }
-        self.poller.remove(&self.resolver.move_to(socket));
+        self.poller.remove(&self.resolver.replace_socket(socket));
         self.resolver_key = key;
         if self.resolver.accept(new.initial_list.position) {
             let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-            self.servers.list(&new.initial_list, ListKind::Full, &mut ctx);
-            self.clients.set_most(self.servers.left_to_callers());
+            self.servers.apply_list(&new.initial_list, ListKind::Full, &mut ctx);
+            self.clients.set_max_connections(self.servers.max_caller_connections());
         }
         let classes = table.changes(&self.classes);
         self.retune(new.settings.clone(), table);
-        self.resolver.ask();
+        self.resolver.send_query();
         self.decide(now);
         self.figures.reloaded(true);
         log::info!(resolver:% = new.dns, changes:% = changes, classes:% = classes; "configuration-read");
@@ -95,7 +95,7 @@
             log::warn!("platform-changed");
         }
         // Fleet settings that were rejected with the old file may be valid with the new one.
-        if let Some(set) = self.components.tier.turned_down() {
+        if let Some(set) = self.components.tier.rejected_settings() {
             self.apply_fleet_settings(now, &set);
         }
     }
@@ -131,7 +131,7 @@
                 log::warn!(version, reason = reason.as_str(); "fleet-settings-not-taken");
             }
         }
-        self.components.tier.verdict(version, result.map(drop));
+        self.components.tier.report_verdict(version, result.map(drop));
     }
 
     /// Applies the new content of the own configuration file, all of it or nothing. Returns the labels of what changed.
@@ -147,10 +147,10 @@
     fn retune(&mut self, mut settings: Settings, table: Table<(ClassSettings, ProtocolClass)>) {
         let entries = table.entries();
         settings.classes = entries.iter().map(|e| e.settings.0.clone()).collect();
-        settings.release += LIMIT_TOLERANCE_S;
-        self.calls.set_mean_call_duration(settings.hold);
-        self.clients.set_stay_away(settings.retry_after);
-        self.controller.retune(settings);
+        settings.release_time += LIMIT_TOLERANCE_S;
+        self.calls.set_mean_call_duration(settings.mean_holding_time);
+        self.clients.set_max_retry_after(settings.max_retry_after);
+        self.controller.update_settings(settings);
         let protocol_class = |e: &hollypaddle_service::classes::Entry<(ClassSettings, ProtocolClass)>| {
             ProtocolClass { accepts_calls: e.live, ..e.settings.1.clone() }
         };
--- a/crates/gatekeeper/src/node/event_loop/stopping.rs
+++ b/crates/gatekeeper/src/node/event_loop/stopping.rs
@@ -105,24 +105,26 @@
         // accept now would be lost with it.
         self.clients.close_all(now, &self.poller, &mut self.calls);
         let until = now + CLOSE_GRACE_S;
-        while (self.clients.closing() || self.clients.listening()) && self.clock.now() < until {
+        while (self.clients.has_closing_connections() || self.clients.is_listening())
+            && self.clock.now() < until
+        {
             let wait = if self.clock.is_real_time() { (until - self.clock.now()).max(0.0) } else { 0.0 };
             let all = self.poller.wait(wait)?;
             if all.is_empty() && !self.clock.is_real_time() {
                 self.clock.advance(TICK_S);
             }
             for ready in all {
-                self.clients.ready(self.clock.now(), ready, &mut self.poller, &mut self.calls);
+                self.clients.handle_ready(self.clock.now(), ready, &mut self.poller, &mut self.calls);
                 // Input from servers and the resolver is read and ignored, because otherwise they would be ready all the
                 // time.
                 let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-                self.servers.ready(ready, &mut ctx);
+                self.servers.handle_ready(ready, &mut ctx);
                 if ready.key == self.resolver_key {
-                    self.resolver.read();
+                    self.resolver.read_answers();
                 }
             }
             // Closed connections have freed descriptors for callers that still wait.
-            if self.clients.listening() {
+            if self.clients.is_listening() {
                 self.answer_remaining(now);
                 self.clients.close_all(now, &self.poller, &mut self.calls);
             }
@@ -134,7 +136,7 @@
     /// Reads and answers everything that has come so far, at the end of the program. A set-up on a connection that is not
     /// accepted or not read would be lost.
     fn answer_remaining(&mut self, now: f64) {
-        self.clients.take_last(now, &mut self.poller, &mut self.calls);
+        self.clients.accept_remaining(now, &mut self.poller, &mut self.calls);
         self.clients.read_all(now, &self.poller, &mut self.calls);
         self.answer_open(now);
         // Answers set-ups that were read while the first answers were written.
@@ -145,7 +147,7 @@
 
     /// Gives a final answer to all calls that have none yet, because the program ends.
     fn answer_open(&mut self, now: f64) {
-        self.calls.answer_all(repeatable(&self.classes), self.clients.stay_away());
+        self.calls.answer_all(repeatable(&self.classes), self.clients.retry_after());
         self.decide(now);
     }
 }
--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -8,21 +8,21 @@
 mod channel;
 mod connecting;
 mod incoming;
+mod liveness;
 mod release;
-mod releases;
+mod release_queue;
 mod set_ups;
-mod silence;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use hollypaddle_policy::settings::Telemetry;
 use hollypaddle_policy::{Event, ListKind, PoolEntry, PoolId};
 
-pub(super) use self::channel::dial;
+pub(super) use self::channel::connect_nonblocking;
 
 use self::channel::Channel;
 use self::incoming::judge;
-use self::releases::Releases;
+use self::release_queue::Releases;
 use self::set_ups::WaitingSetUp;
 use super::config::ProtocolSettings;
 use super::poller::{Key, Poller, Ready};
@@ -64,7 +64,7 @@
     unreachable: bool,
     /// How many connections in a row broke as soon as they were up.
     quick_ends: u32,
-    /// How long its connections may be silent while a set-up is out, see [`silence`].
+    /// How long its connections may be silent while a set-up is out, see [`liveness`].
     silence_limit: f64,
     /// When it last said anything, and since when something is without an answer that should have one.
     last_message_at: f64,
@@ -74,7 +74,7 @@
 }
 
 /// What is known of a server, to be told to other gatekeepers.
-pub struct Known<'a> {
+pub struct ServerSummary<'a> {
     /// Its id.
     pub name: &'a str,
     /// Its number here.
@@ -109,7 +109,7 @@
     }
 
     /// How many connections callers may hold beside those to the servers listed now.
-    pub fn left_to_callers(&self) -> usize {
+    pub fn max_caller_connections(&self) -> usize {
         self.descriptors.divided(self.servers.len()).callers
     }
 
@@ -121,7 +121,7 @@
     // ---- The list
 
     /// Takes a whole list. A server missing from it is gone.
-    pub fn list(&mut self, list: &Snapshot, kind: ListKind, ctx: &mut Context) {
+    pub fn apply_list(&mut self, list: &Snapshot, kind: ListKind, ctx: &mut Context) {
         let mut entries = Vec::new();
         let silence_limit = self.link.silence_limit();
         for (name, listed) in &list.servers {
@@ -152,7 +152,7 @@
     }
 
     /// The list in force, as the decision module takes it.
-    pub fn entries(&self) -> Vec<PoolEntry> {
+    pub fn pool_entries(&self) -> Vec<PoolEntry> {
         self.servers.iter().map(|(pool, server)| entry(*pool, &server.listed)).collect()
     }
 
@@ -168,8 +168,8 @@
     }
 
     /// What is known of each server.
-    pub fn known(&self) -> impl Iterator<Item = Known<'_>> {
-        self.servers.iter().map(|(pool, s)| Known {
+    pub fn summaries(&self) -> impl Iterator<Item = ServerSummary<'_>> {
+        self.servers.iter().map(|(pool, s)| ServerSummary {
             name: &s.name,
             pool: *pool,
             listed: &s.listed,
@@ -189,7 +189,7 @@
     // ---- What the calls ask for
 
     /// Carries an order out.
-    pub fn order(&mut self, pool: PoolId, id: u64, order: Command, ctx: &mut Context) {
+    pub fn execute(&mut self, pool: PoolId, id: u64, order: Command, ctx: &mut Context) {
         let server = self.servers.get_mut(&pool);
         match (order, server) {
             (Command::SetUp { class, until, content }, Some(server))
@@ -227,7 +227,7 @@
     }
 
     /// Releases a call at every server, as it is not known where it stands.
-    pub fn release_anywhere(&mut self, now: f64, id: u64, poller: &Poller) {
+    pub fn release_everywhere(&mut self, now: f64, id: u64, poller: &Poller) {
         for server in self.servers.values_mut() {
             server.release(now, id, poller);
         }
@@ -236,7 +236,7 @@
     // ---- What happens on the sockets
 
     /// Takes what is ready, if it is a server's.
-    pub fn ready(&mut self, ready: Ready, ctx: &mut Context) {
+    pub fn handle_ready(&mut self, ready: Ready, ctx: &mut Context) {
         let found = self.servers.iter_mut().find(|(_, s)| s.channels.contains_key(&ready.key));
         let Some((&pool, server)) = found else { return };
         let Some(channel) = server.channels.get_mut(&ready.key) else { return };
@@ -253,7 +253,7 @@
     }
 
     /// Takes the messages that were held back for long enough.
-    pub fn release_held(&mut self, ctx: &mut Context) {
+    pub fn process_held_messages(&mut self, ctx: &mut Context) {
         let due = |c: &Channel| c.held_since.is_some_and(|since| ctx.now - since >= MAX_HOLD_S);
         let due: Vec<(PoolId, Key)> = (self.servers.iter())
             .flat_map(|(pool, s)| s.channels.iter().map(move |(key, c)| (*pool, *key, c)))
@@ -270,15 +270,15 @@
     }
 
     /// When the next message that is held back is due.
-    pub fn release_due(&self) -> Option<f64> {
+    pub fn held_messages_due_at(&self) -> Option<f64> {
         let held = self.servers.values().flat_map(|s| s.channels.values()).filter_map(|c| c.held_since);
         held.min_by(f64::total_cmp).map(|since| since + MAX_HOLD_S)
     }
 
     /// Looks after connections. Called now and then.
-    pub fn beat(&mut self, ctx: &mut Context) {
+    pub fn maintain(&mut self, ctx: &mut Context) {
         for (&pool, server) in &mut self.servers {
-            server.beat(pool, &self.link, ctx);
+            server.maintain(pool, &self.link, ctx);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/channel.rs
+++ b/crates/gatekeeper/src/node/servers/channel.rs
@@ -93,7 +93,7 @@
 }
 
 /// Begins to connect without waiting.
-pub(in crate::node) fn dial(address: SocketAddr) -> io::Result<TcpStream> {
+pub(in crate::node) fn connect_nonblocking(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -7,7 +7,7 @@
 use hollypaddle_platform::connection::{Connection, Over};
 use hollypaddle_policy::PoolId;
 
-use super::channel::{dial, Channel};
+use super::channel::{connect_nonblocking, Channel};
 use super::{Context, Server};
 use crate::node::config::ProtocolSettings;
 use crate::node::delivery::Pending;
@@ -42,7 +42,9 @@
                 None => return,
             }
         }
-        match dial(self.listed.address).and_then(|stream| Ok((ctx.poller.add(&stream, true)?, stream))) {
+        match connect_nonblocking(self.listed.address)
+            .and_then(|stream| Ok((ctx.poller.add(&stream, true)?, stream)))
+        {
             Ok((key, stream)) => {
                 let channel = Channel {
                     connection: Connection::new(stream, MAX_UNWRITTEN_BYTES),
--- a/crates/gatekeeper/src/node/servers/silence.rs
+++ b/crates/gatekeeper/src/node/servers/liveness.rs
@@ -53,7 +53,7 @@
 
 impl Server {
     /// Looks after its connections and what waits for one.
-    pub(super) fn beat(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+    pub(super) fn maintain(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
         self.close_stalled(pool, link, ctx);
         self.close_late(pool, link, ctx);
         self.connect_if_due(pool, link, ctx);
--- a/crates/gatekeeper/src/node/servers/tests.rs
+++ b/crates/gatekeeper/src/node/servers/tests.rs
@@ -27,7 +27,7 @@
             connections: 3,
             districts: Vec::new(),
         };
-        let (_, telemetry) = hollypaddle_policy::settings::read(
+        let (_, telemetry) = hollypaddle_policy::settings::parse(
             br#"{"peersTotal":1,"period":0.005,"familyInfo":{"release":0.3},"limits":{"tryLimit":6},
             "requestClasses":[],"safety":{"cold":14,"coldFrom":0.3,"overloadFactor":3}}"#,
         )
@@ -41,14 +41,14 @@
         let listed = Listed { address: self.address, number: 0, readiness, started, district };
         let list = Snapshot { position: position.into(), servers: [(name.to_owned(), listed)].into() };
         let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-        self.servers.list(&list, ListKind::Full, &mut ctx);
+        self.servers.apply_list(&list, ListKind::Full, &mut ctx);
     }
 
     fn beat(&mut self, now: f64) {
         let ready = self.poller.wait(0.0).unwrap();
         let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-        ready.into_iter().for_each(|ready| self.servers.ready(ready, &mut ctx));
-        self.servers.beat(&mut ctx);
+        ready.into_iter().for_each(|ready| self.servers.handle_ready(ready, &mut ctx));
+        self.servers.maintain(&mut ctx);
     }
 
     /// The times at which a connection was tried, of those at which one might have been.
--- a/crates/gatekeeper/src/node/servers/tests/give_ups.rs
+++ b/crates/gatekeeper/src/node/servers/tests/give_ups.rs
@@ -32,7 +32,7 @@
 }
 
 impl World {
-    pub(super) fn turn(&mut self, now: f64) -> (&mut Servers, Context<'_>) {
+    pub(super) fn context(&mut self, now: f64) -> (&mut Servers, Context<'_>) {
         (&mut self.servers, Context { now, poller: &mut self.poller, calls: &mut self.calls })
     }
 
@@ -56,13 +56,13 @@
     pub(super) fn carry_out(&mut self, now: f64) {
         for effect in std::mem::take(&mut self.calls.effects) {
             let Effect::Command { pool, id, command } = effect else { continue };
-            let (servers, mut ctx) = self.turn(now);
-            servers.order(pool, id, command, &mut ctx);
+            let (servers, mut ctx) = self.context(now);
+            servers.execute(pool, id, command, &mut ctx);
         }
     }
 
     pub(super) fn send_waiting(&mut self, now: f64) {
-        let (servers, mut ctx) = self.turn(now);
+        let (servers, mut ctx) = self.context(now);
         servers.send_waiting(&mut ctx);
     }
 }
--- a/crates/gatekeeper/src/node/servers/tests/releases.rs
+++ b/crates/gatekeeper/src/node/servers/tests/releases.rs
@@ -8,7 +8,7 @@
 use hollypaddle_standin::{answer, Peer};
 
 use super::super::release::RESEND_LIMIT_S;
-use super::super::releases::{MAX_RESENT_AT_ONCE, MAX_UNCONFIRMED};
+use super::super::release_queue::{MAX_RESENT_AT_ONCE, MAX_UNCONFIRMED};
 use super::give_ups::{accept, connected, connected_at, POOL};
 use super::*;
 
@@ -18,8 +18,8 @@
 impl World {
     fn release(&mut self, now: f64, ids: impl IntoIterator<Item = u64>) {
         for id in ids {
-            let (servers, mut ctx) = self.turn(now);
-            servers.order(POOL, id, Command::Release, &mut ctx);
+            let (servers, mut ctx) = self.context(now);
+            servers.execute(POOL, id, Command::Release, &mut ctx);
         }
     }
 
