--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -96,7 +96,7 @@
 
 /// A reply to a caller.
 #[derive(Clone, Debug, PartialEq)]
-#[expect(missing_docs, reason = "the variants tell what their fields are")]
+#[expect(missing_docs, reason = "the comments on the variants describe their fields")]
 pub enum Reply {
     /// The call is established, with the server's session description if it gave one.
     Established(Option<Vec<u8>>),
@@ -110,7 +110,7 @@
 
 /// A command to a server, concerning one call.
 #[derive(Clone, Debug, PartialEq)]
-#[expect(missing_docs, reason = "the variants tell what their fields are")]
+#[expect(missing_docs, reason = "the comments on the variants describe their fields")]
 pub enum Command {
     /// Set up the call. An answer is of use until the time `until`, in seconds.
     SetUp { class: usize, until: f64, content: Rc<Content> },
@@ -122,7 +122,7 @@
 
 /// Work for the connection layer.
 #[derive(Clone, Debug, PartialEq)]
-#[expect(missing_docs, reason = "the variants tell what their fields are")]
+#[expect(missing_docs, reason = "the comments on the variants describe their fields")]
 pub enum Effect {
     /// Send a reply to a caller. `class` is the call's class, for the metrics, or [`UNKNOWN_CLASS`] for a call from
     /// before a restart.
@@ -221,7 +221,7 @@
 
 /// A change of a standing call that is reported to other gatekeepers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-#[expect(missing_docs, reason = "the variants tell what their fields are")]
+#[expect(missing_docs, reason = "the comments on the variants describe their fields")]
 pub enum CallChange {
     /// The call has been standing since the time `since`.
     Established { id: u64, class: usize, pool: PoolId, since: f64 },
--- a/crates/gatekeeper/src/ctl.rs
+++ b/crates/gatekeeper/src/ctl.rs
@@ -179,7 +179,7 @@
         ("ready", "caught up"),
     ];
     format!(
-        "member {}, life {}, caught up {}, held {}, majority heard {}, superseded {}\n\n{}\n",
+        "member {}, life {}, caught up {}, held {}, majority reachable {}, superseded {}\n\n{}\n",
         format_cell(report, "name"),
         format_cell(report, "life"),
         format_cell(report, "ready"),
@@ -200,7 +200,7 @@
         version => format!("\nsettings {version} refused: {}", format_cell(settings, "reason")),
     };
     format!(
-        "leaf {}, life {}, zone {}, caught up {}, relay {}, second {}, heard {:.1} s ago, settings {} held, {} in \
+        "leaf {}, life {}, zone {}, caught up {}, relay {}, second {}, last message {:.1} s ago, settings {} held, {} in \
          force{refused}\n\n{}\n\n{}\n",
         format_cell(report, "name"),
         format_cell(report, "life"),
@@ -242,7 +242,7 @@
         why => format!("\nthe last change was refused here: {}", why.as_str().unwrap_or_default()),
     };
     format!(
-        "relay {}, life {}, caught up {}, writer {}, {} of {} relays heard, majority {}, {} leaves of at most {}, \
+        "relay {}, life {}, caught up {}, writer {}, {} of {} relays reachable, majority {}, {} leaves of at most {}, \
          settings {} with {} entries in force, {} proposed{refused}\n\n{}\n\n{}\n",
         format_cell(report, "name"),
         format_cell(report, "life"),
@@ -280,8 +280,8 @@
     let (counts, links) = (&report["counts"], &report["links"]);
     format!(
         "{}\n\n{} calls adopted now, {} since the start, {} without a server; conflicts {}, copies that differed {}, \
-         mended {}, left out {}\ncatch-up: {} records given, {} taken, {} streams coming; links refused {}, words said {}, \
-         heard {}, bytes said {}\n",
+         repaired {}, left out {}\ncatch-up: {} records sent, {} received, {} streams in progress; links refused {}, messages \
+         sent {}, received {}, bytes sent {}\n",
         format_table(&report["streams"], &columns),
         format_cell(report, "adopted"),
         format_cell(counts, "adopted"),
--- a/crates/gatekeeper/src/node/event_loop/stopping.rs
+++ b/crates/gatekeeper/src/node/event_loop/stopping.rs
@@ -16,9 +16,9 @@
 /// The longest deadline is taken to be this, in seconds, if it is longer. After SIGTERM the program may be killed once the
 /// longest deadline and [`KILL_AFTER_S`] have passed.
 pub(super) const MAX_WAIT_S: f64 = 3.0;
-/// How long after the longest deadline the program may be killed, counted from SIGTERM, in seconds.
+/// The time that is added to the longest deadline: when both have passed since SIGTERM, the program may be killed. In seconds.
 pub(super) const KILL_AFTER_S: f64 = 0.7;
-/// How long before it may be killed the program stops waiting for open calls, in seconds.
+/// The program stops waiting for open calls this long before it may be killed, in seconds.
 pub(super) const KILL_RESERVE_S: f64 = 0.2;
 /// How long callers have at the end to read their last answers and close, in seconds. Part of [`KILL_RESERVE_S`].
 const CLOSE_GRACE_S: f64 = 0.1;
