--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -36,9 +36,9 @@
 const MAX_STRAY_RELEASES: f64 = 100.0;
 /// Releases of calls from before the restart that are passed on per second in the long run; see [`MAX_STRAY_RELEASES`].
 const STRAY_RELEASES_PER_S: f64 = 50.0;
-/// The origin of a call from before a restart: a reply may go out on any connection.
+/// The origin of a call from before a restart or of another gatekeeper: a reply may go out on any connection.
 pub const ANY_ORIGIN: Origin = 0;
-/// The class of a call from before a restart, which is not known.
+/// The class of a call from before a restart or of another gatekeeper, which is not known.
 pub const UNKNOWN_CLASS: usize = usize::MAX;
 
 /// Identifies the connection on which a call came. Only the connection layer interprets it.
@@ -125,7 +125,7 @@
 #[expect(missing_docs, reason = "the comments on the variants describe their fields")]
 pub enum Effect {
     /// Send a reply to a caller. `class` is the call's class, for the metrics, or [`UNKNOWN_CLASS`] for a call from
-    /// before a restart.
+    /// before a restart or of another gatekeeper.
     Reply { origin: Origin, id: u64, class: usize, reply: Reply },
     /// Send a command to a server.
     Command { pool: PoolId, id: u64, command: Command },
