--- a/crates/gatekeeper/src/node/resolver.rs
+++ b/crates/gatekeeper/src/node/resolver.rs
@@ -11,36 +11,38 @@
 use hickory_proto::rr::{Name, RecordType};
 use hollypaddle_platform::list::Snapshot;
 
-use self::unusable::{Answers, Unusable};
+use self::unusable::{AnswerStats, Unusable};
 
-/// The name whose SRV records are the list.
-const LIST: &str = "_work._tcp.fleet.local.";
-/// Largest answer, with room to spare.
-const ANSWER: usize = 16 * 1024;
-/// Questions whose answers are still taken. A lost answer costs one interval and no more, as the next
-/// question does not wait for it.
-const OPEN_QUESTIONS: usize = 8;
+/// The DNS name whose SRV records are the server list.
+const LIST_NAME: &str = "_work._tcp.fleet.local.";
+/// Size of the receive buffer; answers are smaller, with room to spare.
+const MAX_ANSWER_BYTES: usize = 16 * 1024;
+/// Number of queries whose answers are still accepted. A lost answer costs one polling interval and no more, as the next
+/// query does not wait for it.
+const MAX_PENDING_QUERIES: usize = 8;
 
-/// Asks and listens.
+/// A DNS client that polls the server list.
 pub struct Resolver {
     socket: UdpSocket,
     name: Name,
+    /// Names of the districts, for parsing the list.
     districts: Vec<String>,
-    /// Ids of questions asked lately.
-    asked: VecDeque<u16>,
-    next: u16,
+    /// Ids of the latest queries, oldest first.
+    pending_queries: VecDeque<u16>,
+    last_query_id: u16,
+    /// Position of the current list: the number of the last event that it contains.
     position: u64,
     /// See [`Resolver::take_confirmed`].
     confirmed: bool,
-    /// The list held came in one answer, and no other has borne it out yet.
-    unproven: bool,
-    /// An older list that was told since, and by the answer to which question.
-    older: Option<(u64, u16)>,
-    answers: Answers,
+    /// The current list came in a single answer, and no other answer has confirmed it yet.
+    unverified: bool,
+    /// Position of an older list received since then, and the id of the query that it answered.
+    older_candidate: Option<(u64, u16)>,
+    answer_stats: AnswerStats,
 }
 
 impl Resolver {
-    /// A resolver at that address, which has told all up to `position`.
+    /// Creates a client for the DNS server at this address. The lists up to `position` count as known.
     pub fn new(
         address: SocketAddr,
         position: u64,
@@ -48,115 +50,115 @@
         districts: Vec<String>,
     ) -> io::Result<Resolver> {
         let socket = open_socket(address)?;
-        let name = Name::from_ascii(LIST).map_err(io::Error::other)?;
-        let (asked, confirmed) = (VecDeque::new(), false);
-        let (unproven, older) = (false, None);
+        let name = Name::from_ascii(LIST_NAME).map_err(io::Error::other)?;
+        let (pending_queries, confirmed) = (VecDeque::new(), false);
+        let (unverified, older_candidate) = (false, None);
         Ok(Resolver {
             socket,
             name,
             districts,
-            asked,
-            next: seed as u16,
+            pending_queries,
+            last_query_id: seed as u16,
             position,
             confirmed,
-            unproven,
-            older,
-            answers: Answers::default(),
+            unverified,
+            older_candidate,
+            answer_stats: AnswerStats::default(),
         })
     }
 
-    /// Questions on their way are forgotten: what answers them was said too long ago.
+    /// Forgets the pending queries, so that late answers to them, which may be outdated, are ignored.
     pub fn forget_queries(&mut self) {
-        self.asked.clear();
+        self.pending_queries.clear();
     }
 
-    /// Whether a whole list that is no older than the one held was told since this was last asked.
+    /// Returns whether a complete list no older than the current one was received since the previous call.
     pub fn take_confirmed(&mut self) -> bool {
         std::mem::take(&mut self.confirmed)
     }
 
-    /// Asks on another socket from now on. Questions on the old one are forgotten, and the position
-    /// is kept, as the numbers of the events go on. Returns the old socket, for the poller.
+    /// Sends further queries on another socket. Pending queries on the old socket are forgotten. The position is kept, as
+    /// event numbers continue. Returns the old socket, so that the poller can stop watching it.
     pub fn replace_socket(&mut self, socket: UdpSocket) -> UdpSocket {
-        self.asked.clear();
+        self.pending_queries.clear();
         std::mem::replace(&mut self.socket, socket)
     }
 
-    /// Whether a list at this position is news; its events then count as told.
+    /// Advances to the position of a list from the configuration. Returns whether that list is newer than the current one.
     pub fn accept(&mut self, position: u64) -> bool {
-        let news = position > self.position;
+        let is_newer = position > self.position;
         self.position = self.position.max(position);
-        if news {
-            (self.unproven, self.older) = (false, None);
+        if is_newer {
+            (self.unverified, self.older_candidate) = (false, None);
         }
-        news
+        is_newer
     }
 
-    /// The socket, to watch it.
+    /// The socket, to be watched for answers.
     pub fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 
-    /// Asks for the list. A question that cannot be sent is as good as lost.
+    /// Queries the list. A query that cannot be sent is treated like one that was lost.
     pub fn send_query(&mut self) {
-        // Steps through all ids; odd, so that each comes once.
-        self.next = self.next.wrapping_add(0x9e37);
-        let mut question = Message::new(self.next, MessageType::Query, OpCode::Query);
-        question.add_query(Query::query(self.name.clone(), RecordType::SRV));
-        match question.to_vec().map(|bytes| self.socket.send(&bytes)) {
+        // The step is odd, so all ids are used before one repeats.
+        self.last_query_id = self.last_query_id.wrapping_add(0x9e37);
+        let mut query = Message::new(self.last_query_id, MessageType::Query, OpCode::Query);
+        query.add_query(Query::query(self.name.clone(), RecordType::SRV));
+        match query.to_vec().map(|bytes| self.socket.send(&bytes)) {
             Ok(Ok(_)) => {}
             Ok(Err(error)) => log::debug!(error:%; "resolver-unreachable"),
             Err(error) => log::debug!(error:%; "resolver-unreachable"),
         }
-        self.asked.push_back(self.next);
-        if self.asked.len() > OPEN_QUESTIONS {
-            self.asked.pop_front();
+        self.pending_queries.push_back(self.last_query_id);
+        if self.pending_queries.len() > MAX_PENDING_QUERIES {
+            self.pending_queries.pop_front();
         }
     }
 
-    /// Reads what has come; the newest list if it is news.
+    /// Reads the answers that have arrived. Returns the latest list that is to be applied, if any.
     pub fn read_answers(&mut self) -> Option<Snapshot> {
-        let mut news = None;
-        let mut data = vec![0; ANSWER];
-        for _ in 0..2 * OPEN_QUESTIONS {
+        let mut latest = None;
+        let mut data = vec![0; MAX_ANSWER_BYTES];
+        for _ in 0..2 * MAX_PENDING_QUERIES {
             match self.socket.recv(&mut data) {
-                Ok(n) => news = self.take(&data[..n]).or(news),
+                Ok(n) => latest = self.handle_answer(&data[..n]).or(latest),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // A refused port shows as an error of the next call: the resolver is down for now.
+                // A refused port is reported as an error of the next call: the resolver is down for now.
                 Err(error) => log::debug!(error:%; "resolver-unreachable"),
             }
         }
-        news
+        latest
     }
 
-    fn take(&mut self, data: &[u8]) -> Option<Snapshot> {
-        // Guards against answers to somebody else and late ones.
+    fn handle_answer(&mut self, data: &[u8]) -> Option<Snapshot> {
+        // Ignores late answers and answers to queries of others.
         let id = data.first_chunk().map(|id| u16::from_be_bytes(*id));
-        let Some(question) = id.filter(|id| self.asked.contains(id)) else {
+        let Some(query_id) = id.filter(|id| self.pending_queries.contains(id)) else {
             log::debug!(id; "resolver-answer-passed-over");
             return None;
         };
-        let list = match self.whole_list(data) {
+        let list = match self.parse_list(data) {
             Ok(list) => list,
-            Err(why) => {
-                self.cannot_take(&why);
+            Err(error) => {
+                self.handle_unusable(&error);
                 return None;
             }
         };
-        if self.answers.usable() {
+        if self.answer_stats.record_usable() {
             log::info!(position = list.position, servers = list.servers.len(); "list-taken-again");
         }
-        let news = self.news(list.position, question);
+        let is_accepted = self.accept_answer(list.position, query_id);
         self.confirmed |= list.position == self.position;
-        news.then_some(list)
+        is_accepted.then_some(list)
     }
 
-    /// The list of an answer. A server missing from a list counts as gone, so only a whole one may be taken.
-    fn whole_list(&self, data: &[u8]) -> Result<Snapshot, Unusable> {
+    /// Parses the list in an answer. A server missing from the list counts as gone, so an incomplete list is an error.
+    fn parse_list(&self, data: &[u8]) -> Result<Snapshot, Unusable> {
         let answer = Message::from_vec(data)?;
         let head = &answer.metadata;
         if head.truncation {
-            return Err(Unusable::CutShort);
+            return Err(Unusable::Truncated);
         }
         if head.message_type != MessageType::Response {
             return Err(Unusable::Incomplete);
@@ -167,38 +169,38 @@
         Snapshot::from_answer(&answer, &self.districts).ok_or(Unusable::Incomplete)
     }
 
-    fn cannot_take(&mut self, why: &Unusable) {
-        log::debug!(error:% = why; "resolver-answer-unusable");
-        if self.answers.unusable() {
-            log::warn!(held = self.position, error:% = why; "list-not-taken");
+    fn handle_unusable(&mut self, error: &Unusable) {
+        log::debug!(error:%; "resolver-answer-unusable");
+        if self.answer_stats.record_unusable() {
+            log::warn!(held = self.position, error:%; "list-not-taken");
         }
     }
 
-    /// Answers that could not be taken since the start.
+    /// Number of unusable answers since the start.
     pub fn unusable_answers(&self) -> u64 {
-        self.answers.unusable
+        self.answer_stats.unusable
     }
 
-    /// Whether a list that an answer told is to be taken. Events are numbered anew at each start of a gatekeeper, so an answer
-    /// of its earlier life may come late and bear a higher number than all that this life has yet: what is told by one answer
-    /// and by none after it yields as soon as two answers to different questions tell the same other list. A list that was
-    /// told twice never goes back.
-    fn news(&mut self, position: u64, question: u16) -> bool {
+    /// Decides whether the list of an answer is applied. Events are numbered anew each time a gatekeeper starts, so a late
+    /// answer from before a restart may have a higher position than any list since. A list from a single answer is therefore
+    /// replaced by an older one as soon as two answers to different queries agree on that. A list that was received twice is
+    /// never replaced by an older one.
+    fn accept_answer(&mut self, position: u64, query_id: u16) -> bool {
         match position.cmp(&self.position) {
             Ordering::Greater => {
                 self.accept(position);
-                self.unproven = true;
+                self.unverified = true;
                 true
             }
             Ordering::Equal => {
-                (self.unproven, self.older) = (false, None);
+                (self.unverified, self.older_candidate) = (false, None);
                 false
             }
-            Ordering::Less if !self.unproven => false,
-            Ordering::Less => match self.older.replace((position, question)) {
-                Some((told, by)) if told == position && by != question => {
-                    log::info!(held = self.position, told; "list-of-an-earlier-life");
-                    (self.position, self.unproven, self.older) = (position, false, None);
+            Ordering::Less if !self.unverified => false,
+            Ordering::Less => match self.older_candidate.replace((position, query_id)) {
+                Some((previous, by)) if previous == position && by != query_id => {
+                    log::info!(held = self.position, told = previous; "list-of-an-earlier-life");
+                    (self.position, self.unverified, self.older_candidate) = (position, false, None);
                     true
                 }
                 _ => false,
@@ -207,7 +209,7 @@
     }
 }
 
-/// A socket that speaks to a resolver.
+/// Opens a non-blocking socket connected to a resolver.
 pub fn open_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let any = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
     let socket = UdpSocket::bind(any)?;
--- a/crates/gatekeeper/src/node/resolver/tests.rs
+++ b/crates/gatekeeper/src/node/resolver/tests.rs
@@ -5,80 +5,80 @@
 
 use super::*;
 
-/// A resolver whose answers the test writes, and the one that asks it.
-struct World {
-    told: UdpSocket,
+/// A DNS server whose answers the test writes, and the client that queries it.
+struct TestBed {
+    dns_server: UdpSocket,
     resolver: Resolver,
 }
 
-impl World {
-    /// The configuration told all up to the first event.
-    fn new() -> World {
-        let told = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-        told.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
-        let resolver = Resolver::new(told.local_addr().unwrap(), 1, 7, vec!["east".into()]).unwrap();
-        World { told, resolver }
+impl TestBed {
+    /// Starts with a list from the configuration at position 1.
+    fn new() -> TestBed {
+        let dns_server = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+        dns_server.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
+        let resolver = Resolver::new(dns_server.local_addr().unwrap(), 1, 7, vec!["east".into()]).unwrap();
+        TestBed { dns_server, resolver }
     }
 
-    /// Asks, and answers with a list of one server at a position, so many times over.
+    /// Sends a query and answers it `times` times with a list of one server at a position.
     fn answer(&mut self, position: u32, draining: bool, times: usize) -> Option<Snapshot> {
         self.resolver.send_query();
-        let mut question = [0; 1024];
-        let (n, from) = self.told.recv_from(&mut question).unwrap();
+        let mut query = [0; 1024];
+        let (n, from) = self.dns_server.recv_from(&mut query).unwrap();
         let address = (Ipv4Addr::LOCALHOST, 5060).into();
         let listed =
             Listed { id: "s-0".into(), district: "east".into(), address, number: 0, draining, started_ms: 0 };
-        let answer = reply(&question[..n], position, &[listed]).unwrap().to_vec().unwrap();
-        // On loopback what was sent is there to be read.
-        (0..times).for_each(|_| assert_eq!(self.told.send_to(&answer, from).unwrap(), answer.len()));
+        let answer = reply(&query[..n], position, &[listed]).unwrap().to_vec().unwrap();
+        // On the loopback interface a sent datagram can be read at once.
+        (0..times).for_each(|_| assert_eq!(self.dns_server.send_to(&answer, from).unwrap(), answer.len()));
         self.resolver.read_answers()
     }
 }
 
-fn drains(list: Option<Snapshot>) -> Option<bool> {
+fn is_draining(list: Option<Snapshot>) -> Option<bool> {
     list.map(|list| list.servers["s-0"].readiness == Readiness::Draining)
 }
 
-/// Guards against a restart that takes a late answer of its earlier life, numbered higher than all of this life, and then hears
-/// of no drain until as many events have passed.
+/// Guards against a restarted gatekeeper that applies a late answer from before its restart. That list has a higher position
+/// than any since, so no drain would be noticed until as many events have passed.
 #[test]
-fn an_answer_of_an_earlier_life_yields_to_two_that_agree() {
-    let mut w = World::new();
-    assert_eq!(drains(w.answer(5, false, 1)), Some(false));
-    assert_eq!(drains(w.answer(2, true, 1)), None, "one answer proves nothing");
-    assert_eq!(drains(w.answer(2, true, 1)), Some(true));
+fn an_answer_from_before_a_restart_is_replaced_once_two_answers_agree() {
+    let mut w = TestBed::new();
+    assert_eq!(is_draining(w.answer(5, false, 1)), Some(false));
+    assert_eq!(is_draining(w.answer(2, true, 1)), None, "one answer proves nothing");
+    assert_eq!(is_draining(w.answer(2, true, 1)), Some(true));
     assert!(w.resolver.take_confirmed());
-    // The numbers of this life go on.
-    assert_eq!(drains(w.answer(3, false, 1)), Some(false));
+    // Later lists are numbered from there.
+    assert_eq!(is_draining(w.answer(3, false, 1)), Some(false));
 }
 
-/// Guards against a list that was told twice and is taken back by old answers, and against one old answer that comes twice.
+/// Guards against old answers that replace a list received twice, and against one old answer that arrives twice.
 #[test]
-fn what_two_answers_told_never_goes_back() {
-    let mut w = World::new();
-    assert_eq!(drains(w.answer(5, true, 1)), Some(true));
-    assert_eq!(drains(w.answer(4, false, 2)), None, "one answer that came twice");
-    assert_eq!(drains(w.answer(3, false, 1)), None, "two that differ");
-    assert_eq!(drains(w.answer(5, true, 1)), None);
-    (0..5).for_each(|_| assert_eq!(drains(w.answer(4, false, 1)), None));
-    // What the configuration told counts as told twice.
-    let mut fresh = World::new();
+fn a_list_received_in_two_answers_is_never_replaced_by_an_older_one() {
+    let mut w = TestBed::new();
+    assert_eq!(is_draining(w.answer(5, true, 1)), Some(true));
+    assert_eq!(is_draining(w.answer(4, false, 2)), None, "one answer that arrived twice");
+    assert_eq!(is_draining(w.answer(3, false, 1)), None, "two answers that differ");
+    assert_eq!(is_draining(w.answer(5, true, 1)), None);
+    (0..5).for_each(|_| assert_eq!(is_draining(w.answer(4, false, 1)), None));
+    // A list from the configuration counts as received twice.
+    let mut fresh = TestBed::new();
     fresh.resolver.accept(9);
-    (0..5).for_each(|_| assert_eq!(drains(fresh.answer(8, false, 1)), None));
+    (0..5).for_each(|_| assert_eq!(is_draining(fresh.answer(8, false, 1)), None));
 }
 
-impl World {
-    /// Asks, and answers with these bytes after the question's id.
-    fn answer_with(&mut self, change: impl FnOnce(&[u8]) -> Vec<u8>) -> Option<Snapshot> {
+impl TestBed {
+    /// Sends a query and answers it with the bytes that `answer` makes of the query.
+    fn answer_with(&mut self, answer: impl FnOnce(&[u8]) -> Vec<u8>) -> Option<Snapshot> {
         self.resolver.send_query();
-        let mut question = [0; 1024];
-        let (n, from) = self.told.recv_from(&mut question).unwrap();
-        let answer = change(&question[..n]);
-        assert_eq!(self.told.send_to(&answer, from).unwrap(), answer.len());
+        let mut query = [0; 1024];
+        let (n, from) = self.dns_server.recv_from(&mut query).unwrap();
+        let answer = answer(&query[..n]);
+        assert_eq!(self.dns_server.send_to(&answer, from).unwrap(), answer.len());
         self.resolver.read_answers()
     }
 
-    /// So many servers, as a list.
+    /// A list of `count` servers.
     fn listed(count: u32) -> Vec<Listed> {
         let one = |number| Listed {
             id: format!("s-{number:08x}"),
@@ -92,40 +92,39 @@
     }
 }
 
-/// Guards against a list that never fits into an answer, is passed over for ever, and is told to nobody.
+/// Guards against a list that never fits into an answer and is ignored for ever without being counted.
 #[test]
-fn answers_that_cannot_be_taken_are_counted_and_told_once_a_change() {
-    let cut = |question: &[u8]| {
-        let mut answer = reply(question, 9, &World::listed(3)).unwrap();
+fn unusable_answers_are_counted_and_answers_to_other_queries_are_not() {
+    let truncated = |query: &[u8]| {
+        let mut answer = reply(query, 9, &TestBed::listed(3)).unwrap();
         answer.metadata.truncation = true;
         answer.to_vec().unwrap()
     };
-    // More than a datagram is read: the rest of it is cut off.
-    let large = |question: &[u8]| reply(question, 9, &World::listed(400)).unwrap().to_vec().unwrap();
-    let empty = |question: &[u8]| question.to_vec();
-    let mut w = World::new();
-    for (n, change) in [&cut as &dyn Fn(&[u8]) -> Vec<u8>, &large, &empty].into_iter().enumerate() {
-        assert!(w.answer_with(change).is_none());
+    // Larger than the receive buffer: the rest of the datagram is lost.
+    let too_large = |query: &[u8]| reply(query, 9, &TestBed::listed(400)).unwrap().to_vec().unwrap();
+    let echoed = |query: &[u8]| query.to_vec();
+    let mut w = TestBed::new();
+    for (n, answer) in [&truncated as &dyn Fn(&[u8]) -> Vec<u8>, &too_large, &echoed].into_iter().enumerate()
+    {
+        assert!(w.answer_with(answer).is_none());
         assert_eq!(w.resolver.unusable_answers(), n as u64 + 1);
     }
-    assert!(w
-        .answer_with(|question| reply(question, 9, &World::listed(3)).unwrap().to_vec().unwrap())
-        .is_some());
-    // What answers no question of ours tells nothing of the list.
-    assert!(w.answer_with(|question| vec![!question[0], question[1], 0, 0]).is_none());
+    assert!(w.answer_with(|query| reply(query, 9, &TestBed::listed(3)).unwrap().to_vec().unwrap()).is_some());
+    // An answer to none of our queries says nothing about the list.
+    assert!(w.answer_with(|query| vec![!query[0], query[1], 0, 0]).is_none());
     assert_eq!(w.resolver.unusable_answers(), 3);
 }
 
 #[test]
-fn it_is_told_after_eight_in_a_row_and_more_seldom_each_time() {
-    let mut answers = Answers::default();
-    let until_told = |answers: &mut Answers| (1..).find(|_| answers.unusable()).unwrap();
-    assert_eq!(until_told(&mut answers), 8);
-    assert!((0..100).all(|_| !answers.unusable()), "once a change");
-    assert!(answers.usable());
-    assert!(!answers.usable());
-    assert_eq!(until_told(&mut answers), 16);
-    assert!(answers.usable());
-    assert!((0..31).all(|_| !answers.unusable()));
-    assert!(!answers.usable(), "a few are nothing to tell");
+fn a_warning_is_due_after_eight_consecutive_unusable_answers_and_less_often_each_time() {
+    let mut stats = AnswerStats::default();
+    let until_warning = |stats: &mut AnswerStats| (1..).find(|_| stats.record_unusable()).unwrap();
+    assert_eq!(until_warning(&mut stats), 8);
+    assert!((0..100).all(|_| !stats.record_unusable()), "once until the next usable answer");
+    assert!(stats.record_usable());
+    assert!(!stats.record_usable());
+    assert_eq!(until_warning(&mut stats), 16);
+    assert!(stats.record_usable());
+    assert!((0..31).all(|_| !stats.record_unusable()));
+    assert!(!stats.record_usable(), "too few for a warning");
 }
--- a/crates/gatekeeper/src/node/resolver/unusable.rs
+++ b/crates/gatekeeper/src/node/resolver/unusable.rs
@@ -1,65 +1,71 @@
-//! Answers of the resolver that cannot be taken, and when that is to be told.
+//! Unusable answers of the resolver, and when to warn about them.
 //!
-//! A list that does not fit into an answer is never whole, however often it is asked for: the gatekeeper goes on with the list
-//! that it has, and hears of no drain, start or end of a server any more. A single spoilt answer is nothing to tell.
+//! A list that does not fit into an answer stays incomplete however often it is queried: the gatekeeper continues with its
+//! current list and no longer learns of servers that drain, start or end. A single damaged answer needs no warning.
 
 use hickory_proto::op::ResponseCode;
 use hickory_proto::serialize::binary::DecodeError;
 
-/// Answers in a row that cannot be taken before it is told for the first time: two seconds at the slowest rate of questions.
-const FIRST_TOLD: u32 = 8;
-/// Each time it is told the next one takes twice as many, up to this: a resolver that comes and goes does not fill the log.
-const MOST_TOLD: u32 = 4096;
+/// Number of consecutive unusable answers before the first warning: two seconds at the slowest polling rate.
+const FIRST_WARNING_ANSWERS: u32 = 8;
+/// Each warning doubles the number of unusable answers needed for the next one, up to this limit, so that a resolver that fails
+/// intermittently does not flood the log.
+const MAX_WARNING_ANSWERS: u32 = 4096;
 
-/// Why an answer to a question of ours cannot be taken.
+/// Why an answer to one of our queries is unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum Unusable {
-    /// It is no message, or a part of one.
-    #[error("it cannot be read: {0}")]
+    /// The answer is not a complete DNS message.
+    #[error("cannot decode the DNS message: {0}")]
     Unreadable(#[from] DecodeError),
-    /// It says so itself.
-    #[error("it is cut short: the list does not fit into an answer; list fewer servers for this gatekeeper")]
-    CutShort,
-    /// The resolver has no list.
-    #[error("the resolver answers {0}: see whether it serves the list's name")]
+    /// The answer has its truncation flag set.
+    #[error(
+        "truncated: the server list does not fit into an answer; list fewer servers for this gatekeeper"
+    )]
+    Truncated,
+    /// The resolver returned an error code.
+    #[error("the resolver returned {0}: check that it serves the name of the server list")]
     Refused(ResponseCode),
-    /// Records are missing, or make no sense.
-    #[error("records are missing or make no sense: see what the resolver serves")]
+    /// Records are missing or invalid.
+    #[error("records are missing or invalid: check the data that the resolver serves")]
     Incomplete,
 }
 
-/// Counts answers.
+/// Counts unusable answers and decides when to warn about them.
 #[derive(Debug)]
-pub struct Answers {
-    /// Answers that could not be taken, since the start.
+pub struct AnswerStats {
+    /// Number of unusable answers since the start.
     pub unusable: u64,
-    in_a_row: u32,
-    tell_at: u32,
-    told: bool,
+    /// Number of unusable answers since the last usable one.
+    consecutive: u32,
+    /// The next warning is due at this number of consecutive unusable answers.
+    warn_at: u32,
+    /// A warning was given since the last usable answer.
+    warned: bool,
 }
 
-impl Default for Answers {
-    fn default() -> Answers {
-        Answers { unusable: 0, in_a_row: 0, tell_at: FIRST_TOLD, told: false }
+impl Default for AnswerStats {
+    fn default() -> AnswerStats {
+        AnswerStats { unusable: 0, consecutive: 0, warn_at: FIRST_WARNING_ANSWERS, warned: false }
     }
 }
 
-impl Answers {
-    /// One could not be taken; returns whether that is to be told now.
-    pub fn unusable(&mut self) -> bool {
+impl AnswerStats {
+    /// Counts an unusable answer; returns whether a warning is due.
+    pub fn record_unusable(&mut self) -> bool {
         self.unusable += 1;
-        self.in_a_row = self.in_a_row.saturating_add(1);
-        let tell = !self.told && self.in_a_row >= self.tell_at;
-        if tell {
-            self.told = true;
-            self.tell_at = (self.tell_at * 2).min(MOST_TOLD);
+        self.consecutive = self.consecutive.saturating_add(1);
+        let warn = !self.warned && self.consecutive >= self.warn_at;
+        if warn {
+            self.warned = true;
+            self.warn_at = (self.warn_at * 2).min(MAX_WARNING_ANSWERS);
         }
-        tell
+        warn
     }
 
-    /// One was taken; returns whether it was told that they could not be.
-    pub fn usable(&mut self) -> bool {
-        self.in_a_row = 0;
-        std::mem::take(&mut self.told)
+    /// Records a usable answer; returns whether a warning about unusable ones was given before it.
+    pub fn record_usable(&mut self) -> bool {
+        self.consecutive = 0;
+        std::mem::take(&mut self.warned)
     }
 }
