--- a/crates/gatekeeper/src/node/clients.rs
+++ b/crates/gatekeeper/src/node/clients.rs
@@ -1,4 +1,4 @@
-//! The callers' side: the listener, the callers' connections, and the messages on them.
+//! The callers' side: the listener, the client connections, and the messages on them.
 
 mod closing;
 mod draining;
@@ -16,8 +16,8 @@
 pub use self::draining::DrainCounts;
 use self::ends::CallEnd;
 pub use self::ends::EndCounts;
-use self::reply::encode;
-use self::set_up::{request, request_class};
+use self::reply::encode_reply;
+use self::set_up::{class_index, parse_request};
 use super::config::ProtocolClass;
 use super::delivery::Pending;
 use super::listen::bind;
@@ -29,101 +29,109 @@
 use hollypaddle_platform::message::{cause, kind, Message, MOST};
 use hollypaddle_service::drain::KeptFor;
 
-/// For how long a caller is to stay away from a gatekeeper that holds too much, in seconds, or for the longest that callers
-/// heed where that is less.
-const CROWDED_WAIT: f64 = 1.0;
-/// Set-ups that make no sense taken from one connection, each with its refusal, before it is closed.
-const MOST_SENSELESS: u32 = 8;
-/// Callers that wait to be accepted. Hundreds connect at once; the standard library's 128 are too few.
-const BACKLOG: i32 = 1024;
+/// Longest time after which a caller refused by an overloaded gatekeeper may try again, in seconds. The longest time that callers
+/// accept applies if it is shorter.
+const MAX_CROWDED_RETRY_AFTER_S: f64 = 1.0;
+/// Maximum number of invalid set-ups on one connection; each is refused, and the connection is closed at this number.
+const MAX_INVALID_SET_UPS: u32 = 8;
+/// Length of the listener's queue of connections to be accepted. Callers connect by the hundreds at once; the standard library's
+/// 128 are too few.
+const LISTEN_BACKLOG: i32 = 1024;
 
+/// An open client connection. Times are in Unix seconds.
 struct Client {
     connection: Connection<TcpStream>,
-    /// Watched for writing too.
-    writing: bool,
-    /// Since when it is connected, and when it last sent or was sent something.
-    since: f64,
+    /// Whether the socket is watched for writability too.
+    watches_writable: bool,
+    /// When the connection was accepted.
+    connected_at: f64,
+    /// When the caller last sent or was sent something.
     used_at: f64,
-    /// When its last set-up was read.
-    asked_at: Option<f64>,
-    /// When its last set-up was read that came after something was told of a call: its caller reads what it is sent.
-    asked_again_at: Option<f64>,
+    /// When the last set-up was read.
+    last_set_up_at: Option<f64>,
+    /// When the last set-up was read that followed a reply about a call. Such a set-up shows that the caller reads replies.
+    set_up_after_reply_at: Option<f64>,
     best_reply: BestReply,
-    senseless: u32,
+    /// Number of invalid set-ups read so far.
+    invalid_set_ups: u32,
+    /// Ends of calls sent on this connection that the caller has not confirmed.
     pending_ends: Pending<CallEnd>,
-    /// A write or a look at it failed: it was reset, and the system tells that only once.
+    /// A write or a poll failed: the connection was reset, and the kernel reports that only once.
     reset_seen: bool,
-    /// What it was last kept for in a drain.
+    /// Why the connection was last kept in a drain; logged when it changes.
     kept_for: Option<KeptFor>,
 }
 
-/// The best that a connection was sent so far.
+/// The most significant message sent on a connection so far.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum BestReply {
     None,
-    /// The result of a test, or a refusal of what made no sense.
+    /// The result of a test, or the refusal of an invalid set-up.
     Notice,
-    /// What became of a call.
+    /// The result of a call other than its answer.
     Outcome,
-    /// That a call stands.
-    Standing,
+    /// The answer that establishes a call.
+    Established,
 }
 
-/// All callers.
+/// The listener and all client connections. Times are in Unix seconds.
 pub struct Clients {
-    /// Where it listens, or listened before a drain.
+    /// The address of the listener, kept while it is closed in a drain.
     address: SocketAddr,
+    /// Classes of set-ups, indexed by class number.
     classes: Vec<ProtocolClass>,
     listener: Option<TcpListener>,
     listener_key: Key,
-    /// While the listener is about to close.
+    /// Set while the listener is about to close.
     steering: Option<Steering>,
-    /// Not accepting for the moment, for want of descriptors.
-    paused: bool,
-    /// Since when callers wait to be accepted for want of places.
-    short_since: Option<f64>,
-    most: usize,
-    /// Bytes that may wait for one caller.
-    most_waiting: usize,
+    /// Accepting is paused, for lack of descriptors.
+    accept_paused: bool,
+    /// Since when callers wait to be accepted because all connection slots are taken.
+    full_since: Option<f64>,
+    /// Maximum number of client connections, closing ones included.
+    max_connections: usize,
+    /// Maximum number of unwritten bytes for one caller.
+    max_unwritten_bytes: usize,
     connections: BTreeMap<Key, Client>,
-    /// Connections that one side has closed, until it is certain what became of what was sent on them.
+    /// Connections that one side has closed, kept until it is known whether the messages sent on them were read.
     closing: BTreeMap<Key, Closing>,
-    /// For how long a caller is to stay away from a gatekeeper that holds too much; none where callers are not told.
-    stay_away: Option<f64>,
-    /// Ends of calls that stood, for which there is no connection.
-    undelivered: VecDeque<CallEnd>,
-    /// Ends that were not read on a connection that is over, to be sent on another one at once.
-    unread: VecDeque<CallEnd>,
+    /// Retry-after time for callers refused by an overloaded gatekeeper, in seconds; none if callers are sent no such time.
+    crowded_retry_after: Option<f64>,
+    /// Ends of established calls that wait for a connection.
+    undelivered_ends: VecDeque<CallEnd>,
+    /// Ends that were not read on a connection that is closed now, to be sent on another one at once.
+    unread_ends: VecDeque<CallEnd>,
     end_counts: EndCounts,
-    /// While drained.
+    /// Set while the gatekeeper is drained.
     drain: Option<Drain>,
     drain_counts: DrainCounts,
-    /// Classes of set-ups turned away here, for lack of room, until the figures take them.
+    /// Classes of the set-ups refused here, for overload or in a drain, that the metrics do not count yet.
     pub refused_classes: Vec<usize>,
     /// Called between the last accept and the close of the listener, with its address.
     #[cfg(test)]
     pub before_close: Option<Box<dyn FnMut(SocketAddr)>>,
-    /// Called between the next poll of a connection and what is written on it.
+    /// Called between the next poll of a connection and the write that follows.
     #[cfg(test)]
     pub after_poll: Option<Box<dyn FnOnce()>>,
 }
 
 impl Clients {
-    /// Listens. At most `most` connections are held at once, with `memory` bytes for what waits on them.
+    /// Opens the listener. At most `max_connections` connections are held at once, with `memory_bytes` for unwritten output on
+    /// all of them together.
     pub fn listen(
         address: SocketAddr,
-        most: usize,
-        memory: usize,
+        max_connections: usize,
+        memory_bytes: usize,
         classes: Vec<ProtocolClass>,
         poller: &mut Poller,
     ) -> io::Result<Self> {
-        let listener = bind(address, BACKLOG)?;
+        let listener = bind(address, LISTEN_BACKLOG)?;
         steering::reset_to_hash(&listener);
         let address = listener.local_addr()?;
         let listener_key = poller.add(&listener, false)?;
         let (listener, connections) = (Some(listener), BTreeMap::new());
-        let (paused, undelivered) = (false, VecDeque::new());
-        let most_waiting = (memory / most).clamp(2 * MOST, 8 * MOST);
+        let (accept_paused, undelivered_ends) = (false, VecDeque::new());
+        let max_unwritten_bytes = (memory_bytes / max_connections).clamp(2 * MOST, 8 * MOST);
         let refused_classes = Vec::new();
         Ok(Clients {
             address,
@@ -131,15 +139,15 @@
             listener,
             listener_key,
             steering: None,
-            paused,
-            short_since: None,
-            most,
-            most_waiting,
+            accept_paused,
+            full_since: None,
+            max_connections,
+            max_unwritten_bytes,
             connections,
             closing: BTreeMap::new(),
-            stay_away: None,
-            undelivered,
-            unread: VecDeque::new(),
+            crowded_retry_after: None,
+            undelivered_ends,
+            unread_ends: VecDeque::new(),
             end_counts: EndCounts::default(),
             drain: None,
             drain_counts: DrainCounts::default(),
@@ -151,42 +159,42 @@
         })
     }
 
-    /// Where it listens.
+    /// The address of the listener, if it is open.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Has new connections go to another process that listens at the same address, if there is one: the listener is about to
-    /// close, and would reset those that come between its last accept and its close.
+    /// Steers new connections to another process that listens at the same address, if there is one: the listener is about to
+    /// close, and would reset those that arrive between its last accept and its close.
     pub fn steer_away(&mut self, now: f64) {
         if let Some(listener) = &self.listener {
             self.steering = Some(Steering::begin(now, listener));
         }
     }
 
-    /// Takes its part of new connections again.
+    /// Accepts a share of the new connections again.
     pub fn steer_back(&mut self) {
         if let (Some(_), Some(listener)) = (self.steering.take(), &self.listener) {
             steering::reset_to_hash(listener);
         }
     }
 
-    /// Takes no further connections; returns whether the listener is closed. What waits in its queue is taken first: closing a
-    /// listener resets the connections queued to it, and at an upgrade they were meant for this process. Where there is no
-    /// place for those it stays open, and this is to be called again.
+    /// Stops accepting connections; returns whether the listener is closed. Connections in its queue are accepted first: closing
+    /// a listener resets the connections queued to it, and in an upgrade they were meant for this process. If there are no slots
+    /// for them, the listener stays open, and this must be called again.
     pub fn stop_listening(&mut self, now: f64, poller: &mut Poller, calls: &mut Calls) -> bool {
         self.accept(now, poller, calls);
-        if self.paused {
+        if self.accept_paused {
             return false;
         }
         self.close_listener(poller);
         true
     }
 
-    /// Takes what waits in the listener's queue, also with descriptors that servers would have, and closes the listener once
-    /// the queue is empty: the program ends, and whoever waited for a place is to hear of it.
+    /// Accepts the connections in the listener's queue, even with descriptors reserved for servers, and closes the listener once
+    /// the queue is empty: the program ends, and callers that waited for a slot must still get a reply.
     pub fn accept_remaining(&mut self, now: f64, poller: &mut Poller, calls: &mut Calls) {
-        self.most = usize::MAX;
+        self.max_connections = usize::MAX;
         self.stop_listening(now, poller, calls);
     }
 
@@ -197,63 +205,63 @@
             hook(self.address);
         }
         poller.remove(&listener);
-        self.paused = false;
+        self.accept_paused = false;
         self.steering = None;
     }
 
-    /// Closes connections that are of no use to anyone, and carries on after a pause. Called now and then.
+    /// Closes unused connections, sends ends that were held back, and resumes accepting after a pause. Called periodically.
     pub fn maintain(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         self.close_unused(now, poller, calls);
         self.send_unread(now, poller, calls);
         self.send_undelivered(now, poller, calls);
-        if let (true, Some(listener)) = (self.paused, &self.listener) {
-            self.paused = false;
+        if let (true, Some(listener)) = (self.accept_paused, &self.listener) {
+            self.accept_paused = false;
             poller.set_interest(self.listener_key, listener, true, false);
         }
     }
 
-    /// Takes the classes of settings read anew, by number.
+    /// Replaces the classes, indexed by class number, after the settings were read again.
     pub fn set_classes(&mut self, classes: Vec<ProtocolClass>) {
         self.classes = classes;
     }
 
-    /// Takes the longest time that callers stay away when told, if they are told.
-    pub fn set_max_retry_after(&mut self, most: Option<f64>) {
-        self.stay_away = most.map(|most| most.min(CROWDED_WAIT));
+    /// Sets the longest retry-after time that callers accept, in seconds; none if they are sent no such time.
+    pub fn set_max_retry_after(&mut self, max: Option<f64>) {
+        self.crowded_retry_after = max.map(|max| max.min(MAX_CROWDED_RETRY_AFTER_S));
     }
 
-    /// For how long those are to stay away that are turned away here.
+    /// Time after which callers refused here may try again, in seconds.
     pub fn retry_after(&self) -> f64 {
-        self.stay_away.unwrap_or(0.0)
+        self.crowded_retry_after.unwrap_or(0.0)
     }
 
-    /// Takes how many connections may be held.
-    pub fn set_max_connections(&mut self, most: usize) {
-        self.most = most.max(1);
+    /// Sets the maximum number of client connections.
+    pub fn set_max_connections(&mut self, max: usize) {
+        self.max_connections = max.max(1);
     }
 
-    /// Whether it listens.
+    /// Whether the listener is open.
     pub fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
-    /// Listens again at its address, after a drain.
+    /// Opens the listener again at its address, after a drain.
     pub fn resume_listening(&mut self, poller: &mut Poller) -> io::Result<()> {
         if self.listener.is_none() {
-            let listener = bind(self.address, BACKLOG)?;
+            let listener = bind(self.address, LISTEN_BACKLOG)?;
             steering::reset_to_hash(&listener);
             self.listener_key = poller.add(&listener, false)?;
-            (self.listener, self.paused) = (Some(listener), false);
+            (self.listener, self.accept_paused) = (Some(listener), false);
         }
         Ok(())
     }
 
-    /// Takes what is ready, if it is a caller's.
+    /// Handles a ready socket if it is the listener or a client connection.
     pub fn handle_ready(&mut self, now: f64, ready: Ready, poller: &mut Poller, calls: &mut Calls) {
         if ready.key == self.listener_key {
             self.accept(now, poller, calls);
         } else if self.closing.contains_key(&ready.key) {
-            self.finish_closing(now, ready.key, poller);
+            self.continue_closing(now, ready.key, poller);
         } else if let Some(client) = self.connections.get_mut(&ready.key) {
             if ready.writable {
                 let end = client.connection.flush();
@@ -266,7 +274,7 @@
         self.send_unread(now, poller, calls);
     }
 
-    /// Takes what has come on a connection.
+    /// Reads and handles the messages that have arrived on a connection.
     fn read(&mut self, now: f64, key: Key, poller: &Poller, calls: &mut Calls) {
         let Some(client) = self.connections.get_mut(&key) else { return };
         let mut messages = Vec::new();
@@ -280,7 +288,7 @@
         self.close_if_over(now, key, end, poller, calls);
     }
 
-    /// Takes what every caller has sent by now.
+    /// Reads and handles everything that callers have sent so far.
     pub fn read_all(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         let keys: Vec<Key> = self.connections.keys().copied().collect();
         keys.into_iter().for_each(|key| self.read(now, key, poller, calls));
@@ -288,16 +296,16 @@
 
     fn accept(&mut self, now: f64, poller: &mut Poller, calls: &mut Calls) {
         loop {
-            if self.held() >= self.most {
-                self.make_room(now, poller, calls);
+            if self.socket_count() >= self.max_connections {
+                self.free_slot(now, poller, calls);
             }
-            if self.held() >= self.most {
-                self.short_since.get_or_insert(now);
+            if self.socket_count() >= self.max_connections {
+                self.full_since.get_or_insert(now);
             }
             let Some(listener) = &self.listener else { return };
-            let accepted = match self.held() < self.most {
+            let accepted = match self.socket_count() < self.max_connections {
                 true => listener.accept(),
-                false => Err(io::Error::other("as many callers are connected as may be")),
+                false => Err(io::Error::other("the maximum number of client connections is reached")),
             };
             if let (Ok(_), Some(steering)) = (&accepted, &mut self.steering) {
                 steering.connection_accepted(now, listener);
@@ -308,40 +316,40 @@
             };
             match error.kind() {
                 ErrorKind::WouldBlock => {
-                    self.short_since = None;
+                    self.full_since = None;
                     return;
                 }
-                // The caller went away again.
+                // The caller has already closed the connection.
                 ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset => {}
-                // Guards against running out of descriptors: level-triggered, the listener would be
-                // ready again at once, for ever. Those who wait are taken at the next beat.
+                // Out of descriptors or slots. The poller is level-triggered and would report the listener again at
+                // once, in a busy loop. Waiting connections are accepted at the next maintenance.
                 _ => {
                     log::debug!(error:%; "accept-paused");
                     if let Some(listener) = &self.listener {
                         poller.set_interest(self.listener_key, listener, false, false);
                     }
-                    self.paused = true;
+                    self.accept_paused = true;
                     return;
                 }
             }
         }
     }
 
-    /// Whether something waits to be written on a connection.
+    /// Whether any connection has unwritten bytes.
     #[cfg(test)]
     pub fn blocked(&self) -> bool {
         self.connections.values().any(|client| client.connection.blocked())
     }
 
-    /// Has few bytes fill the system's buffers on the way to callers.
+    /// Makes the kernel's send buffers so small that few bytes fill them.
     #[cfg(test)]
     pub fn shrink_send_buffers(&self) {
         let sockets = self.connections.values().map(|client| client.connection.stream());
         sockets.for_each(|socket| drop(socket2::SockRef::from(socket).set_send_buffer_size(4096)));
     }
 
-    /// Descriptors that callers hold.
-    fn held(&self) -> usize {
+    /// Number of sockets of callers, closing ones included.
+    fn socket_count(&self) -> usize {
         self.connections.len() + self.closing.len()
     }
 
@@ -349,16 +357,16 @@
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let key = poller.add(&stream, false)?;
-        let connection = Connection::new(stream, self.most_waiting);
+        let connection = Connection::new(stream, self.max_unwritten_bytes);
         let client = Client {
             connection,
-            writing: false,
-            since: now,
+            watches_writable: false,
+            connected_at: now,
             used_at: now,
-            asked_at: None,
-            asked_again_at: None,
+            last_set_up_at: None,
+            set_up_after_reply_at: None,
             best_reply: BestReply::None,
-            senseless: 0,
+            invalid_set_ups: 0,
             pending_ends: Pending::default(),
             reset_seen: false,
             kept_for: None,
@@ -367,7 +375,7 @@
         Ok(())
     }
 
-    /// Takes a message; an error ends the connection.
+    /// Handles a message; an error closes the connection.
     fn receive(
         &mut self,
         now: f64,
@@ -379,39 +387,44 @@
         let Some(client) = self.connections.get_mut(&key) else { return Ok(()) };
         match message.kind {
             kind::SET_UP => {
-                (client.used_at, client.asked_at) = (now, Some(now));
+                (client.used_at, client.last_set_up_at) = (now, Some(now));
                 if client.best_reply >= BestReply::Outcome {
-                    client.asked_again_at = Some(now);
+                    client.set_up_after_reply_at = Some(now);
                 }
-                let refusal = match request(message, &self.classes) {
+                let refusal = match parse_request(message, &self.classes) {
                     Err(cause) => Message::new(kind::RELEASE, message.call).caused(cause),
                     Ok(_)
                         if !calls.is_known(message.call)
-                            && self.refuse_drained(now, key, message, poller) =>
+                            && self.refuse_if_draining(now, key, message, poller) =>
                     {
                         return Ok(())
                     }
                     Ok(request) => match calls.offer(now, key, request) {
                         Ok(()) => return Ok(()),
                         Err(OfferError::TooManyHeld) => {
-                            self.refused_classes.push(request_class(message, &self.classes));
-                            let refusal = encode(message.call, Reply::Refused(self.stay_away.unwrap_or(0.0)));
+                            self.refused_classes.push(class_index(message, &self.classes));
+                            let refusal = encode_reply(
+                                message.call,
+                                Reply::Refused(self.crowded_retry_after.unwrap_or(0.0)),
+                            );
                             self.send(now, key, &refusal, BestReply::Outcome, poller);
                             return Ok(());
                         }
                         Err(OfferError::KnownId) => {
                             Message::new(kind::RELEASE, message.call).caused(cause::INVALID_PARAMETER)
                         }
-                        Err(OfferError::DuplicateId) => return Err(Over::Improper("a set-up came twice")),
+                        Err(OfferError::DuplicateId) => {
+                            return Err(Over::Improper("duplicate set-up of an open call"))
+                        }
                     },
                 };
                 log::debug!(call:% = format_args!("{:016x}", message.call), cause = refusal.cause(); "set-up-not-taken");
                 let Some(client) = self.connections.get_mut(&key) else { return Ok(()) };
-                client.senseless += 1;
-                let senseless = client.senseless;
+                client.invalid_set_ups += 1;
+                let invalid_set_ups = client.invalid_set_ups;
                 self.send(now, key, &refusal, BestReply::Notice, poller);
-                if senseless >= MOST_SENSELESS {
-                    return Err(Over::Improper("nothing but set-ups that make no sense"));
+                if invalid_set_ups >= MAX_INVALID_SET_UPS {
+                    return Err(Over::Improper("too many invalid set-ups"));
                 }
             }
             kind::RELEASE => {
@@ -429,8 +442,8 @@
         Ok(())
     }
 
-    /// Sends a caller what became of a call. Returns whether it could be sent: not where its connection is gone, but for the
-    /// end of a call that stood, which goes to another one then.
+    /// Sends a caller the result of a call. Returns whether it could be sent: not if the caller's connection is gone, except for
+    /// the end of an established call, which is then sent on another connection.
     pub fn reply(
         &mut self,
         now: f64,
@@ -445,29 +458,29 @@
             self.send_end(now, origin, end, BestReply::Outcome, poller, calls);
             return true;
         }
-        let stands = matches!(reply, Reply::Established(_));
-        if stands {
-            let stood = calls.is_standing(id);
+        let is_established = matches!(reply, Reply::Established(_));
+        if is_established {
+            let was_established = calls.is_standing(id);
             let connected = self.poll_connection(now, origin, poller, calls);
-            // Cancelled meanwhile, and released at its server: no answer is owed.
-            if stood && !calls.is_standing(id) && connected {
+            // The poll found the call cancelled, and it is released at its server: no answer is owed.
+            if was_established && !calls.is_standing(id) && connected {
                 return true;
             }
         }
-        // Before a call stands, a caller whose connection is gone has given it up.
+        // A caller whose connection is gone has given up its calls that are not established.
         if !self.connections.contains_key(&origin) {
             return false;
         }
-        let best_reply = if stands { BestReply::Standing } else { BestReply::Outcome };
-        let sent = self.send(now, origin, &encode(id, reply), best_reply, poller);
-        // Whoever gets answers reads them: a connection for what could not be sent before.
-        for end in std::mem::take(&mut self.undelivered) {
+        let best_reply = if is_established { BestReply::Established } else { BestReply::Outcome };
+        let sent = self.send(now, origin, &encode_reply(id, reply), best_reply, poller);
+        // A caller that waits for replies reads its connection, so the undelivered ends can go there.
+        for end in std::mem::take(&mut self.undelivered_ends) {
             self.send_end(now, origin, end, best_reply, poller, calls);
         }
         sent
     }
 
-    /// Sends a message; returns whether it is written or waits to be.
+    /// Sends a message; returns whether it was written or buffered.
     fn send(
         &mut self,
         now: f64,
@@ -479,14 +492,15 @@
         let Some(client) = self.connections.get_mut(&key) else { return false };
         (client.used_at, client.best_reply) = (now, client.best_reply.max(best_reply));
         let sent = client.connection.send(message).map(drop);
-        client.take_written(key, &sent);
-        client.watch(key, poller);
+        client.handle_write_result(key, &sent);
+        client.update_watch(key, poller);
         sent.is_ok()
     }
 }
 
-/// Judges whether a set-up was sent whole. None is held back until more can tell: what callers send next is seldom more than a
-/// turn away, and an answer is due at their deadline.
+/// Judges whether a set-up was sent completely. An undecided one is accepted at once rather than held back until more bytes
+/// arrive: a caller's next message seldom arrives more than an iteration of the event loop later, and an answer is due by the
+/// caller's deadline.
 fn judge(candidate: Candidate) -> Verdict {
     match candidate.verdict(|_| false) {
         Verdict::CutShort => Verdict::CutShort,
@@ -495,22 +509,22 @@
 }
 
 impl Client {
-    /// Whether it was of no use for so long: one that was told nothing, counted from its connect, and any
-    /// other, counted from the last word.
-    fn unused(&self, now: f64, mute: f64, idle: f64) -> bool {
+    /// Whether the connection has been unused for too long, by timeouts in seconds: `no_reply_timeout` since the connect if no
+    /// message was sent on it, else `idle_timeout` since the last message.
+    fn is_unused(&self, now: f64, no_reply_timeout: f64, idle_timeout: f64) -> bool {
         match self.best_reply {
-            BestReply::None => now - self.since >= mute,
-            _ => now - self.used_at >= idle,
+            BestReply::None => now - self.connected_at >= no_reply_timeout,
+            _ => now - self.used_at >= idle_timeout,
         }
     }
 
-    /// Takes the result of a write.
-    fn take_written(&mut self, key: Key, written: &Result<(), Over>) {
+    /// Handles the result of a write.
+    fn handle_write_result(&mut self, key: Key, written: &Result<(), Over>) {
         match written {
             Ok(()) => {}
-            // Nobody reads there: shut, it is found ready with its end, in its turn.
+            // The caller does not read. The poller reports the socket after the shutdown, and it is closed then.
             Err(Over::Stuck) => drop(self.connection.stream().shutdown(Shutdown::Both)),
-            // So is a broken one.
+            // The poller reports a broken connection too.
             Err(error) => {
                 self.reset_seen = true;
                 log::debug!(caller = key, error:%; "caller-broken");
@@ -518,11 +532,11 @@
         }
     }
 
-    fn watch(&mut self, key: Key, poller: &Poller) {
-        let writing = self.connection.blocked();
-        if writing != self.writing {
-            self.writing = writing;
-            poller.set_interest(key, self.connection.stream(), true, writing);
+    fn update_watch(&mut self, key: Key, poller: &Poller) {
+        let watches_writable = self.connection.blocked();
+        if watches_writable != self.watches_writable {
+            self.watches_writable = watches_writable;
+            poller.set_interest(key, self.connection.stream(), true, watches_writable);
         }
     }
 }
--- a/crates/gatekeeper/src/node/clients/draining.rs
+++ b/crates/gatekeeper/src/node/clients/draining.rs
@@ -1,4 +1,4 @@
-//! Connections of callers while the gatekeeper is drained.
+//! Client connections while the gatekeeper is drained.
 
 use std::collections::BTreeSet;
 
@@ -7,79 +7,81 @@
 use hollypaddle_platform::message::Message;
 use hollypaddle_service::drain::{self, Decision, KeptFor};
 
-use super::reply::encode;
-use super::set_up::request_class;
+use super::reply::encode_reply;
+use super::set_up::class_index;
 use super::{BestReply, Client, Clients};
-use crate::node::delivery::Closed;
+use crate::node::delivery::CloseKind;
 use crate::node::poller::{Key, Poller};
 
-/// A drain that goes on.
+/// A drain in progress.
 pub(super) struct Drain {
-    began: f64,
-    /// What was held at its term is logged.
+    /// When it started, in Unix seconds.
+    started_at: f64,
+    /// Whether the connections held at its term have been logged.
     term_logged: bool,
 }
 
-/// What drains have done since the start.
+/// Counts of what drains have done since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainCounts {
-    /// Connections that were closed.
+    /// Number of connections closed.
     pub closed: u64,
-    /// Set-ups that were refused, as they came late in a drain.
+    /// Number of set-ups refused because they came late in a drain.
     pub refused: u64,
 }
 
-/// What is to be done to calls before connections can be closed.
+/// What must be done to calls before their connections can be closed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct DrainActions {
-    /// The connections whose open set-ups get their final answer now.
+    /// Connections whose open set-ups must get their final answer now.
     pub answer_set_ups_of: Vec<Key>,
-    /// Calls that stand are cut, as no connection stays on which their ends could be told.
+    /// Whether to cut standing calls, as no connection stays on which their ends could be sent.
     pub cut_calls: bool,
-    /// The connections that stay for calls of their own, which are not cut.
+    /// Connections that stay for calls of their own; those calls are not cut.
     pub kept: BTreeSet<Key>,
 }
 
 impl Clients {
-    /// The gatekeeper is drained from now on.
+    /// Starts a drain.
     pub fn begin_drain(&mut self, now: f64) {
-        self.drain = Some(Drain { began: now, term_logged: false });
+        self.drain = Some(Drain { started_at: now, term_logged: false });
         self.connections.values_mut().for_each(|client| client.kept_for = None);
     }
 
-    /// The gatekeeper takes clients again.
+    /// Ends the drain.
     pub fn end_drain(&mut self) {
         self.drain = None;
     }
 
-    /// What drains have done.
+    /// Counts of what drains have done.
     pub fn drain_counts(&self) -> DrainCounts {
         self.drain_counts
     }
 
-    /// Whether connections are closed as soon as they wait for nothing, so that every turn may bring one.
+    /// Whether the drain closes connections as soon as nothing is pending on them, which may happen in every iteration of the
+    /// event loop.
     pub fn closes_idle_immediately(&self, now: f64) -> bool {
-        self.drain.as_ref().is_some_and(|drain| now - drain.began >= drain::FIRM_AFTER_S)
+        self.drain.as_ref().is_some_and(|drain| now - drain.started_at >= drain::FIRM_AFTER_S)
     }
 
-    /// While drained, closes the connections that are to be let go; returns what is to be done before others can be. With
-    /// `told_elsewhere`, others tell the ends for which no caller is here.
+    /// While drained, closes the connections that can go now; returns what must be done before others can. With
+    /// `sent_elsewhere`, other gatekeepers send the ends of calls that have no connection here.
     pub fn drain(
         &mut self,
         now: f64,
-        told_elsewhere: bool,
+        sent_elsewhere: bool,
         poller: &Poller,
         calls: &mut Calls,
     ) -> DrainActions {
-        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else {
+        let Some(started_at) = self.drain.as_ref().map(|drain| drain.started_at) else {
             return DrainActions::default();
         };
-        let staying = self.staying(now, began, calls);
-        let end_path = self.end_path(now, began, &staying, calls);
-        let mut actions = DrainActions { kept: staying, ..DrainActions::default() };
+        let kept = self.connections_to_keep(now, started_at, calls);
+        let end_path = self.end_path(now, started_at, &kept, calls);
+        let mut actions = DrainActions { kept, ..DrainActions::default() };
         let mut closing = Vec::new();
-        let decide = |state: &drain::Connection| match drain::decide(now, began, state) {
-            Decision::CutCalls if told_elsewhere => Decision::Close,
+        let decide = |state: &drain::Connection| match drain::decide(now, started_at, state) {
+            Decision::CutCalls if sent_elsewhere => Decision::Close,
             decision => decision,
         };
         for (key, client) in &mut self.connections {
@@ -98,60 +100,67 @@
             };
             self.drain_counts.closed += u64::from(self.close_if(now, key, reason, poller, calls));
         }
-        if now - began >= drain::DROP_AFTER_S {
+        if now - started_at >= drain::DROP_AFTER_S {
             self.drop_blocked(now, poller);
         }
         if actions.cut_calls {
             self.send_all_undelivered(now, poller, calls);
         }
-        if now - began >= drain::TERM_S {
+        if now - started_at >= drain::TERM_S {
             self.log_term(now, calls);
         }
         actions
     }
 
-    /// Drops the closed connections whose peers do not read what was sent before the close.
+    /// Drops closed connections that still have unwritten bytes because their peers do not read.
     fn drop_blocked(&mut self, now: f64, poller: &Poller) {
         let blocked = self.closing.iter().filter(|(_, closing)| closing.is_blocked());
         let blocked: Vec<Key> = blocked.map(|(key, _)| *key).collect();
         for key in blocked {
             log::debug!(caller = key; "drain-dropped");
-            self.drop_closing(now, key, Closed::Unknown, poller);
+            self.drop_closing(now, key, CloseKind::Unknown, poller);
         }
     }
 
-    /// Refuses a set-up that comes late in a drain; returns whether it did.
-    pub(super) fn refuse_drained(&mut self, now: f64, key: Key, message: &Message, poller: &Poller) -> bool {
-        let refuses = self.drain.as_ref().is_some_and(|drain| drain::refuses_set_ups(now, drain.began));
+    /// Refuses a set-up if it comes late in a drain; returns whether it did.
+    pub(super) fn refuse_if_draining(
+        &mut self,
+        now: f64,
+        key: Key,
+        message: &Message,
+        poller: &Poller,
+    ) -> bool {
+        let refuses = self.drain.as_ref().is_some_and(|drain| drain::refuses_set_ups(now, drain.started_at));
         if refuses {
             let call = format_args!("{:016x}", message.call);
             log::debug!(call:%, caller = key; "set-up-refused-in-drain");
             self.drain_counts.refused += 1;
-            self.refused_classes.push(request_class(message, &self.classes));
-            let refusal = encode(message.call, Reply::Refused(self.retry_after()));
+            self.refused_classes.push(class_index(message, &self.classes));
+            let refusal = encode_reply(message.call, Reply::Refused(self.retry_after()));
             self.send(now, key, &refusal, BestReply::Outcome, poller);
         }
         refuses
     }
 
-    /// The connections that stay for calls of their own.
-    fn staying(&self, now: f64, began: f64, calls: &Calls) -> BTreeSet<Key> {
+    /// Returns the connections that stay for calls of their own.
+    fn connections_to_keep(&self, now: f64, started_at: f64, calls: &Calls) -> BTreeSet<Key> {
         let stays = |(key, client): &(&Key, &Client)| {
-            !client.reset_seen && drain::may_stay(now, began, &client.state(**key, None, calls))
+            !client.reset_seen && drain::may_stay(now, started_at, &client.state(**key, None, calls))
         };
         self.connections.iter().filter(stays).map(|(key, _)| *key).collect()
     }
 
-    /// The connection that stays for the ends of calls whose own does not, while there are any.
-    fn end_path(&self, now: f64, began: f64, staying: &BTreeSet<Key>, calls: &Calls) -> Option<Key> {
-        if self.undelivered.is_empty() && !calls.has_standing_call_outside(|origin| staying.contains(&origin))
+    /// Returns the connection that stays for the ends of calls whose own connection does not, if there are such calls.
+    fn end_path(&self, now: f64, started_at: f64, kept: &BTreeSet<Key>, calls: &Calls) -> Option<Key> {
+        if self.undelivered_ends.is_empty()
+            && !calls.has_standing_call_outside(|origin| kept.contains(&origin))
         {
             return None;
         }
         let usable = self.connections.iter().filter(|(_, client)| !client.reset_seen);
         let fitness = |key: Key, client: &Client| {
             let (reads, may_stay, unused) =
-                drain::fitness_for_ends(now, began, &client.state(key, None, calls));
+                drain::fitness_for_ends(now, started_at, &client.state(key, None, calls));
             ((reads, may_stay, client.best_reply), unused)
         };
         let fittest = usable.max_by(|(a_key, a), (b_key, b)| {
@@ -161,7 +170,7 @@
         fittest.map(|(key, _)| *key)
     }
 
-    /// Logs once what is held at the term of a drain.
+    /// Logs the connections held at the term of a drain, once.
     fn log_term(&mut self, now: f64, calls: &Calls) {
         let Some(drain) = self.drain.as_mut().filter(|drain| !drain.term_logged) else { return };
         drain.term_logged = true;
@@ -171,7 +180,7 @@
         let idle = held()
             .filter(|(key, _)| calls.open_count(**key) == 0 && calls.standing_count(**key) == 0)
             .count();
-        let is_in_use = |client: &Client| client.asked_at.is_some_and(|at| now - at < drain::IN_USE_S);
+        let is_in_use = |client: &Client| client.last_set_up_at.is_some_and(|at| now - at < drain::IN_USE_S);
         let in_use = held().filter(|(_, client)| is_in_use(client)).count();
         log::info!(held = held().count(), waiting, standing, idle, in_use; "drain-term");
     }
@@ -180,12 +189,12 @@
 impl Client {
     fn state(&self, key: Key, end_path: Option<Key>, calls: &Calls) -> drain::Connection {
         drain::Connection {
-            since: self.since,
+            since: self.connected_at,
             used_at: self.used_at,
-            asked_at: self.asked_at,
+            asked_at: self.last_set_up_at,
             told: self.best_reply != BestReply::None,
-            asks_again: self.asked_again_at.is_some(),
-            // An answer that came in this turn is not written yet.
+            asks_again: self.set_up_after_reply_at.is_some(),
+            // An answer that arrived in this iteration of the event loop is not written yet.
             open: calls.open_count(key) + usize::from(calls.has_pending_reply(key)),
             standing: calls.standing_count(key),
             writing: self.connection.blocked(),
@@ -194,7 +203,7 @@
         }
     }
 
-    /// Logs why it stays, where that is another reason than before.
+    /// Logs why the connection stays, if the reason has changed.
     fn log_kept(&mut self, key: Key, reason: KeptFor, state: &drain::Connection) {
         if self.kept_for.replace(reason) != Some(reason) {
             log::debug!(caller = key, reason:%, open = state.open, standing = state.standing; "drain-kept");
--- a/crates/gatekeeper/src/node/clients/reply.rs
+++ b/crates/gatekeeper/src/node/clients/reply.rs
@@ -1,9 +1,9 @@
-//! Writes what a caller is told of its call.
+//! Encodes replies to callers as protocol messages.
 
 use hollypaddle_core::calls::Reply;
 use hollypaddle_platform::message::{cause, code, kind, Message};
 
-pub(super) fn encode(id: u64, reply: Reply) -> Message {
+pub(super) fn encode_reply(id: u64, reply: Reply) -> Message {
     let release = Message::new(kind::RELEASE, id);
     match reply {
         Reply::Established(None) => Message::new(kind::ANSWER, id),
@@ -12,7 +12,7 @@
         }
         Reply::Refused(after) => {
             let refusal = release.caused(cause::CONGESTION);
-            // Where callers are told no time, or at once, nothing is said of it.
+            // The parameter is left out if there is no retry-after time, or if callers may try again at once.
             match (after * 1000.0).round() {
                 ms if ms >= 1.0 => refusal.with(code::RETRY_AFTER, format!("{ms:.0}")),
                 _ => refusal,
--- a/crates/gatekeeper/src/node/delivery.rs
+++ b/crates/gatekeeper/src/node/delivery.rs
@@ -1,49 +1,50 @@
-//! What was sent on a connection without evidence that its peer has read it.
+//! Tracks items sent on a connection until there is evidence that the peer has read them.
 //!
-//! A write that succeeds tells that the system took the bytes, not that the peer's application read them. Where that closes its
-//! connection with bytes unread, its system answers with a reset. A stream is read in order, so after a reset the last message
-//! is unread, and so is whatever was never written. What was written before the last message may have been read.
+//! A successful write means that the kernel accepted the bytes, not that the peer's application read them. If the application
+//! closes its connection with bytes unread, its kernel answers with a reset. A stream is read in order, so after a reset the
+//! last message is unread, and so is everything that was never written. What was written before the last message may have been
+//! read.
 //!
-//! Where a peer takes an item twice for a fault, only what is certainly unread is sent again ([`Pending::close`]); where it does
-//! no harm, all that was not confirmed ([`Pending::take_unconfirmed`]).
+//! If the peer treats a duplicate item as an error, only items that are certainly unread are sent again ([`Pending::close`]). If
+//! duplicates are harmless, all unconfirmed items are sent again ([`Pending::take_unconfirmed`]).
 
 use std::collections::VecDeque;
 
-/// Written items remembered for one connection at most; the oldest are forgotten first. Those that wait to be written are bound
-/// by the connection's buffer.
+/// Maximum number of written items tracked per connection; the oldest are dropped first. Items that are not yet written are
+/// limited by the connection's output buffer.
 const MAX_PENDING: usize = 256;
 
 /// An item that was sent.
 #[derive(Clone, Copy, Debug)]
 struct Sent<T> {
     item: T,
-    /// When it is too late to send it again.
+    /// Time after which the item is no longer sent again, in Unix seconds.
     expires_at: f64,
-    /// Where its message ends in the stream of bytes.
-    position: u64,
+    /// Offset in the byte stream at which the item's message ends.
+    end_offset: u64,
 }
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
-    /// The peer closed it, and no reset was seen.
-    InOrder,
-    /// It was reset.
+pub enum CloseKind {
+    /// The peer closed the connection, and no reset was seen.
+    Graceful,
+    /// The connection was reset.
     Reset,
-    /// It was dropped before that could be seen.
+    /// The connection was dropped here before it was known how the peer closed it.
     Unknown,
 }
 
-/// What became of the items that were sent on a connection that is over.
+/// What happened to the items that were sent on a closed connection.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome<T> {
-    /// Those that were certainly not read, the oldest first.
+pub struct DeliveryOutcome<T> {
+    /// Items that the peer certainly did not read, oldest first.
     pub unread: Vec<T>,
-    /// How many may have been read or not.
+    /// Number of items of which it is not known whether the peer read them.
     pub unconfirmed: u64,
 }
 
-/// The items sent on one connection that were not confirmed, the oldest first.
+/// The unconfirmed items sent on one connection, oldest first.
 #[derive(Debug)]
 pub struct Pending<T> {
     items: VecDeque<Sent<T>>,
@@ -56,63 +57,63 @@
 }
 
 impl<T> Pending<T> {
-    /// Takes note that an item was put in line, where it ends in the stream of which so many bytes are written, and until when
-    /// it is worth sending again.
-    pub fn sent(&mut self, now: f64, item: T, position: u64, written: u64, expires_at: f64) {
+    /// Records an item that was queued for sending. `end_offset` is where its message ends in the byte stream, `written` the
+    /// number of bytes of the stream written so far, and `expires_at` the time after which the item is not sent again.
+    pub fn record_sent(&mut self, now: f64, item: T, end_offset: u64, written: u64, expires_at: f64) {
         self.forget_expired(now);
         if self.items.len() >= MAX_PENDING {
-            self.items.pop_front_if(|oldest| oldest.position <= written);
+            self.items.pop_front_if(|oldest| oldest.end_offset <= written);
         }
-        self.items.push_back(Sent { item, expires_at, position });
+        self.items.push_back(Sent { item, expires_at, end_offset });
     }
 
-    /// The peer confirms that it has read an item, and so all that was sent before.
+    /// Removes an item that the peer has confirmed, and all items sent before it.
     pub fn confirm(&mut self, is_confirmed: impl Fn(&T) -> bool) {
         if let Some(index) = self.items.iter().position(|sent| is_confirmed(&sent.item)) {
             self.items.drain(..=index);
         }
     }
 
-    /// The peer has read the stream up to this position, and so all that was sent before.
-    pub fn confirm_through(&mut self, position: u64) {
-        let first_unread = self.items.partition_point(|sent| sent.position <= position);
+    /// Removes all items up to this offset of the byte stream, as the peer has read that far.
+    pub fn confirm_through(&mut self, offset: u64) {
+        let first_unread = self.items.partition_point(|sent| sent.end_offset <= offset);
         self.items.drain(..first_unread);
     }
 
-    /// Forgets items that must not be sent again, and no others.
+    /// Removes the items that must not be sent again, without confirming items sent before them.
     pub fn forget(&mut self, is_forgotten: impl Fn(&T) -> bool) {
         self.items.retain(|sent| !is_forgotten(&sent.item));
     }
 
-    /// Whether a reset would still tell of an item that it was not read.
-    pub fn awaits_evidence(&self, now: f64, written: u64) -> bool {
+    /// Whether a reset of the connection would prove that an item, which may still be sent again, was not read.
+    pub fn reset_would_prove_unread(&self, now: f64, written: u64) -> bool {
         let latest = self.items.back();
-        latest.is_some_and(|sent| sent.position == written && now <= sent.expires_at)
+        latest.is_some_and(|sent| sent.end_offset == written && now <= sent.expires_at)
     }
 
-    /// Takes the items that were never written, with so many bytes written.
+    /// Removes and returns the items that were never fully written, given the number of bytes written.
     pub fn take_unwritten(&mut self, written: u64) -> Vec<T> {
-        let first = self.items.partition_point(|sent| sent.position <= written);
+        let first = self.items.partition_point(|sent| sent.end_offset <= written);
         self.items.drain(first..).map(|sent| sent.item).collect()
     }
 
-    /// Takes all items that were not confirmed, the oldest first, for peers to which an item may be sent twice.
+    /// Removes and returns all unconfirmed items that have not expired, oldest first. For peers that accept duplicates.
     pub fn take_unconfirmed(&mut self, now: f64) -> Vec<T> {
         let items = std::mem::take(&mut self.items);
         items.into_iter().filter(|sent| now <= sent.expires_at).map(|sent| sent.item).collect()
     }
 
-    /// Takes what became of the items, as the connection is over with so many bytes written.
-    pub fn close(&mut self, now: f64, closed: Closed, written: u64) -> Outcome<T> {
+    /// Clears the items of a closed connection and returns what happened to them, given the number of bytes written.
+    pub fn close(&mut self, now: f64, closed: CloseKind, written: u64) -> DeliveryOutcome<T> {
         self.forget_expired(now);
         let never_written = self.take_unwritten(written);
-        let mut outcome = Outcome { unread: Vec::new(), unconfirmed: 0 };
+        let mut outcome = DeliveryOutcome { unread: Vec::new(), unconfirmed: 0 };
         for sent in self.items.drain(..) {
-            let written_last = sent.position == written;
+            let written_last = sent.end_offset == written;
             match closed {
-                Closed::Reset if written_last => outcome.unread.push(sent.item),
-                Closed::Reset | Closed::Unknown => outcome.unconfirmed += 1,
-                Closed::InOrder => {}
+                CloseKind::Reset if written_last => outcome.unread.push(sent.item),
+                CloseKind::Reset | CloseKind::Unknown => outcome.unconfirmed += 1,
+                CloseKind::Graceful => {}
             }
         }
         outcome.unread.extend(never_written);
--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -189,9 +189,9 @@
     // ---- What the calls ask for
 
     /// Carries an order out.
-    pub fn execute(&mut self, pool: PoolId, id: u64, order: Command, ctx: &mut Context) {
+    pub fn execute(&mut self, pool: PoolId, id: u64, command: Command, ctx: &mut Context) {
         let server = self.servers.get_mut(&pool);
-        match (order, server) {
+        match (command, server) {
             (Command::SetUp { class, until, content }, Some(server))
                 if server.listed.readiness == Readiness::Ready =>
             {
--- a/crates/gatekeeper/src/node/servers/channel.rs
+++ b/crates/gatekeeper/src/node/servers/channel.rs
@@ -58,7 +58,7 @@
                 None
             }
         };
-        self.watch(key, poller);
+        self.poller(key, poller);
         end
     }
 
@@ -74,10 +74,10 @@
         while let Some((_, id)) = self.give_ups.pop_front_if(|(end, _)| *end <= written) {
             ctx.calls.give_up_written(pool, id);
         }
-        self.watch(key, ctx.poller);
+        self.poller(key, ctx.poller);
     }
 
-    pub(super) fn watch(&mut self, key: Key, poller: &Poller) {
+    pub(super) fn poller(&mut self, key: Key, poller: &Poller) {
         let writing = !self.up || self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -133,7 +133,7 @@
                 log::debug!(server = self.name.as_str(), connection = key; "connection-up");
                 self.send_kept_releases(ctx);
                 if let Some(channel) = self.channels.get_mut(&key) {
-                    channel.watch(key, ctx.poller);
+                    channel.poller(key, ctx.poller);
                 }
             }
         }
--- a/crates/gatekeeper/src/node/servers/release_queue.rs
+++ b/crates/gatekeeper/src/node/servers/release_queue.rs
@@ -134,7 +134,7 @@
         poller: &Poller,
     ) -> Option<u64> {
         let end = self.send(key, &release.message(), poller)?;
-        self.releases.sent(now, release, end, self.connection.written(), release.expires_at());
+        self.releases.record_sent(now, release, end, self.connection.written(), release.expires_at());
         Some(end)
     }
 }
--- a/crates/gatekeeper/src/node/servers/set_ups.rs
+++ b/crates/gatekeeper/src/node/servers/set_ups.rs
@@ -46,7 +46,7 @@
                 Ok(Some(end)) => {
                     channel.open.insert(id, SentSetUp { sent_at: ctx.now, end });
                     ctx.calls.forwards += 1;
-                    channel.watch(key, ctx.poller);
+                    channel.poller(key, ctx.poller);
                     waiting.remove(next);
                     self.forget_releases(id);
                 }
