--- a/crates/gatekeeper/src/node/servers/channel.rs
+++ b/crates/gatekeeper/src/node/servers/channel.rs
@@ -1,4 +1,4 @@
-//! A connection to a session server, and what is out on it.
+//! A connection to a session server, with the set-ups and releases sent on it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -14,39 +14,42 @@
 use crate::node::delivery::Pending;
 use crate::node::poller::{Key, Poller};
 
-/// What Linux says of a connection that is on its way.
+/// The error code of Linux for a non-blocking connect that is in progress.
 const EINPROGRESS: i32 = 115;
 
-/// A connection to a session server.
+/// A connection to a session server, established or being established. Times are in Unix seconds.
 pub(super) struct Channel {
     pub connection: Connection<TcpStream>,
+    /// Whether the connection is established.
     pub up: bool,
-    /// When it was tried, or came up.
+    /// When the connection was established, or the attempt was started if it is not yet.
     pub since: f64,
+    /// When the last message was received on it, or it was established.
     pub heard_at: f64,
-    /// Watched for writing too.
-    pub writing: bool,
-    /// Since when a message is held back, see [`super::MAX_HOLD_S`].
+    /// Whether the socket is watched for writability too.
+    pub watches_writable: bool,
+    /// Since when a message is held back, see [`super::MAX_MESSAGE_HOLD_S`].
     pub held_since: Option<f64>,
-    /// Set-ups out on this connection.
+    /// Open set-ups sent on this connection, by call id.
     pub open: BTreeMap<u64, SentSetUp>,
-    /// Give-ups being written: the position at which each ends, and its call.
+    /// Give-ups being written: the offset in the byte stream at which each ends, and its call id.
     pub give_ups: VecDeque<(u64, u64)>,
     /// Releases and give-ups sent on this connection that were not confirmed.
     pub releases: Pending<Release>,
 }
 
-/// A set-up that is out on a connection.
+/// An open set-up that was sent on a connection.
 #[derive(Clone, Copy)]
 pub(super) struct SentSetUp {
+    /// When it was sent, in Unix seconds.
     pub sent_at: f64,
-    /// Where it ends in the stream.
-    pub end: u64,
+    /// Offset in the byte stream at which its message ends.
+    pub end_offset: u64,
 }
 
 impl Channel {
-    /// Sends a message; returns where it ends in the stream. A broken connection is found ready with its
-    /// end, in its turn.
+    /// Sends a message; returns the offset in the byte stream at which it ends, or none if the connection is broken. A broken
+    /// connection is reported by the poller and closed then.
     pub(super) fn send(&mut self, key: Key, message: &Message, poller: &Poller) -> Option<u64> {
         let end = match self.connection.send(message) {
             Ok(end) => Some(end),
@@ -58,41 +61,41 @@
                 None
             }
         };
-        self.poller(key, poller);
+        self.update_watch(key, poller);
         end
     }
 
-    /// Notes since when a message is held back, if one is.
-    pub(super) fn note_held(&mut self, now: f64) {
+    /// Records since when a message is held back, if one is.
+    pub(super) fn update_held_since(&mut self, now: f64) {
         let since = self.held_since.unwrap_or(now);
         self.held_since = self.connection.holds_message().then_some(since);
     }
 
-    /// Reports the give-ups that are out.
+    /// Reports the give-ups that are fully written to the calls.
     pub(super) fn report_give_ups(&mut self, pool: PoolId, key: Key, ctx: &mut Context) {
         let written = self.connection.written();
-        while let Some((_, id)) = self.give_ups.pop_front_if(|(end, _)| *end <= written) {
+        while let Some((_, id)) = self.give_ups.pop_front_if(|(end_offset, _)| *end_offset <= written) {
             ctx.calls.give_up_written(pool, id);
         }
-        self.poller(key, ctx.poller);
+        self.update_watch(key, ctx.poller);
     }
 
-    pub(super) fn poller(&mut self, key: Key, poller: &Poller) {
-        let writing = !self.up || self.connection.blocked();
-        if writing != self.writing {
-            self.writing = writing;
-            poller.set_interest(key, self.connection.stream(), true, writing);
+    pub(super) fn update_watch(&mut self, key: Key, poller: &Poller) {
+        let watches_writable = !self.up || self.connection.blocked();
+        if watches_writable != self.watches_writable {
+            self.watches_writable = watches_writable;
+            poller.set_interest(key, self.connection.stream(), true, watches_writable);
         }
     }
 }
 
-/// The connection for what is to be sent: the one last heard.
-pub(super) fn last_heard(channels: &mut BTreeMap<Key, Channel>) -> Option<(Key, &mut Channel)> {
+/// Returns the connection to send on: the established one that last received a message.
+pub(super) fn most_recent_channel(channels: &mut BTreeMap<Key, Channel>) -> Option<(Key, &mut Channel)> {
     let up = channels.iter_mut().filter(|(_, c)| c.up);
     up.max_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at)).map(|(key, channel)| (*key, channel))
 }
 
-/// Begins to connect without waiting.
+/// Starts a connection attempt without waiting for its result.
 pub(in crate::node) fn connect_nonblocking(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -1,4 +1,4 @@
-//! Connections to a session server: when one is opened, and what follows when one ends.
+//! Opening connections to a session server, and handling their failure or close.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,16 +13,18 @@
 use crate::node::delivery::Pending;
 use crate::node::poller::Key;
 
-/// Time between tries to connect, in seconds.
+/// Minimum time between connection attempts, in seconds. A connection that closes sooner than this counts as a quick close.
 const RETRY_INTERVAL_S: f64 = 0.25;
-/// Backoff of connections that nothing waits for, in seconds: the first pause, which doubles with each connection that ended
-/// early or did not come up, and the longest. A server says again on the next connection what ended with no connection open,
-/// and callers must hear of an end within 8 s.
+/// First backoff of connections that nothing waits for, in seconds. It doubles with each connection that closes early or cannot
+/// be established.
 const FIRST_BACKOFF_S: f64 = 0.5;
+/// Longest backoff of connections that nothing waits for, in seconds. A server reports the calls that ended while no connection
+/// was open on the next one, and callers must be told of an end within 8 s.
 pub(super) const MAX_BACKOFF_S: f64 = 5.0;
-/// Connections that broke as soon as they were up after which the next one waits its time.
-const MAX_QUICK_ENDS: u32 = 3;
-/// Most bytes that wait to be written to one server.
+/// Number of consecutive quick closes up to which the next connection is opened at once; after more of them it waits for
+/// [`RETRY_INTERVAL_S`].
+const MAX_QUICK_CLOSES: u32 = 3;
+/// Maximum number of unwritten bytes for one server.
 const MAX_UNWRITTEN_BYTES: usize = 128 * 1024;
 
 impl Server {
@@ -31,9 +33,9 @@
             return;
         }
         self.retry_at = ctx.now + RETRY_INTERVAL_S;
-        self.tried += 1;
-        // Makes room by closing what was silent for longest; set-ups open on a connection keep it until
-        // they are given up.
+        self.connect_attempts += 1;
+        // Frees a connection slot by closing the connection that has been silent for longest. A connection with open set-ups
+        // is kept until they are given up.
         if self.channels.len() >= link.connections {
             let unused = self.channels.iter().filter(|(_, c)| c.open.is_empty());
             let oldest = unused.min_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at)).map(|(key, _)| *key);
@@ -51,7 +53,7 @@
                     up: false,
                     since: ctx.now,
                     heard_at: ctx.now,
-                    writing: true,
+                    watches_writable: true,
                     held_since: None,
                     open: BTreeMap::new(),
                     give_ups: VecDeque::new(),
@@ -59,12 +61,12 @@
                 };
                 self.channels.insert(key, channel);
             }
-            Err(error) => self.connect_failed(pool, &error, ctx),
+            Err(error) => self.handle_connect_failure(pool, &error, ctx),
         }
     }
 
-    /// A connection is over, or of no more use: what is open on it ends, and set-ups go elsewhere.
-    pub(super) fn close_failed(
+    /// Closes a connection that failed or is unusable, which resets the set-ups open on it, and connects again.
+    pub(super) fn close_and_reconnect(
         &mut self,
         pool: PoolId,
         key: Key,
@@ -73,43 +75,51 @@
         ctx: &mut Context,
     ) {
         log::debug!(server = self.name.as_str(), connection = key, reason:%; "connection-closed");
-        let lived = self.channels.get(&key).map_or(0.0, |c| ctx.now - c.since);
+        let lifetime = self.channels.get(&key).map_or(0.0, |c| ctx.now - c.since);
         self.close_channels(pool, |k| k == key, ctx);
-        self.send_kept_releases(ctx);
-        self.reconnect(lived, pool, link, ctx);
+        self.send_queued_releases(ctx);
+        self.reconnect(lifetime, pool, link, ctx);
     }
 
-    /// Connects again at once, unless it keeps closing new ones, or closes idle ones that nothing waits for: a connect that
-    /// is refused tells that the process died with its calls. One that is on its way may have set out to a machine that was
-    /// not there and would be noticed late; this end tells that the machine is back.
-    fn reconnect(&mut self, lived: f64, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
-        self.quick_ends = if lived >= RETRY_INTERVAL_S { 0 } else { self.quick_ends.saturating_add(1) };
-        if self.quick_ends <= MAX_QUICK_ENDS {
+    /// Connects again after a connection that lasted `lifetime` seconds. It does so at once, unless the server keeps closing new
+    /// connections, or closes idle ones that nothing waits for: a refused connect shows that the process died with its calls. An
+    /// attempt in progress may have been made while the machine was away, and would fail late; the close of this connection
+    /// shows that the machine is back.
+    fn reconnect(&mut self, lifetime: f64, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+        self.quick_closes =
+            if lifetime >= RETRY_INTERVAL_S { 0 } else { self.quick_closes.saturating_add(1) };
+        if self.quick_closes <= MAX_QUICK_CLOSES {
             self.retry_at = ctx.now;
         }
-        let asked = !self.waiting.is_empty() || ctx.calls.has_calls_at(pool);
-        if !asked && !(1..=MAX_QUICK_ENDS).contains(&self.quick_ends) {
-            self.back_off(lived, ctx.now);
+        let is_needed = !self.waiting_set_ups.is_empty() || ctx.calls.has_calls_at(pool);
+        if !is_needed && !(1..=MAX_QUICK_CLOSES).contains(&self.quick_closes) {
+            self.schedule_idle_retry(lifetime, ctx.now);
         }
-        if asked || ctx.now >= self.idle_retry_at {
+        if is_needed || ctx.now >= self.idle_retry_at {
             self.connect(pool, link, ctx);
         }
     }
 
-    /// A connection ended after so long, or did not come up: when the next may be tried that nothing waits for. Where they
-    /// last, at once.
-    fn back_off(&mut self, lived: f64, now: f64) {
-        if lived >= MAX_BACKOFF_S {
+    /// Sets when the next connection may be attempted that nothing waits for, after one that lasted `lifetime` seconds, or 0 if
+    /// it was not established. After one that lasted for [`MAX_BACKOFF_S`] or longer that is at once.
+    fn schedule_idle_retry(&mut self, lifetime: f64, now: f64) {
+        if lifetime >= MAX_BACKOFF_S {
             self.backoff = 0.0;
         }
         let mut hasher = DefaultHasher::new();
-        (self.seed, &self.name, self.tried).hash(&mut hasher);
-        let spread = 0.5 + 0.5 * (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64;
-        self.idle_retry_at = now + self.backoff * spread;
+        (self.seed, &self.name, self.connect_attempts).hash(&mut hasher);
+        let jitter = 0.5 + 0.5 * (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64;
+        self.idle_retry_at = now + self.backoff * jitter;
         self.backoff = (2.0 * self.backoff).clamp(FIRST_BACKOFF_S, MAX_BACKOFF_S);
     }
 
-    pub(super) fn connected(&mut self, pool: PoolId, key: Key, link: &ProtocolSettings, ctx: &mut Context) {
+    pub(super) fn finish_connecting(
+        &mut self,
+        pool: PoolId,
+        key: Key,
+        link: &ProtocolSettings,
+        ctx: &mut Context,
+    ) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
         let stream = channel.connection.stream();
         let result = match stream.take_error() {
@@ -118,35 +128,37 @@
         };
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
-            // Reset as it came up: there is somebody, and what waits has not run. Guards against a
-            // healthy server taken for dead, and for a cold one as it answers again.
-            Err(error) if error.kind() == ErrorKind::ConnectionReset && self.quick_ends < MAX_QUICK_ENDS => {
-                self.close_failed(pool, key, &Over::Broken(error), link, ctx);
+            // Reset as it was being established: the server is there, and the waiting set-ups have not run. Otherwise a
+            // healthy server would be considered dead, and then cold when it answers again.
+            Err(error)
+                if error.kind() == ErrorKind::ConnectionReset && self.quick_closes < MAX_QUICK_CLOSES =>
+            {
+                self.close_and_reconnect(pool, key, &Over::Broken(error), link, ctx);
             }
             Err(error) => {
                 self.close_channels(pool, |k| k == key, ctx);
-                self.connect_failed(pool, &error, ctx);
+                self.handle_connect_failure(pool, &error, ctx);
             }
             Ok(()) => {
                 (channel.up, channel.since, channel.heard_at) = (true, ctx.now, ctx.now);
                 (self.heard_at, self.unreachable) = (ctx.now, false);
                 log::debug!(server = self.name.as_str(), connection = key; "connection-up");
-                self.send_kept_releases(ctx);
+                self.send_queued_releases(ctx);
                 if let Some(channel) = self.channels.get_mut(&key) {
-                    channel.poller(key, ctx.poller);
+                    channel.update_watch(key, ctx.poller);
                 }
             }
         }
     }
 
-    /// No connection came up. The set-ups that waited for it never ran. Refused, with no other connection
-    /// left, the process is dead and so is what stood there; with one, the server may only hold as many
-    /// connections as it accepts.
-    pub(super) fn connect_failed(&mut self, pool: PoolId, error: &io::Error, ctx: &mut Context) {
+    /// Handles a connection attempt that failed. The set-ups that waited for it never ran. If it was refused and no other
+    /// connection is established, the process is dead and its calls are cut; with another connection, the server may only have
+    /// reached its own limit of connections.
+    pub(super) fn handle_connect_failure(&mut self, pool: PoolId, error: &io::Error, ctx: &mut Context) {
         log::debug!(server = self.name.as_str(), error:%; "connection-failed");
-        self.back_off(0.0, ctx.now);
+        self.schedule_idle_retry(0.0, ctx.now);
         self.fail_waiting(pool, ctx);
-        // Other errors, such as a want of descriptors, are ours and tell nothing of the server.
+        // Other errors, such as a lack of descriptors, are local and say nothing about the server.
         self.unreachable |= matches!(
             error.kind(),
             ErrorKind::TimedOut | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable
@@ -155,7 +167,7 @@
             self.silent_at.get_or_insert(ctx.now);
         }
         if error.kind() == ErrorKind::ConnectionRefused && !self.channels.values().any(|c| c.up) {
-            self.releases.forget_unconfirmed(f64::INFINITY);
+            self.release_queue.forget_unconfirmed(f64::INFINITY);
             let cut = ctx.calls.cut_calls_at(pool, f64::INFINITY, false);
             if cut > 0 {
                 log::info!(server = self.name.as_str(), cut; "server-refuses-connections");
@@ -168,9 +180,9 @@
         for key in keys {
             let Some(mut channel) = self.channels.remove(&key) else { continue };
             ctx.poller.remove(channel.connection.stream());
-            self.releases.keep_unconfirmed(channel.releases.take_unconfirmed(ctx.now));
-            // Closing it gives up whatever was open on it, but an answer may have been lost with it: a
-            // call that nobody waits for must not stand on.
+            self.release_queue.keep_unconfirmed(channel.releases.take_unconfirmed(ctx.now));
+            // Closing the connection gives up the set-ups open on it, but an answer may have been lost with it: a call that
+            // nobody waits for must not stay established at the server.
             for id in channel.open.into_keys() {
                 ctx.calls.attempt_reset(pool, id);
                 self.release(ctx.now, id, ctx.poller);
--- a/crates/gatekeeper/src/node/servers/incoming.rs
+++ b/crates/gatekeeper/src/node/servers/incoming.rs
@@ -1,4 +1,4 @@
-//! What session servers say: how it is read, and what it means for the calls.
+//! Handling of messages from session servers.
 
 use hollypaddle_core::calls::{Calls, End};
 use hollypaddle_platform::boundary::{Candidate, Cut, Verdict};
@@ -12,8 +12,8 @@
 use crate::node::poller::Key;
 
 impl Server {
-    /// Takes what was read on a connection: its messages, and how the read ended.
-    pub(super) fn take(
+    /// Handles the result of a read on a connection: the messages, and whether the connection has to be closed.
+    pub(super) fn handle_read(
         &mut self,
         pool: PoolId,
         key: Key,
@@ -22,37 +22,37 @@
         ctx: &mut Context,
     ) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
-        channel.note_held(ctx.now);
+        channel.update_held_since(ctx.now);
         channel.report_give_ups(pool, key, ctx);
         if !messages.is_empty() {
             (channel.heard_at, self.heard_at, self.unreachable) = (ctx.now, ctx.now, false);
             (self.last_message_at, self.silent_at) = (ctx.now, None);
         }
         for message in messages {
-            if let Err(reason) = self.heard(pool, key, message, known, ctx) {
+            if let Err(reason) = self.handle_message(pool, key, message, known, ctx) {
                 end = Err(reason);
                 break;
             }
         }
         if let Err(error) = end {
             if let Over::CutShort(cut) = &error {
-                self.count_cut_short(cut);
+                self.record_cut_short(cut);
             }
-            self.close_failed(pool, key, &error, known.1, ctx);
+            self.close_and_reconnect(pool, key, &error, known.1, ctx);
         }
     }
 
-    /// Counts a message that was cut short, and tells of it each time that there are twice as many.
-    fn count_cut_short(&mut self, cut: &Cut) {
-        self.cut_short += 1;
-        if self.cut_short.is_power_of_two() {
-            let (server, times) = (self.name.as_str(), self.cut_short);
+    /// Counts a message that was cut short, and logs it whenever the count reaches a power of two.
+    fn record_cut_short(&mut self, cut: &Cut) {
+        self.cut_short_messages += 1;
+        if self.cut_short_messages.is_power_of_two() {
+            let (server, times) = (self.name.as_str(), self.cut_short_messages);
             log::warn!(server, times, message:% = cut; "message-cut-short");
         }
     }
 
-    /// Takes a message; an error tells that its connection is of no more use.
-    fn heard(
+    /// Handles a message; an error means that its connection is unusable and must be closed.
+    fn handle_message(
         &mut self,
         pool: PoolId,
         key: Key,
@@ -62,39 +62,39 @@
     ) -> Result<(), Over> {
         let id = message.call;
         let report = message.text(code::REPORT).map_or(Report::default(), |t| telemetry.decode_text(t));
-        let told = message.bytes(code::REPORT).is_some();
+        let has_report = message.bytes(code::REPORT).is_some();
         let description = message.bytes(code::DESCRIPTION).map(<[u8]>::to_vec);
-        // Guards against spoilt answers that still have the form of a message. The call may stand at the
-        // server, but what it said is not known; and nothing good follows on that connection.
+        // Guards against damaged answers that still have the form of a message. The call may be established at the server, but
+        // what the server sent is not known, and nothing that follows on this connection can be trusted.
         if message.repeats() {
-            return Err(Over::Improper("a message with a parameter that comes twice"));
+            return Err(Over::Improper("a message with a repeated parameter"));
         }
         match message.kind {
             kind::ANSWER if description.is_none() || message.cause().is_some() => {
                 return Err(Over::Improper("an answer without a description, or with a cause"));
             }
             kind::ANSWER => {
-                self.silence_limit = link.silence_limit();
-                if let Some(sent_at) = self.take_open(key, id) {
+                self.silence_timeout = link.silence_timeout();
+                if let Some(sent_at) = self.remove_open_set_up(key, id) {
                     self.close_overtaken(pool, sent_at, link, ctx);
                 }
                 ctx.calls.established(ctx.now, pool, id, description);
-                if told {
+                if has_report {
                     ctx.calls.load_reported(pool, report);
                 }
             }
             kind::RELEASE if message.cause().is_none() || description.is_some() => {
-                // For a call that is not there it is no more than an answer ahead.
+                // For a call that is not at this server it is harmless: no more than an answer that came early.
                 if ctx.calls.is_at(pool, id) {
                     return Err(Over::Improper("a release without a cause, or with a description"));
                 }
             }
             kind::RELEASE => {
-                self.silence_limit = link.silence_limit();
-                self.take_open(key, id);
-                ctx.calls.ended(ctx.now, pool, id, end(&message, report, link.max_wait()));
+                self.silence_timeout = link.silence_timeout();
+                self.remove_open_set_up(key, id);
+                ctx.calls.ended(ctx.now, pool, id, parse_end(&message, report, link.max_wait()));
             }
-            kind::STATE | kind::TEST_RESULT if told => ctx.calls.load_reported(pool, report),
+            kind::STATE | kind::TEST_RESULT if has_report => ctx.calls.load_reported(pool, report),
             kind::TEST => {
                 let passed = Message::new(kind::TEST_RESULT, id).caused(1);
                 if let Some(channel) = self.channels.get_mut(&key) {
@@ -103,24 +103,25 @@
             }
             kind::RELEASE_HEARD => self.confirm_release(id),
             kind::PROGRESS | kind::STATE | kind::TEST_RESULT => {}
-            _ => return Err(Over::Improper("a message of a type that no server sends")),
+            _ => return Err(Over::Improper("a message of a type that servers do not send")),
         }
         Ok(())
     }
 
-    /// Takes a set-up that is no longer open, as its end came on this connection. Returns when it was sent.
-    fn take_open(&mut self, key: Key, id: u64) -> Option<f64> {
+    /// Removes an open set-up whose answer or release came on this connection. Returns when it was sent, in Unix seconds.
+    fn remove_open_set_up(&mut self, key: Key, id: u64) -> Option<f64> {
         let (&own_key, channel) = self.channels.iter_mut().find(|(_, c)| c.open.contains_key(&id))?;
-        let out = channel.open.remove(&id)?;
-        // Elsewhere it may answer an earlier attempt.
+        let set_up = channel.open.remove(&id)?;
+        // On another connection the message may belong to an earlier attempt, so it confirms nothing there.
         if own_key == key {
-            channel.releases.confirm_through(out.end);
+            channel.releases.confirm_through(set_up.end_offset);
         }
-        Some(out.sent_at)
+        Some(set_up.sent_at)
     }
 }
 
-/// Judges whether a message was sent whole. One of a call that is at the server cannot be part of another message.
+/// Judges whether a message was sent completely. The start of a message for a call at this server, found within another message,
+/// shows that the other one was cut short.
 pub(super) fn judge(candidate: Candidate, pool: PoolId, calls: &Calls) -> Verdict {
     match candidate.is_followed_by_message() {
         true => candidate.verdict(|id| calls.is_at(pool, id)),
@@ -128,13 +129,13 @@
     }
 }
 
-fn end(message: &Message, report: Report, longest: f64) -> End {
+fn parse_end(message: &Message, report: Report, longest: f64) -> End {
     let outcome = match message.cause() {
         Some(cause::NORMAL) => Outcome::Done,
         Some(cause::FULL) => Outcome::Full,
         Some(cause::MOOT) => Outcome::NotSent,
         Some(cause::TEMPORARY_FAILURE) => Outcome::Reset,
-        // Busy (17), a fault (47), and what no server should say: it ends the attempt all the same.
+        // Busy (17), a fault (47), and any cause that no server should send: the attempt ends in any case.
         _ => Outcome::Error,
     };
     let cause = match message.text(code::NOTE) {
@@ -145,7 +146,7 @@
         _ => Cause::Unknown,
     };
     let wait = message.text(code::FULL_WAIT).and_then(|text| text.trim().parse::<f64>().ok());
-    // No caller waits longer than the longest deadline: a server that says more must not shut itself for good.
+    // No caller waits longer than the longest deadline. A server that asks for more time must not exclude itself for good.
     let wait = wait.filter(|ms| ms.is_finite() && *ms >= 0.0).map(|ms| (ms / 1000.0).min(longest));
     End { outcome, cause, wait, report }
 }
--- a/crates/gatekeeper/src/node/servers/release.rs
+++ b/crates/gatekeeper/src/node/servers/release.rs
@@ -2,33 +2,33 @@
 
 use hollypaddle_platform::message::{cause, kind, Message};
 
-/// A release that was sent again is not sent once more after so long, in seconds. A server that closes idle connections would be
-/// sent it on each next one.
+/// Time after its first resend for which a release may be resent, in seconds. Without this limit, a server that closes idle
+/// connections would be sent it on each next one.
 pub(super) const RESEND_LIMIT_S: f64 = 30.0;
 
-/// The release of a call at a server, or of an attempt that is given up there.
+/// The release of a call at a server, or of an attempt that is given up there. Times are in Unix seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Release {
-    /// The call.
+    /// The call's 64-bit id.
     pub id: u64,
-    /// When it was ordered.
-    pub ordered_at: f64,
-    /// When it was first sent again.
+    /// When the release was requested.
+    pub requested_at: f64,
+    /// When the release was first sent again.
     pub resent_at: Option<f64>,
 }
 
 impl Release {
-    /// One that is ordered now.
+    /// Creates a release that is requested now.
     pub fn new(now: f64, id: u64) -> Self {
-        Release { id, ordered_at: now, resent_at: None }
+        Release { id, requested_at: now, resent_at: None }
     }
 
-    /// What tells the server.
+    /// The message for the server.
     pub fn message(self) -> Message {
         Message::new(kind::RELEASE, self.id).caused(cause::NORMAL)
     }
 
-    /// When it is too late to send it once more.
+    /// Time after which the release is not sent again, in Unix seconds.
     pub fn expires_at(self) -> f64 {
         self.resent_at.map_or(f64::INFINITY, |at| at + RESEND_LIMIT_S)
     }
