--- a/crates/gatekeeper/src/node/events.rs
+++ b/crates/gatekeeper/src/node/events.rs
@@ -1,14 +1,15 @@
-//! Events of a fleet, written to the log within bounds.
+//! Writes the events of a fleet to the log, at a limited rate.
 
 use hollypaddle_membership::view::Change as MembershipChange;
 use hollypaddle_membership::MemberId;
 use hollypaddle_replica::member::Event;
 
-/// Events written to the log at once, and a second; more are counted. A link that flaps must not fill the log.
+/// Events that may be logged in one burst. Further ones are only counted, so that a flapping link can't fill the log.
 const LOG_BURST_EVENTS: f64 = 40.0;
+/// Rate at which the burst is replenished.
 const LOG_EVENTS_PER_S: f64 = 2.0;
 
-/// How much may be written to the log.
+/// Token bucket that limits how many events are logged.
 pub struct EventLogLimiter {
     tokens: f64,
     refilled_at: f64,
@@ -16,18 +17,18 @@
 }
 
 impl EventLogLimiter {
-    /// All of it.
+    /// Creates a limiter with a full burst.
     pub fn new(now: f64) -> EventLogLimiter {
         EventLogLimiter { tokens: LOG_BURST_EVENTS, refilled_at: now, suppressed: 0 }
     }
 
-    /// Whether a line may be written; tells first how many were not, before it.
+    /// Whether an event may be logged. If so, first logs how many were left out before it.
     pub fn may_log(&mut self, now: f64) -> bool {
         log_left_out(self.admit(now))
     }
 
-    /// The same for an event of members. What befalls the own member comes seldom and says whether it takes calls: it is
-    /// always written, and takes nothing from the others.
+    /// Like [`may_log`](Self::may_log), for an event of members. Events of this member itself are rare and show whether it
+    /// accepts calls: they are always logged and use none of the budget of other events.
     pub fn may_log_event(&mut self, now: f64, event: &Event) -> bool {
         log_left_out(self.admit_event(now, event))
     }
@@ -40,7 +41,7 @@
         }
     }
 
-    /// How many lines were left out before this one, if it may be written.
+    /// Takes a token; returns how many events were left out before this one, or `None` if this one must be left out.
     fn admit(&mut self, now: f64) -> Option<u64> {
         self.tokens =
             (self.tokens + (now - self.refilled_at).max(0.0) * LOG_EVENTS_PER_S).min(LOG_BURST_EVENTS);
@@ -54,7 +55,7 @@
     }
 }
 
-/// Whether a line may be written; tells how many were left out before it.
+/// Logs how many events were left out; returns whether the next one may be logged.
 fn log_left_out(left_out: Option<u64>) -> bool {
     if let Some(events) = left_out.filter(|events| *events > 0) {
         log::info!(events; "fleet-events-left-out");
@@ -62,7 +63,7 @@
     left_out.is_some()
 }
 
-/// Writes an event of the members of a small fleet, or of the relays among themselves, to the log.
+/// Logs an event of the members of a small fleet, or of the relays of a tier among themselves.
 pub fn log_member_event(event: &Event, name: impl Fn(MemberId) -> String) {
     match event {
         Event::Member(change) => match change {
@@ -74,15 +75,19 @@
                 log::warn!(member = name(*m).as_str(), refused; "member-gone");
             }
             MembershipChange::Returned(m) => log::info!(member = name(*m).as_str(); "member-returned"),
-            MembershipChange::Restarted(m, life) => {
-                log::info!(member = name(*m).as_str(), life:%; "member-restarted");
+            MembershipChange::Restarted(m, incarnation) => {
+                log::info!(member = name(*m).as_str(), life:% = incarnation; "member-restarted");
             }
             MembershipChange::NotReceiving(m) => {
                 log::warn!(member = name(*m).as_str(); "member-does-not-hear-us")
             }
             MembershipChange::ReceivingAgain(m) => log::info!(member = name(*m).as_str(); "member-hears-us"),
-            MembershipChange::IncarnationRaised(life) => log::info!(life:%; "fleet-life-raised"),
-            MembershipChange::Superseded(life) => log::error!(life:%; "fleet-superseded"),
+            MembershipChange::IncarnationRaised(incarnation) => {
+                log::info!(life:% = incarnation; "fleet-life-raised")
+            }
+            MembershipChange::Superseded(incarnation) => {
+                log::error!(life:% = incarnation; "fleet-superseded")
+            }
             MembershipChange::Resumed(paused_s) => log::warn!(paused_s; "fleet-woke"),
         },
         Event::CaughtUp(how, after_s) => {
--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -1,5 +1,5 @@
-//! The other gatekeepers, where the own configuration names them: what is told to them, and what is done about what
-//! they tell. The decisions are in the crates `membership` and `replica`; this module stands between them, the links
+//! This gatekeeper as a member of a small fleet: what it reports to the other gatekeepers, and what it does about their
+//! reports. The decisions are made in the crates `membership` and `replica`. This module connects them with the links
 //! ([`super::peers`]) and the rest of the gatekeeper.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -26,9 +26,10 @@
 use super::servers::Servers;
 use hollypaddle_membership::view::{Change as MembershipChange, State};
 
-/// The end of a call that is not known is kept for so long while this member catches up, in seconds: it may learn that
-/// the caller was told. It is owed within 1 s. Of so many at most; beyond that they are told at once.
+/// How long the end of an unknown call is held while this member catches up, since it may still learn that the caller has
+/// received it. Callers must receive an end within 1 s.
 const HOLD_UNKNOWN_END_S: f64 = 0.5;
+/// Ends of unknown calls that are held at once. Further ones are delivered immediately.
 const MAX_HELD_ENDS: usize = 4096;
 /// This gatekeeper as a member of a fleet.
 pub struct Fleet {
@@ -37,21 +38,21 @@
     peers: Peers,
     reported: ReportedServers,
     observations: PeerObservations,
-    /// Calls of members that are gone whose server is not known here, and since when: the list may name it late. After that
-    /// the server counts as gone, and the call as cut.
+    /// Adopted calls whose server is not known here, and when they were adopted. The list may name the server late. After
+    /// `lists_late` the server is considered gone and the call cut.
     unplaced: BTreeMap<u64, (Adopted, f64)>,
-    /// Ends of calls that are not known yet, while this member catches up: when they came, and whether cut.
+    /// Ends of calls that are not known yet while this member catches up: arrival time, call, and whether it was cut.
     held_ends: VecDeque<(f64, u64, bool)>,
     log_limiter: EventLogLimiter,
-    /// The classes by number, as others know them.
+    /// By the number of each class, the key under which other members know it.
     classes: Vec<u32>,
-    /// Nothing may be sent, as this member was paused and what was believed is old.
+    /// Nothing may be sent, since this member was paused and its knowledge is outdated.
     held: bool,
 }
 
 impl Fleet {
-    /// Joins: listens, with nothing known. The life is later than any that began before by a clock that was right; where
-    /// it was not, the others know, and say so.
+    /// Joins the fleet: listens for links, with nothing known. The new incarnation is later than any earlier one whose clock was
+    /// right. If a clock was wrong, the other members know of the later incarnation and report it.
     pub fn join(
         now: f64,
         conf: &Conf,
@@ -61,7 +62,7 @@
         watch: &mut Watch,
     ) -> io::Result<Fleet> {
         let Some(own) = conf.own(name) else {
-            let what = format!("{name:?} is no member of the block `fleet`");
+            let what = format!("{name:?} is not a member of the block `fleet`");
             return Err(io::Error::new(io::ErrorKind::InvalidInput, what));
         };
         let id = MemberId::of(&own.name);
@@ -69,7 +70,7 @@
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         let mut member = Member::new(now, id, incarnation, conf.settings, members);
         let mut peers = Peers::listen(id, conf.listen.unwrap_or(own.address), watch)?;
-        peers.set_members(now, named(conf), &mut member, watch);
+        peers.set_members(now, configured_members(conf), &mut member, watch);
         calls.note_changes(true);
         log::info!(name = own.name.as_str(), listen:% = peers.address(), members = conf.members.len(), life:% = incarnation; "fleet-joined");
         Ok(Fleet {
@@ -86,26 +87,26 @@
         })
     }
 
-    /// Whether a configuration read anew needs another listener or name, and so another life.
+    /// Whether a reloaded configuration keeps this member's listener and name. If not, it needs a new incarnation.
     pub fn keeps_identity(&self, conf: &Conf, name: &str) -> bool {
         let own = |c: &Conf| c.own(name).map(|own| (own.name.clone(), c.listen.unwrap_or(own.address)));
         own(conf) == own(&self.conf)
     }
 
-    /// Takes members and settings read anew.
+    /// Applies the members and settings of a reloaded configuration.
     pub fn reconfigure(&mut self, now: f64, conf: &Conf, watch: &Watch) {
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         self.member.change(conf.settings, &members);
-        self.peers.set_members(now, named(conf), &mut self.member, watch);
+        self.peers.set_members(now, configured_members(conf), &mut self.member, watch);
         self.conf = conf.clone();
     }
 
-    /// Takes the names of the classes, by number.
+    /// Sets the names of the classes, by number.
     pub fn set_classes(&mut self, names: &[String]) {
         self.classes = names.iter().map(|name| class_key(name)).collect();
     }
 
-    /// Leaves: says so, closes all links, and notes no more.
+    /// Leaves the fleet: announces it, closes all links, and stops recording changes of calls.
     pub fn leave(mut self, now: f64, calls: &mut Calls, watch: &Watch) {
         self.record_call_changes(now, calls);
         self.peers.send_due(now, &mut self.member, watch);
@@ -114,29 +115,30 @@
         calls.note_changes(false);
     }
 
-    /// One that was joined and is not to count after all: closes its sockets, and touches nothing else.
+    /// Discards a fleet that was joined but will not be used: closes its sockets and changes nothing else.
     pub fn discard(mut self, now: f64, watch: &Watch) {
         self.peers.send_leave(watch);
         self.peers.close_all(now, &mut self.member, watch);
     }
 
-    /// Whether it may be said to be ready.
+    /// Whether this member has caught up.
     pub fn ready(&self) -> bool {
         self.member.ready()
     }
 
-    /// When more may be said to a member that waits for it, if one does.
+    /// Returns when more may be sent to a member that waits for it, if any.
     pub fn next_send_at(&self) -> Option<f64> {
         self.member.gives_at()
     }
 
-    /// A call of which another member said that it stands.
+    /// Returns a call that another member reported as standing.
     pub fn adopted_call(&self, id: u64) -> Option<Adopted> {
         self.member.call(id)
     }
 
-    /// A server told the end of a call that is not known here; returns whether its caller is to be told now. It is
-    /// where the call stood through another gatekeeper, or may have stood here `earlier`, and nobody told it yet.
+    /// Handles the end of a call that is not known here, as reported by a server; returns whether to send it to the caller now.
+    /// That is so if the call was established through another gatekeeper, or possibly through an earlier process of this one
+    /// (`earlier`) and no member has delivered its end yet.
     pub fn handle_unknown_end(&mut self, now: f64, id: u64, cut: bool, earlier: bool) -> bool {
         if self.member.call(id).is_some() {
             return true;
@@ -144,15 +146,15 @@
         if !earlier || self.member.store().told(id) {
             return false;
         }
-        let keep = !self.member.ready() && self.held_ends.len() < MAX_HELD_ENDS;
-        // A server says an end again on each new connection.
-        if keep && !self.held_ends.iter().any(|(_, kept, _)| *kept == id) {
+        let hold = !self.member.ready() && self.held_ends.len() < MAX_HELD_ENDS;
+        // Servers repeat an end on each new connection.
+        if hold && !self.held_ends.iter().any(|(_, held, _)| *held == id) {
             self.held_ends.push_back((now, id, cut));
         }
-        !keep
+        !hold
     }
 
-    /// Tells the ends that were kept, but for those that somebody else told.
+    /// Delivers the ends that were held, except those that another member has delivered.
     fn deliver_held_ends(&mut self, now: f64, calls: &mut Calls) {
         let ready = self.member.ready();
         while let Some((_, id, cut)) =
@@ -164,38 +166,39 @@
         }
     }
 
-    /// Where a call's server is here.
+    /// Returns the pool of a call's server.
     pub fn pool_of(&self, server: ServerKey) -> Option<PoolId> {
         self.reported.pool_of(server)
     }
 
-    /// Whether other members have callers whom they could tell the ends of calls.
+    /// Whether other members have callers to whom they can deliver the ends of calls.
     pub fn others_have_callers(&self) -> bool {
         self.member.others_have_callers()
     }
 
-    /// Hands the ends for which no caller is here to members that have some.
+    /// Hands ends over to members that have callers, if none are connected here.
     pub fn hand_over_ends(&mut self, now: f64, clients: &mut Clients) {
-        let here = clients.has_successor();
-        self.member.callers(here);
-        if !here && self.member.others_have_callers() {
+        let has_callers = clients.has_successor();
+        self.member.callers(has_callers);
+        if !has_callers && self.member.others_have_callers() {
             clients.take_undelivered().for_each(|(id, cut)| self.member.owes(now, id, cut));
         }
     }
 
-    /// What members say to each other, for the shares of budgets.
+    /// Returns the member's state, for the shares of budgets.
     pub fn member(&mut self) -> &mut Member {
         &mut self.member
     }
 
-    // ---- The three places of a turn
+    // ---- The steps of an iteration of the event loop
 
-    /// Takes what is ready, if it is a link's.
+    /// Handles a socket that is ready, if it belongs to a link.
     pub fn handle_ready(&mut self, now: f64, ready: Ready, watch: &mut Watch) {
         self.peers.handle_ready(now, ready, &mut self.member, watch);
     }
 
-    /// What time brings, before anything that came is taken: after a pause nothing may be sent by what was believed.
+    /// Advances the time, before any input is handled: after a pause nothing may be sent on outdated knowledge. Returns whether
+    /// this member was paused.
     pub fn tick(&mut self, now: f64, guard: &mut Guard) -> bool {
         self.member.tick(now);
         let resumed = self.log_events(now);
@@ -204,8 +207,8 @@
         resumed
     }
 
-    /// Looks after links, tells what is known here and takes over what others know; returns the lines of the list that
-    /// this changes. Called now and then.
+    /// Maintains links, reports what is known here and applies what others report; returns the entries of the list that change
+    /// because of it. Called periodically.
     pub fn maintain(
         &mut self,
         now: f64,
@@ -223,18 +226,18 @@
         self.apply_actions(now, calls);
         self.adopt_unplaced(now, calls);
         self.deliver_held_ends(now, calls);
-        let late = self.conf.settings.lists_late;
-        self.observations.update(now, &self.member.hearsay(), (list_at, late), servers, guard)
+        let lists_late = self.conf.settings.lists_late;
+        self.observations.update(now, &self.member.hearsay(), (list_at, lists_late), servers, guard)
     }
 
-    /// Carries out: tells what has become of calls, and says what is due on every link that has room.
+    /// Reports changes of calls, applies what follows from messages, and sends what is due on every link that has room.
     pub fn send_pending(&mut self, now: f64, calls: &mut Calls, watch: &Watch) {
         self.record_call_changes(now, calls);
         self.apply_actions(now, calls);
         self.peers.send_due(now, &mut self.member, watch);
     }
 
-    // ---- What is told
+    // ---- Reports to other members
 
     fn record_call_changes(&mut self, now: f64, calls: &mut Calls) {
         for change in calls.changes() {
@@ -253,16 +256,16 @@
         }
     }
 
-    // ---- What is heard
+    // ---- Reports from other members
 
-    /// The lines of a list, with what others know.
+    /// Applies what other members report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         self.observations.overlay(entries, list_at, self.conf.settings.lists_late);
     }
 
     fn apply_actions(&mut self, now: f64, calls: &mut Calls) {
-        for act in self.member.acts() {
-            match act {
+        for action in self.member.acts() {
+            match action {
                 Act::Adopt(id, call) => match self.pool_of(call.fact.server) {
                     Some(pool) => calls.adopt(id, pool, call.since),
                     None => drop(self.unplaced.insert(id, (call, now))),
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Finds the servers of calls that were adopted before their server was known here.
+    /// Adopts calls whose server has become known since, and ends those whose server is not known in time.
     fn adopt_unplaced(&mut self, now: f64, calls: &mut Calls) {
         let mut placed = Vec::new();
         for (id, (call, since)) in &self.unplaced {
@@ -296,7 +299,7 @@
         self.unplaced.retain(|id, _| !placed.contains(id));
     }
 
-    /// Writes events to the log, as far as that may be; returns whether this member was paused.
+    /// Logs events, within the limit; returns whether this member was paused.
     fn log_events(&mut self, now: f64) -> bool {
         let mut resumed = false;
         for event in self.member.events() {
@@ -310,16 +313,16 @@
 
     // ---- Reports
 
-    /// The figures.
+    /// Returns the figures for metrics.
     pub fn figures(&self, calls: &Calls) -> FleetFigures {
-        let states = |of: fn(&State) -> bool| {
-            self.member.view().peers().filter(|m| of(&self.member.view().state(*m))).count() as u64
+        let count = |matches_state: fn(&State) -> bool| {
+            self.member.view().peers().filter(|m| matches_state(&self.member.view().state(*m))).count() as u64
         };
         let counts = self.member.counts;
         FleetFigures {
-            members_alive: states(|s| matches!(s, State::Alive)),
-            members_suspected: states(|s| matches!(s, State::Suspected(_))),
-            members_gone: states(|s| matches!(s, State::Gone(_))),
+            members_alive: count(|s| matches!(s, State::Alive)),
+            members_suspected: count(|s| matches!(s, State::Suspected(_))),
+            members_gone: count(|s| matches!(s, State::Gone(_))),
             records: self.member.store().streams().map(|(_, s)| s.len() as u64).sum(),
             calls_adopted_now: calls.adopted() as u64,
             calls_adopted: counts.adopted,
@@ -332,7 +335,7 @@
         }
     }
 
-    /// The report on members.
+    /// Returns the report on members.
     pub fn report_members(&self, now: f64) -> Value {
         let view = self.member.view();
         let row = |r: &hollypaddle_membership::view::Row| {
@@ -353,7 +356,7 @@
         })
     }
 
-    /// The report on what is held.
+    /// Returns the report on the replicated streams.
     pub fn report_replica(&self, calls: &Calls) -> Value {
         let row = |r: &hollypaddle_replica::member::Row| {
             json!({
@@ -364,9 +367,9 @@
             })
         };
         let (given, taken, fetching) = self.member.caught();
-        let said = &self.peers.counts.by_kind.records;
+        let record_bytes = &self.peers.counts.by_kind.records;
         let records: serde_json::Map<String, Value> =
-            KINDS.iter().zip(said).map(|(kind, bytes)| (kind.to_string(), json!(bytes))).collect();
+            KINDS.iter().zip(record_bytes).map(|(kind, bytes)| (kind.to_string(), json!(bytes))).collect();
         json!({
             "streams": self.member.snapshot().iter().map(row).collect::<Vec<_>>(),
             "counts": self.member.counts, "links": self.peers.counts, "records_said": records, "given": given, "taken": taken,
@@ -375,13 +378,13 @@
     }
 }
 
-/// The life that begins now.
+/// Creates an incarnation that begins now.
 pub fn new_incarnation(now: f64, seed: u64) -> Incarnation {
-    // The seed is new with each start, and so is the process.
+    // The seed and the process id differ between starts.
     let nonce = seed ^ u64::from(std::process::id()).rotate_left(40) ^ Clock::new().now().to_bits();
     Incarnation { number: (now.max(0.0) * 1e6) as u64, nonce }
 }
 
-fn named(conf: &Conf) -> impl Iterator<Item = (MemberId, String, std::net::SocketAddr)> + '_ {
+fn configured_members(conf: &Conf) -> impl Iterator<Item = (MemberId, String, std::net::SocketAddr)> + '_ {
     conf.members.iter().map(|m| (MemberId::of(&m.name), m.name.clone(), m.address))
 }
--- a/crates/gatekeeper/src/node/observations.rs
+++ b/crates/gatekeeper/src/node/observations.rs
@@ -1,5 +1,5 @@
-//! What is told of the servers to other gatekeepers, and what is done about what they tell: the same for a member of a small
-//! fleet and for a leaf of a tier.
+//! Exchanges observations of servers with other gatekeepers: reports this gatekeeper's own and applies theirs. Used by members
+//! of a small fleet and by leaves of a tier alike.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,12 +13,12 @@
 
 use super::servers::Servers;
 
-/// Whoever tells others of the servers.
+/// Publishes what this gatekeeper knows of servers to other gatekeepers.
 pub trait ServerReporter {
-    /// What the own list says of a server, as of then.
+    /// Publishes what this gatekeeper's list says of a server at a time.
     fn report_server(&mut self, at: f64, server: ServerKey, fact: ServerFact);
 
-    /// A server of that start is silent since then, or it is not.
+    /// Publishes since when a server is silent, or `None` if it is not. `started_ms` tells which start of the server is meant.
     fn report_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>);
 }
 
@@ -42,21 +42,21 @@
     }
 }
 
-/// What was told of each server, to tell what changes.
+/// What was last published of each server and whether it was silent, to detect changes.
 #[derive(Default)]
 pub struct ReportedServers(BTreeMap<PoolId, (ServerKey, ServerFact, bool)>);
 
 impl ReportedServers {
-    /// Tells what has changed; returns the servers that are gone from the list.
+    /// Publishes what has changed; returns the servers that are no longer on the list.
     pub fn report_changes(
         &mut self,
         now: f64,
         servers: &Servers,
         reporter: &mut dyn ServerReporter,
     ) -> Vec<ServerKey> {
-        let mut gone: Vec<PoolId> = self.0.keys().copied().collect();
+        let mut missing: Vec<PoolId> = self.0.keys().copied().collect();
         for known in servers.known() {
-            gone.retain(|pool| *pool != known.pool);
+            missing.retain(|pool| *pool != known.pool);
             let server = ServerKey::of(known.name);
             let place = match known.listed.readiness {
                 Readiness::Ready => Place::Ready,
@@ -68,46 +68,48 @@
             if old.is_none_or(|(_, reported, _)| reported != fact) {
                 reporter.report_server(now, server, fact);
             }
-            if old.map_or(silent, |(_, reported, was)| was != silent || silent && reported != fact) {
-                // The time counts at which what was not answered was sent.
+            if old.map_or(silent, |(_, reported, was_silent)| {
+                was_silent != silent || silent && reported != fact
+            }) {
+                // The silence starts when the unanswered message was sent.
                 reporter.report_silence(now, server, started_ms, known.silent_at);
             }
         }
-        let mut left = Vec::new();
-        for pool in gone {
+        let mut removed = Vec::new();
+        for pool in missing {
             let Some((server, fact, _)) = self.0.remove(&pool) else { continue };
             reporter.report_server(now, server, ServerFact { place: Place::Gone, ..fact });
             reporter.report_silence(now, server, fact.started_ms, None);
-            left.push(server);
+            removed.push(server);
         }
-        left
+        removed
     }
 
-    /// What was told of a pool's server.
+    /// Returns the server that was published for a pool.
     pub fn server_of(&self, pool: PoolId) -> Option<ServerKey> {
         self.0.get(&pool).map(|(server, ..)| *server)
     }
 
-    /// Where a server is here.
+    /// Returns the pool of a server that was published.
     pub fn pool_of(&self, server: ServerKey) -> Option<PoolId> {
         self.0.iter().find(|(_, reported)| reported.0 == server).map(|(pool, _)| *pool)
     }
 }
 
-/// What others say of each server, and when the own list was heard, as it was last looked at.
+/// What other gatekeepers report of each server, and when this gatekeeper's list was received, as of the last update.
 pub struct PeerObservations {
     by_pool: HashMap<PoolId, Said>,
     list_at: f64,
 }
 
 impl PeerObservations {
-    /// Nothing was heard.
+    /// Creates an empty set of observations.
     pub fn new(now: f64) -> PeerObservations {
         PeerObservations { by_pool: HashMap::new(), list_at: now }
     }
 
-    /// Takes over what others say of the servers; returns the lines of the list that change by it. Lists may come so much
-    /// later at one than at another.
+    /// Applies what other gatekeepers report of the servers; returns the entries of the list that change because of it. `late`
+    /// is how much later a list may arrive at one gatekeeper than at another.
     pub fn update(
         &mut self,
         now: f64,
@@ -118,23 +120,23 @@
     ) -> Vec<PoolEntry> {
         let mut by_pool = HashMap::new();
         for known in servers.known() {
-            let of = observations.get(&ServerKey::of(known.name));
+            let observed = observations.get(&ServerKey::of(known.name));
             let started_ms = (known.listed.started.max(0.0) * 1000.0) as u64;
-            let silent = of.filter(|s| s.fact.started_ms >= started_ms).and_then(|s| s.silent);
+            let silent = observed.filter(|s| s.fact.started_ms >= started_ms).and_then(|s| s.silent);
             guard.silence(now, known.pool, silent.map(|(at, _)| at), known.last_message_at);
-            by_pool.extend(of.map(|of| (known.pool, *of)));
+            by_pool.extend(observed.map(|observed| (known.pool, *observed)));
         }
         let ready = servers.known().filter(|k| k.listed.readiness == Readiness::Ready).map(|k| k.pool);
         guard.in_service(&ready.collect::<Vec<PoolId>>());
         let old = std::mem::replace(&mut self.by_pool, by_pool);
-        let old_at = std::mem::replace(&mut self.list_at, list_at);
+        let old_list_at = std::mem::replace(&mut self.list_at, list_at);
         let entries = servers.entries().into_iter();
-        let was = |e: &PoolEntry| overlay(*e, old.get(&e.pool), old_at, late);
-        let is = |e: &PoolEntry| overlay(*e, self.by_pool.get(&e.pool), list_at, late);
-        entries.filter(|e| was(e) != is(e)).map(|e| is(&e)).collect()
+        let before = |e: &PoolEntry| overlay(*e, old.get(&e.pool), old_list_at, late);
+        let after = |e: &PoolEntry| overlay(*e, self.by_pool.get(&e.pool), list_at, late);
+        entries.filter(|e| before(e) != after(e)).map(|e| after(&e)).collect()
     }
 
-    /// The lines of a list, with what others know.
+    /// Applies what other gatekeepers report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64, late: f64) {
         for entry in entries {
             *entry = overlay(*entry, self.by_pool.get(&entry.pool), list_at, late);
