--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -1,11 +1,11 @@
-//! The links to other gatekeepers: one TCP connection a pair, made by the member whose id is the lower. The other one
-//! tries, too, where none has come for a while: that an address refuses links tells that its process has ended.
+//! The links to other gatekeepers: one TCP connection for each pair, made by the member with the lower id. The other member
+//! dials too if no link has come for a while, since a refused connection shows that a process has ended.
 //!
-//! A frame is a length of four bytes, big-endian, and a word as postcard has it; the first on a link is a hello with the
-//! version, both names and the life. Whatever cannot be understood closes its link, is counted, and harms nothing
-//! else. Nothing is queued for a peer: a word is made when its link has room.
+//! A frame is a length of four bytes, big-endian, followed by a message encoded with postcard. The first message on a link is
+//! a hello with the protocol version, both members' ids and the incarnation. Input that can't be decoded closes its link, is
+//! counted, and affects nothing else. Nothing is queued for a peer: a message is created when its link has room.
 //!
-//! The address belongs on a private network: whoever reaches it may say that they are a member.
+//! The address must be on a private network: whoever reaches it can claim to be a member.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -23,59 +23,63 @@
 use super::poller::{Key, Ready, Watch};
 use super::servers::dial;
 
-/// Longest frame, with its length. The longest word is a piece of a stream, of some 15 KiB.
+/// Longest frame, including its length prefix. The longest message is a piece of a stream, of some 15 KiB.
 const MAX_FRAME_BYTES: usize = 64 * 1024;
+/// Size of the length prefix.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Bytes that may wait on a link; beyond it the peer is taken to be stuck.
+/// Unsent bytes on a link beyond which the peer is considered stuck.
 const MAX_QUEUED_BYTES: usize = 2 * MAX_FRAME_BYTES;
-/// A link that is not up, or says no hello, for so long is closed, in seconds.
+/// Time after which a link that is not established, or on which no hello has come, is closed.
 const HANDSHAKE_TIMEOUT_S: f64 = 1.0;
-/// Between two tries of a link, the first and the longest, in seconds. Refused ones are tried at the first pace: that
-/// a process has ended is to be known soon.
+/// First delay between attempts to make a link. It also applies to refused connections, so that the end of a process is known
+/// soon.
 const MIN_REDIAL_DELAY_S: f64 = 0.1;
+/// Longest delay between attempts to make a link.
 const MAX_REDIAL_DELAY_S: f64 = 1.0;
-/// The member of the higher id leaves the other so long to make a link.
+/// How long the member with the higher id waits for the other to make the link.
 const PASSIVE_DIAL_DELAY_S: f64 = 0.2;
-/// A link on which nothing came for so long yields to a new one, whoever made it.
+/// Silence after which a link is replaced by a new one, whichever member made it.
 const STALE_LINK_S: f64 = 0.5;
-/// Links that wait to be taken.
+/// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 128;
-/// Links that have said no hello yet, at most; the oldest makes room.
+/// Accepted links on which no hello has come yet. The oldest is closed to make room.
 const MAX_UNIDENTIFIED_LINKS: usize = 16;
-/// Words said on one link in a turn at most.
+/// Messages sent on one link in one iteration of the event loop.
 const MAX_MESSAGES_PER_ITERATION: usize = 32;
 
-/// A word in its frame.
+/// A message in its frame.
 struct Framed(Word);
 
-/// A frame that is longer than one may be.
+/// The error for a frame that exceeds the limit.
 #[derive(Debug, thiserror::Error)]
-#[error("a frame of {0} bytes, of which {MAX_FRAME_BYTES} may be")]
+#[error("a frame of {0} bytes, at most {MAX_FRAME_BYTES} are allowed")]
 struct TooLong(usize);
 
-/// Why a link to another gatekeeper is closed for what came on it. It is made anew by itself; meanwhile that member is not
-/// heard, and is suspected.
+/// Why a link to another gatekeeper is closed after input on it. It is made again automatically. Until then nothing is received
+/// from that member, and it is suspected.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// Both made a link at the same moment, or this one is older.
-    #[error("a second link between the same two: the other one is used; nothing is to be done")]
+    /// Both members made a link at the same time, and the other link is kept.
+    #[error("a second link between the same members: the other one is used; no action is needed")]
     SecondLink,
-    /// Another member answers where one was looked for.
+    /// Another member than the expected one answers at the address.
     #[error(
-        "another member than the one at that address: two members' addresses are mixed up in the block `fleet`; compare the \
+        "another member answers at that address: two members' addresses are mixed up in the block `fleet`; compare the \
          files"
     )]
     AnotherMember,
-    /// Bytes that are no messages.
-    #[error("{0}: a stranger, or another version of the program; see who connects to the links' address")]
+    /// Input that is not a valid message.
+    #[error(
+        "{0}: not a member, or another version of the program; check who connects to the links' address"
+    )]
     Unreadable(String),
-    /// What a word said.
+    /// The content of a message was rejected.
     #[error(transparent)]
     Rejected(#[from] Rejection),
 }
 
 impl LinkError {
-    /// In a message, for the log and the page for on-call staff.
+    /// Returns the label used in the log and on the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             LinkError::SecondLink => "second-link",
@@ -88,7 +92,7 @@
 
 impl Frame for Framed {
     fn encode(&self, out: &mut Vec<u8>) {
-        // Nothing of a word has a form that could not be told; one that had is left out.
+        // Every message can be encoded; one that could not would be left out.
         let Ok(bytes) = postcard::to_allocvec(&self.0) else { return };
         if bytes.len() + LENGTH_PREFIX_BYTES > MAX_FRAME_BYTES {
             return log::error!(bytes = bytes.len(); "fleet-word-too-long");
@@ -99,90 +103,90 @@
 
     fn decode(data: &[u8]) -> Result<Option<(Self, usize)>, Box<dyn Error + Send + Sync>> {
         let Some(length) = data.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
-        let whole = LENGTH_PREFIX_BYTES.saturating_add(u32::from_be_bytes(*length) as usize);
-        if whole > MAX_FRAME_BYTES {
-            return Err(Box::new(TooLong(whole)));
+        let total = LENGTH_PREFIX_BYTES.saturating_add(u32::from_be_bytes(*length) as usize);
+        if total > MAX_FRAME_BYTES {
+            return Err(Box::new(TooLong(total)));
         }
-        let Some(body) = data.get(LENGTH_PREFIX_BYTES..whole) else { return Ok(None) };
-        Ok(Some((Framed(postcard::from_bytes(body)?), whole)))
+        let Some(body) = data.get(LENGTH_PREFIX_BYTES..total) else { return Ok(None) };
+        Ok(Some((Framed(postcard::from_bytes(body)?), total)))
     }
 }
 
-/// Descriptors that the links to so many members may take, the listener and strangers among them.
+/// Returns how many descriptors the links to this many members may use, including the listener and unidentified links.
 pub fn max_links(members: usize) -> usize {
     members + MAX_UNIDENTIFIED_LINKS + 1
 }
 
 struct Link {
     connection: Connection<TcpStream, Framed>,
-    /// Whom it was made to, or who said hello on it.
+    /// The member that was dialed, or that sent a hello.
     member: Option<MemberId>,
     dialed: bool,
     up: bool,
     identified: bool,
     since: f64,
     last_received_at: f64,
-    writing: bool,
+    watching_writable: bool,
 }
 
-/// A member as the configuration names it.
+/// A configured member, and when to dial it.
 #[derive(Clone, Debug)]
 struct PeerConfig {
     name: String,
     address: SocketAddr,
-    next_dial: f64,
+    next_dial_at: f64,
     redial_delay: f64,
 }
 
-/// What happened on the links since the start.
+/// Counters of all links since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// Links that were closed for what came on them.
+    /// Links that were closed after invalid or rejected input.
     pub refused: u64,
-    /// Words said and heard.
+    /// Messages sent.
     #[serde(rename = "said")]
     pub sent: u64,
-    /// The same, heard.
+    /// Messages received.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Bytes said.
+    /// Bytes sent.
     #[serde(rename = "bytes")]
     pub bytes_sent: u64,
-    /// The same, by what they say.
+    /// Bytes sent, by kind of content.
     #[serde(rename = "split")]
     pub by_kind: BytesByKind,
 }
 
-/// Bytes said, by what they say. A word's frame and the rest of it counts with the word; together they are all.
+/// Bytes sent, by kind of content. A message's frame and its remaining bytes count with the message. The sum is all bytes sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct BytesByKind {
-    /// Hellos and leaves.
+    /// Hello and leave messages.
     pub greetings: u64,
-    /// Beats without their observations.
+    /// Heartbeats without their observations.
     #[serde(rename = "beats")]
     pub heartbeats: u64,
-    /// Observations: what a beat says of others.
+    /// Observations of other members in heartbeats.
     #[serde(rename = "sights")]
     pub observations: u64,
     /// Digests.
     pub digests: u64,
-    /// Questions for what is lacking.
+    /// Requests for missing parts of streams.
     #[serde(rename = "asks")]
     pub requests: u64,
-    /// Pieces without their records.
+    /// Pieces of streams without their records.
     pub pieces: u64,
-    /// The records of pieces, by kind, in the order of [`KINDS`]; reports name the kinds.
+    /// Records in pieces, by kind in the order of [`KINDS`]. Reports add them by the name of the kind.
     #[serde(skip)]
     pub records: [u64; KINDS.len()],
 }
 
 impl BytesByKind {
-    /// Counts a word that took so many bytes, its frame among them.
+    /// Counts a message that took this many bytes, including its frame.
     pub fn count(&mut self, message: &Word, bytes: u64) {
-        let rest = match message {
+        let counter = match message {
             Word::Hello { .. } | Word::Leave => &mut self.greetings,
-            Word::Beat(beat) => {
-                let observations: u64 = beat.observations.iter().map(encoded_size).sum();
+            Word::Beat(heartbeat) => {
+                let observations: u64 = heartbeat.observations.iter().map(encoded_size).sum();
                 self.observations += observations;
                 self.heartbeats += bytes.saturating_sub(observations);
                 return;
@@ -202,17 +206,17 @@
                 return;
             }
         };
-        *rest += bytes;
+        *counter += bytes;
     }
 }
 
-/// Bytes of a part of a word.
+/// Returns the encoded size of a part of a message.
 fn encoded_size<T: serde::Serialize>(part: &T) -> u64 {
-    // Nothing of a word has a form that could not be told.
+    // Every part of a message can be encoded.
     postcard::serialize_with_flavor(part, Size::default()).map_or(0, |bytes| bytes as u64)
 }
 
-/// All links.
+/// The links to all other members.
 pub struct Peers {
     own: MemberId,
     listener: Option<(TcpListener, Key)>,
@@ -220,14 +224,14 @@
     accept_paused: bool,
     members: BTreeMap<MemberId, PeerConfig>,
     links: BTreeMap<Key, Link>,
-    /// The link of each member that has said hello.
+    /// The link of each member that has sent a hello.
     by_member: BTreeMap<MemberId, Key>,
-    /// What happened.
+    /// Counters of all links.
     pub counts: Counts,
 }
 
 impl Peers {
-    /// Listens.
+    /// Opens the listener.
     pub fn listen(own: MemberId, address: SocketAddr, watch: &mut Watch) -> io::Result<Peers> {
         let listener = bind(address, LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
@@ -244,12 +248,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes the members of a configuration; links to those that are none any more are closed.
+    /// Applies the members of a configuration; closes links to members that were removed or have another address.
     pub fn set_members(
         &mut self,
         now: f64,
@@ -260,46 +264,46 @@
         let others = all.filter(|(id, ..)| *id != self.own);
         let old = std::mem::take(&mut self.members);
         for (id, name, address) in others {
-            let (next_dial, redial_delay) =
-                old.get(&id).map_or((now, MIN_REDIAL_DELAY_S), |n| (n.next_dial, n.redial_delay));
-            self.members.insert(id, PeerConfig { name, address, next_dial, redial_delay });
+            let (next_dial_at, redial_delay) =
+                old.get(&id).map_or((now, MIN_REDIAL_DELAY_S), |n| (n.next_dial_at, n.redial_delay));
+            self.members.insert(id, PeerConfig { name, address, next_dial_at, redial_delay });
         }
-        let moved = |id: &MemberId| {
+        let address_changed = |id: &MemberId| {
             let address = |all: &BTreeMap<MemberId, PeerConfig>| all.get(id).map(|n| n.address);
             address(&old) != address(&self.members)
         };
-        let gone: Vec<Key> = (self.links.iter())
-            .filter(|(_, link)| link.member.is_some_and(|m| moved(&m) && old.contains_key(&m)))
+        let obsolete: Vec<Key> = (self.links.iter())
+            .filter(|(_, link)| link.member.is_some_and(|m| address_changed(&m) && old.contains_key(&m)))
             .map(|(key, _)| *key)
             .collect();
-        gone.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        obsolete.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
     }
 
-    /// A member's name.
+    /// Returns a member's name, or its id if it is not configured.
     pub fn name(&self, member: MemberId) -> String {
         self.members.get(&member).map_or_else(|| format!("{:016x}", member.0), |n| n.name.clone())
     }
 
-    /// Takes no more links and closes those there are.
+    /// Stops accepting and dialing, and closes all links.
     pub fn close_all(&mut self, now: f64, member: &mut Member, watch: &Watch) {
         if let Some((listener, _)) = self.listener.take() {
             watch.remove(&listener);
         }
         let keys: Vec<Key> = self.links.keys().copied().collect();
         keys.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
-        self.members.values_mut().for_each(|n| n.next_dial = f64::INFINITY);
+        self.members.values_mut().for_each(|n| n.next_dial_at = f64::INFINITY);
     }
 
-    /// Says that this member ends, to all.
+    /// Announces to all members that this one leaves.
     pub fn send_leave(&mut self, watch: &Watch) {
         for (key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
             link.send_message(*key, Word::Leave, watch, &mut self.counts);
         }
     }
 
-    // ---- What happens on the sockets
+    // ---- Socket events
 
-    /// Takes what is ready, if it is a link's.
+    /// Handles a socket that is ready, if it belongs to a link or is the listener.
     pub fn handle_ready(&mut self, now: f64, ready: Ready, member: &mut Member, watch: &mut Watch) {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
             return self.accept(now, watch, member);
@@ -351,19 +355,21 @@
         if let (true, Some(from)) = (link.identified, link.member) {
             return Ok(member.hear(now, from, message)?);
         }
-        // Both may have made a link in one moment: the one of the lower id's stays, at both ends.
+        // Both members may have made a link at the same time: both keep the one made by the lower id.
         if let Word::Hello { from, .. } = message {
-            let older = self.by_member.get(from).and_then(|key| self.links.get(key));
-            let by_lower = |dialed: bool| dialed == (self.own < *from);
-            let keeps = |old: &Link| by_lower(old.dialed) && now - old.last_received_at < STALE_LINK_S;
+            let existing = self.by_member.get(from).and_then(|key| self.links.get(key));
+            let made_by_lower_id = |dialed: bool| dialed == (self.own < *from);
+            let keeps =
+                |old: &Link| made_by_lower_id(old.dialed) && now - old.last_received_at < STALE_LINK_S;
             let made_here = self.links.get(&key).is_some_and(|l| l.dialed);
-            if !by_lower(made_here) && older.is_some_and(keeps) {
+            if !made_by_lower_id(made_here) && existing.is_some_and(keeps) {
                 return Err(LinkError::SecondLink);
             }
         }
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
         let identified = member.greeted(now, message);
-        // Whoever makes the link says hello first, and hears which life of it is known here also if it is refused.
+        // The member that makes the link sends its hello first. It is answered even if it is rejected, so that it learns which
+        // incarnation of it is known here.
         if let (false, Word::Hello { from, .. }) = (link.dialed, message) {
             if self.members.contains_key(from) {
                 link.send_message(key, member.hello(now, *from), watch, &mut self.counts);
@@ -377,7 +383,7 @@
         if let Some(peer) = self.members.get_mut(&from) {
             peer.redial_delay = MIN_REDIAL_DELAY_S;
         }
-        // The end of an earlier one was not heard.
+        // The end of an earlier link was not noticed.
         if let Some(old) = self.by_member.insert(from, key).filter(|old| *old != key) {
             if let Some(link) = self.links.remove(&old) {
                 watch.remove(link.connection.stream());
@@ -386,7 +392,7 @@
         Ok(())
     }
 
-    /// Closes a link for what came on it.
+    /// Closes a link after invalid or rejected input.
     fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, watch: &Watch) {
         self.counts.refused += 1;
         let name = self.links.get(&key).and_then(|l| l.member).map(|m| self.name(m));
@@ -404,16 +410,16 @@
             member.unlinked(of);
         }
         if let Some(peer) = self.members.get_mut(&of) {
-            peer.next_dial = now + peer.redial_delay;
+            peer.next_dial_at = now + peer.redial_delay;
         }
     }
 
     fn accept(&mut self, now: f64, watch: &mut Watch, member: &mut Member) {
         loop {
-            let strangers = self.links.iter().filter(|(_, l)| !l.identified && !l.dialed);
+            let unidentified = self.links.iter().filter(|(_, l)| !l.identified && !l.dialed);
             let oldest =
-                strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| *key);
-            if let Some(oldest) = oldest.filter(|_| strangers.count() >= MAX_UNIDENTIFIED_LINKS) {
+                unidentified.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| *key);
+            if let Some(oldest) = oldest.filter(|_| unidentified.count() >= MAX_UNIDENTIFIED_LINKS) {
                 self.counts.refused += 1;
                 self.drop_link(now, oldest, member, watch);
             }
@@ -431,7 +437,7 @@
                         error.kind(),
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset
                     ) => {}
-                // Descriptors are short: those who wait are taken at the next beat.
+                // Out of descriptors: waiting connections are accepted at the next call of `maintain`.
                 Err(_) => {
                     self.accept_paused = true;
                     return watch.set(*listener_key, listener, false, false);
@@ -471,15 +477,16 @@
         self.drop_link(now, key, member, watch);
     }
 
-    /// Makes links that are lacking and closes those that come to nothing. Called now and then.
+    /// Dials members without a link and closes links whose handshake timed out. Called periodically.
     pub fn maintain(&mut self, now: f64, member: &mut Member, watch: &mut Watch) {
         if let (true, Some((listener, key))) = (self.accept_paused, &self.listener) {
             self.accept_paused = false;
             watch.set(*key, listener, true, false);
         }
-        let late = |l: &Link| !l.identified && now - l.since >= HANDSHAKE_TIMEOUT_S;
-        let late: Vec<Key> = self.links.iter().filter(|(_, l)| late(l)).map(|(key, _)| *key).collect();
-        for key in late {
+        let timed_out = |l: &Link| !l.identified && now - l.since >= HANDSHAKE_TIMEOUT_S;
+        let timed_out: Vec<Key> =
+            self.links.iter().filter(|(_, l)| timed_out(l)).map(|(key, _)| *key).collect();
+        for key in timed_out {
             self.failed(now, key, &ErrorKind::TimedOut.into(), member, watch);
             self.drop_link(now, key, member, watch);
         }
@@ -490,25 +497,25 @@
         let linked: Vec<MemberId> = self.links.values().filter_map(|l| l.member).collect();
         let due: Vec<(MemberId, SocketAddr)> = (self.members.iter())
             .filter(|(id, n)| {
-                let leaves = if own < **id { 0.0 } else { PASSIVE_DIAL_DELAY_S };
-                now >= n.next_dial + leaves && !linked.contains(id)
+                let wait = if own < **id { 0.0 } else { PASSIVE_DIAL_DELAY_S };
+                now >= n.next_dial_at + wait && !linked.contains(id)
             })
             .map(|(id, n)| (*id, n.address))
             .collect();
         for (id, address) in due {
             if let Some(peer) = self.members.get_mut(&id) {
-                peer.next_dial = now + peer.redial_delay;
+                peer.next_dial_at = now + peer.redial_delay;
             }
             match dial(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.refused(now, id),
-                // A want of descriptors, or a way that is not there: it tells nothing of the member.
+                // Out of descriptors, or no route: this says nothing about the member.
                 Err(error) => log::debug!(member = self.name(id).as_str(), error:%; "fleet-link-failed"),
             }
         }
     }
 
-    /// Says what is due on every link that has room.
+    /// Sends what is due on every link that has room.
     pub fn send_due(&mut self, now: f64, member: &mut Member, watch: &Watch) {
         let mut stuck = Vec::new();
         for (&key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
@@ -540,11 +547,11 @@
             identified: false,
             since: now,
             last_received_at: now,
-            writing: dialed,
+            watching_writable: dialed,
         }
     }
 
-    /// Says a word; returns whether the link still is of use.
+    /// Sends a message; returns whether the link is still usable.
     fn send_message(&mut self, key: Key, message: Word, watch: &Watch, counts: &mut Counts) -> bool {
         let before = self.connection.queued();
         let framed = Framed(message);
@@ -558,10 +565,10 @@
     }
 
     fn watch(&mut self, key: Key, watch: &Watch) {
-        let writing = !self.up || self.connection.blocked();
-        if writing != self.writing {
-            self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+        let watching_writable = !self.up || self.connection.blocked();
+        if watching_writable != self.watching_writable {
+            self.watching_writable = watching_writable;
+            watch.set(key, self.connection.stream(), true, watching_writable);
         }
     }
 }
@@ -572,9 +579,9 @@
     use hollypaddle_membership::{view, Incarnation};
     use hollypaddle_replica::catch_up::PieceError;
 
-    /// Each error of the links has a row of its own on the page for on-call staff, and says what can be done.
+    /// Each link error must have its own row on the page for on-call staff, and a text that says what to do.
     #[test]
-    fn every_error_of_a_link_is_on_the_page_for_on_call_staff() {
+    fn each_link_error_is_documented_for_on_call_staff() {
         let page = include_str!("../../../../docs/ONCALL.md");
         let incarnation = Incarnation { number: 7, nonce: 7 };
         let rejections = [
@@ -594,9 +601,9 @@
             let row = format!("| `{}` |", error.name());
             assert!(page.contains(&row), "{row} is not in docs/ONCALL.md");
             let text = error.to_string();
-            assert!(text.contains(';') || text.contains(':'), "{text:?} says nothing of what can be done");
+            assert!(text.contains(';') || text.contains(':'), "{text:?} does not say what to do");
         }
         let names: std::collections::BTreeSet<&str> = all.iter().map(LinkError::name).collect();
-        assert_eq!(names.len(), all.len(), "a name of its own for each");
+        assert_eq!(names.len(), all.len(), "each error has its own name");
     }
 }
