--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -1,11 +1,11 @@
-//! The links between leaves and relays: the sockets of a [`Node`], for both roles alike.
+//! The links between leaves and relays: the sockets of a [`Node`], for both roles.
 //!
-//! The node says to whom links are to be made, what is said on each and which to close; this module makes, takes, reads,
-//! writes and closes them. A relay listens at the address of its `relay` line, for leaves and for other relays; a leaf
-//! listens nowhere. Nothing is queued for a link: a message is made when its link has room, so one that is not read holds
-//! one message here and what the system's buffer takes, which is bounded too, and costs no other link anything.
+//! The node decides which links to make, what to send on each and which to close. This module makes, accepts, reads, writes and
+//! closes them. A relay listens at the address of its `relay` line for leaves and other relays; a leaf doesn't listen. Nothing
+//! is queued for a link: a message is created when its link has room. A link whose peer doesn't read therefore holds one message
+//! here and what fits into the system's buffer, which is bounded too, and doesn't affect other links.
 //!
-//! The address belongs on a private network: whoever reaches it may say that they are a leaf.
+//! The address must be on a private network: whoever reaches it can claim to be a leaf.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -22,64 +22,65 @@
 use super::poller::{Key, Ready, Watch};
 use super::servers::dial;
 
-/// Bytes of a message that may wait for a link to take them.
+/// Unsent bytes that may be queued on a link.
 const MAX_QUEUED_BYTES: usize = 2 * message::MOST;
-/// Bytes that the system keeps for a link that does not read, about: it doubles the figure for its own needs.
+/// Approximate size of the system's send buffer of a link. The system doubles the value for its own overhead.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
-/// A link that takes none of what waits for so long is closed, in seconds.
+/// Time after which a link that accepts none of the queued bytes is closed.
 const STUCK_TIMEOUT_S: f64 = 3.0;
-/// A link that is not up, or on which nobody says who they are, for so long is closed, in seconds.
+/// Time after which a link that is not established, or on which no valid message has come, is closed.
 const HANDSHAKE_TIMEOUT_S: f64 = 1.0;
-/// What is said on a link that is to be closed has so long to be written and read, in seconds.
+/// Time for the last messages on a closing link to be written and read.
 const CLOSE_TIMEOUT_S: f64 = 0.5;
-/// Links that wait to be taken.
+/// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: i32 = 512;
-/// Links on which nobody has said yet who they are, at most. The oldest makes room once it has had this time; until then
-/// further ones wait: after a relay's end many leaves come at once, and what they say is on its way.
+/// Accepted links on which no valid message has come yet.
 const MAX_UNIDENTIFIED_LINKS: usize = 64;
+/// Age at which the oldest unidentified link may be closed to make room. Until then further connections wait: after the end of a
+/// relay many leaves connect at once, and their hellos are in transit.
 const MIN_IDENTIFY_TIME_S: f64 = 0.2;
-/// Messages said on one link in a turn at most.
+/// Messages sent on one link in one iteration of the event loop.
 const MAX_MESSAGES_PER_ITERATION: usize = 32;
-/// Links that a leaf has at once: its own relay, its second choice, one to come and one to go.
+/// Links that a leaf has at once: to its relay, to its second choice, one being opened and one being closed.
 const MAX_LEAF_LINKS: usize = 4;
 
-/// Descriptors that the links of a relay may take: each leaf is attached to one relay and keeps a link to a second.
+/// Returns how many descriptors the links of a relay may use. Each leaf is attached to one relay and keeps a link to a second.
 pub fn max_links(leaves: usize, relays: usize) -> usize {
     2 * leaves + relays + MAX_UNIDENTIFIED_LINKS + 1
 }
 
-/// The same, of a leaf.
+/// Returns how many descriptors the links of a leaf may use.
 pub fn max_leaf_links() -> usize {
     MAX_LEAF_LINKS
 }
 
-/// Why a link between a leaf and a relay, or two relays, is closed. It is made anew by itself.
+/// Why a link between a leaf and a relay, or between two relays, is closed. It is made again automatically.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayLinkError {
-    /// What came on it.
+    /// The node rejected a message.
     #[error(transparent)]
     Node(#[from] LinkError),
-    /// Bytes that are no messages.
-    #[error("{0}: a stranger, or another version of the program; see who connects to the relay's address")]
+    /// Input that is not a valid message.
+    #[error("{0}: not a leaf or relay, or another version of the program; check who connects to the relay's address")]
     Unreadable(String),
-    /// Nobody said who they are.
-    #[error("nobody said who they are within {HANDSHAKE_TIMEOUT_S} s: a stranger, or a machine that pauses; see who connects there")]
+    /// The peer sent no valid message in time.
+    #[error("no hello within {HANDSHAKE_TIMEOUT_S} s: not a leaf or relay, or a paused machine; check who connects there")]
     NoHello,
-    /// It does not come up.
-    #[error("not up within {HANDSHAKE_TIMEOUT_S} s: see whether the relay's machine runs and its address can be reached from here")]
+    /// The connection was not established in time.
+    #[error("not established within {HANDSHAKE_TIMEOUT_S} s: check that the relay's machine runs and its address can be reached from here")]
     NotUp,
-    /// The peer takes nothing.
-    #[error("nothing was taken for {STUCK_TIMEOUT_S} s of what waits: the peer is paused or overloaded, or the way is cut; see its machine")]
+    /// The peer accepts none of the queued bytes.
+    #[error("no queued bytes were accepted for {STUCK_TIMEOUT_S} s: the peer is paused or overloaded, or the path is cut; check its machine")]
     Stuck,
-    /// So many strangers that this one had to make room.
+    /// There were so many unidentified links that this one had to make room.
     #[error(
-        "{MAX_UNIDENTIFIED_LINKS} links on which nobody says who they are: see who connects to the relay's address"
+        "{MAX_UNIDENTIFIED_LINKS} links on which no hello has come: check who connects to the relay's address"
     )]
     Strangers,
 }
 
 impl RelayLinkError {
-    /// In a word, for the log and the page for on-call staff.
+    /// Returns the label used in the log and on the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             RelayLinkError::Node(error) => error.name(),
@@ -92,7 +93,7 @@
     }
 }
 
-/// A message in its frame, with the bytes that it took where it was read.
+/// A message in its frame, with its encoded size if it was received.
 struct Framed(Message, u64);
 
 impl Frame for Framed {
@@ -105,61 +106,61 @@
     }
 }
 
-/// What happened on the links since the start.
+/// Counters of all links since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// Links that were closed for what came on them, or for what did not.
+    /// Links that were closed for an error, see [`RelayLinkError`].
     pub refused: u64,
-    /// Messages said.
+    /// Messages sent.
     #[serde(rename = "said")]
     pub sent: u64,
-    /// Messages heard.
+    /// Messages received.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Messages heard of a kind that is not known here.
+    /// Messages received of a kind that this version doesn't know.
     pub unknown: u64,
-    /// Bytes said.
+    /// Bytes sent.
     #[serde(rename = "bytes")]
     pub bytes_sent: u64,
-    /// Bytes heard.
+    /// Bytes received.
     #[serde(rename = "bytes_heard")]
     pub bytes_received: u64,
-    /// Links that took nothing for too long.
+    /// Links that were closed because sending made no progress.
     pub stuck: u64,
 }
 
 struct Link {
     id: LinkId,
-    /// To whom it was made; none of one that was taken.
+    /// The relay that was dialed; `None` for an accepted link.
     to: Option<MemberId>,
     connection: Connection<TcpStream, Framed>,
     up: bool,
-    /// A message was taken on it.
+    /// Whether the node has accepted a message on it.
     identified: bool,
     since: f64,
-    /// Bytes that were written, and when that last changed or nothing waited.
+    /// Bytes that were written, and when that last changed or nothing was queued.
     written: (u64, f64),
-    writing: bool,
-    /// The node has no more to do with it, since then.
+    watching_writable: bool,
+    /// Since when the link is closing. The node no longer uses it.
     closing_since: Option<f64>,
 }
 
-/// All links of a node.
+/// The links of a node.
 pub struct Links {
     listener: Option<(TcpListener, Key)>,
     address: Option<SocketAddr>,
     accept_paused: bool,
-    /// Links at once, at most.
+    /// Limit of simultaneous links.
     max_links: usize,
     addresses: BTreeMap<MemberId, SocketAddr>,
     links: BTreeMap<Key, Link>,
     by_id: BTreeMap<LinkId, Key>,
-    /// What happened.
+    /// Counters of all links.
     pub counts: Counts,
 }
 
 impl Links {
-    /// Opens the listener, where there is one, for so many links at once.
+    /// Opens the listener, if there is one, for at most this many simultaneous links.
     pub fn open(listen: Option<SocketAddr>, max_links: usize, watch: &mut Watch) -> io::Result<Links> {
         let (mut listener, mut address) = (None, None);
         if let Some(listen) = listen {
@@ -180,12 +181,12 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Takes the addresses of the relays, and how many links there may be. Links to one that has moved are closed.
+    /// Applies the addresses of the relays and the limit of links. Links to a relay whose address has changed are closed.
     pub fn reconfigure(
         &mut self,
         now: f64,
@@ -195,52 +196,55 @@
         watch: &Watch,
     ) {
         self.max_links = max_links;
-        let moved = |link: &Link| link.to.is_some_and(|to| self.addresses.get(&to) != addresses.get(&to));
-        let keys: Vec<Key> = self.links.iter().filter(|(_, l)| moved(l)).map(|(key, _)| *key).collect();
+        let address_changed =
+            |link: &Link| link.to.is_some_and(|to| self.addresses.get(&to) != addresses.get(&to));
+        let keys: Vec<Key> =
+            self.links.iter().filter(|(_, l)| address_changed(l)).map(|(key, _)| *key).collect();
         self.addresses = addresses;
         keys.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
     }
 
-    /// How many links there are.
+    /// Returns the number of links.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no links.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// Says the same on every link that is up and takes something now.
+    /// Sends a message on every link that is established and has room.
     pub fn send_to_all(&mut self, message: &Message) {
         for link in self.links.values_mut().filter(|l| l.up && l.closing_since.is_none()) {
             if !link.connection.blocked() {
-                // A link that is broken is found so by whoever has its other end.
+                // If the link is broken, the peer notices it.
                 let _ = link.connection.send(&Framed(message.clone(), 0));
             }
         }
     }
 
-    /// Closes all sockets, with what can be written of what was said.
+    /// Closes all sockets, after watching_writable what can be written without waiting.
     pub fn close_all(mut self, watch: &Watch) {
         if let Some((listener, _)) = self.listener.take() {
             watch.remove(&listener);
         }
         for link in self.links.values_mut() {
-            // Where it takes no more now, the peer finds its link closed.
+            // Unwritten bytes are lost; the peer sees the link closed.
             let _ = link.connection.flush();
             watch.remove(link.connection.stream());
         }
     }
 
-    // ---- What happens on the sockets
+    // ---- Socket events
 
-    /// Whether what is watched under a key is a link's or the listener.
+    /// Whether a key belongs to a link or to the listener.
     pub fn owns(&self, key: Key) -> bool {
-        self.links.contains_key(&key) || self.listener.as_ref().is_some_and(|(_, own)| *own == key)
+        self.links.contains_key(&key)
+            || self.listener.as_ref().is_some_and(|(_, listener_key)| *listener_key == key)
     }
 
-    /// Takes what is ready, if it is a link's or the listener; returns whether it is.
+    /// Handles a socket that is ready, if it belongs to a link or is the listener; returns whether it does.
     pub fn handle_ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &mut Watch) -> bool {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
             self.accept(now, node, watch);
@@ -248,7 +252,7 @@
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return false };
         if link.closing_since.is_some() {
-            // The peer's end comes, or an error; what it still says is nobody's business.
+            // Waits for the peer to close the link or for an error. What the peer still sends is discarded.
             if link.connection.flush().is_err() || link.connection.pass_over().is_err() {
                 self.drop_link(ready.key, watch);
             } else {
@@ -266,12 +270,12 @@
     fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &Watch) {
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if ready.writable {
-            let waited = link.connection.blocked();
+            let was_blocked = link.connection.blocked();
             if link.connection.flush().is_err() {
                 return self.handle_link_down(now, ready.key, false, node, watch);
             }
             link.record_progress(now);
-            if waited && !link.connection.blocked() {
+            if was_blocked && !link.connection.blocked() {
                 node.writable(now, link.id);
             }
         }
@@ -304,10 +308,10 @@
 
     fn accept(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         loop {
-            let strangers = self.links.iter().filter(|(_, l)| l.is_unidentified());
-            let oldest = strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since));
+            let unidentified = self.links.iter().filter(|(_, l)| l.is_unidentified());
+            let oldest = unidentified.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since));
             let oldest = oldest.map(|(key, link)| (*key, link.since));
-            if strangers.count() >= MAX_UNIDENTIFIED_LINKS {
+            if unidentified.count() >= MAX_UNIDENTIFIED_LINKS {
                 match oldest.filter(|(_, since)| now - since >= MIN_IDENTIFY_TIME_S) {
                     Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, watch),
                     None => return self.pause_accept(watch),
@@ -334,13 +338,13 @@
                         error.kind(),
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset
                     ) => {}
-                // Descriptors are short.
+                // Out of descriptors.
                 Err(_) => return self.pause_accept(watch),
             }
         }
     }
 
-    /// Those who wait are taken at the next beat.
+    /// Stops accepting. Waiting connections are accepted at the next call of [`maintain`](Self::maintain).
     fn pause_accept(&mut self, watch: &Watch) {
         if let Some((listener, key)) = &self.listener {
             self.accept_paused = true;
@@ -375,7 +379,7 @@
 
     // ---- The end of a link
 
-    /// Closes a link for what came on it or did not, and tells its node.
+    /// Closes a link for an error and informs the node.
     fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, watch: &Watch) {
         self.counts.refused += 1;
         self.counts.stuck += u64::from(matches!(error, RelayLinkError::Stuck));
@@ -383,12 +387,12 @@
         let peer = link.and_then(|l| l.connection.stream().peer_addr().ok()).map(|a| a.to_string());
         let (reason, peer) = (error.name(), peer.as_deref().unwrap_or("-"));
         log::debug!(peer, reason, error:%; "relay-link-refused");
-        let taken = matches!(error, RelayLinkError::Node(_));
-        let Some(link) = self.links.get_mut(&key).filter(|l| taken && l.up && l.closing_since.is_none())
+        let rejected = matches!(error, RelayLinkError::Node(_));
+        let Some(link) = self.links.get_mut(&key).filter(|l| rejected && l.up && l.closing_since.is_none())
         else {
             return self.handle_link_down(now, key, false, node, watch);
         };
-        // A node may answer what it refuses: another relay hears which life of it is known here.
+        // A node may answer what it rejects: another relay learns which incarnation of it is known here.
         for _ in 0..MAX_MESSAGES_PER_ITERATION {
             let Some(message) = node.say(now, link.id).filter(|_| !link.connection.blocked()) else { break };
             self.counts.sent += 1;
@@ -401,11 +405,11 @@
         self.close(now, id, watch);
     }
 
-    /// A link is down.
+    /// Removes a link that is down and informs the node.
     fn handle_link_down(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, watch: &Watch) {
-        let live = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
+        let active = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
         self.drop_link(key, watch);
-        if let Some(id) = live {
+        if let Some(id) = active {
             node.down(now, id, refused);
         }
     }
@@ -419,8 +423,8 @@
         }
     }
 
-    /// The node wants no more of a link: it is closed once what was said on it is written and the peer has closed it too,
-    /// so that the last message is not lost with what was not read here.
+    /// Closes a link that the node no longer uses. The socket is closed once everything is written and the peer has closed its
+    /// end too. Closing it earlier, with unread input, could lose the last message.
     fn close(&mut self, now: f64, id: LinkId, watch: &Watch) {
         let Some(key) = self.by_id.remove(&id) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
@@ -433,17 +437,17 @@
         }
     }
 
-    /// Says that nothing more comes, once all is written.
+    /// Shuts down the sending direction once everything is written.
     fn shutdown_write(&mut self, key: Key) {
         if let Some(link) = self.links.get(&key).filter(|link| !link.connection.blocked()) {
-            // One that the peer has closed already is found so when it is read.
+            // If the peer has closed the link already, the next read shows it.
             let _ = link.connection.stream().shutdown(std::net::Shutdown::Write);
         }
     }
 
-    // ---- The two places of a turn
+    // ---- The steps of an iteration of the event loop
 
-    /// Looks after links that come to nothing. Called now and then.
+    /// Closes links that have timed out and resumes accepting. Called periodically.
     pub fn maintain(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         let keys: Vec<Key> = self.links.keys().copied().collect();
         for key in keys {
@@ -472,20 +476,20 @@
         }
     }
 
-    /// Closes, makes and says what the node wants. Called at the end of a turn.
+    /// Makes links, sends messages and closes links as the node requests. Called at the end of an iteration.
     pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
         for (id, to) in node.dials(now) {
             let dialed = match self.addresses.get(&to) {
                 Some(address) => dial(*address),
                 None => Err(ErrorKind::AddrNotAvailable.into()),
             };
-            let made = dialed.and_then(|stream| {
+            let attempt = dialed.and_then(|stream| {
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
                 Ok((watch.add(&stream, true)?, stream))
             });
-            match made {
+            match attempt {
                 Ok((key, stream)) => self.insert(key, Link::new(now, id, Some(to), stream)),
-                // Where it is not a refusal it is a want of descriptors, or a way that is not there.
+                // Refused, out of descriptors, or no route.
                 Err(error) => {
                     log::debug!(error:%; "relay-link-failed");
                     node.down(now, id, error.kind() == ErrorKind::ConnectionRefused);
@@ -498,12 +502,12 @@
             let Some(link) = self.links.get_mut(&key).filter(|l| l.up && l.closing_since.is_none()) else {
                 continue;
             };
-            for said in 0.. {
+            for sent_count in 0.. {
                 if link.connection.blocked() {
                     break;
                 }
-                if said == MAX_MESSAGES_PER_ITERATION {
-                    // It goes on with the next turn.
+                if sent_count == MAX_MESSAGES_PER_ITERATION {
+                    // Continues in the next iteration.
                     node.writable(now, id);
                     break;
                 }
@@ -538,17 +542,17 @@
             identified: false,
             since: now,
             written: (0, now),
-            writing: dialed,
+            watching_writable: dialed,
             closing_since: None,
         }
     }
 
-    /// Whether it was taken and nobody has said on it yet who they are.
+    /// Whether the link was accepted and no valid message has come on it yet.
     fn is_unidentified(&self) -> bool {
         self.to.is_none() && !self.identified && self.closing_since.is_none()
     }
 
-    /// Notes when something was last written, or nothing waited.
+    /// Records when something was last written or nothing was queued.
     fn record_progress(&mut self, now: f64) {
         let written = self.connection.written();
         if written != self.written.0 || !self.connection.blocked() {
@@ -557,10 +561,10 @@
     }
 
     fn watch(&mut self, key: Key, watch: &Watch) {
-        let writing = !self.up || self.connection.blocked();
-        if writing != self.writing {
-            self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+        let watching_writable = !self.up || self.connection.blocked();
+        if watching_writable != self.watching_writable {
+            self.watching_writable = watching_writable;
+            watch.set(key, self.connection.stream(), true, watching_writable);
         }
     }
 }
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -12,21 +12,21 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A node that notes what it is told and says what it is given.
+/// A node that records what it receives and sends what the test queues.
 #[derive(Default)]
 struct RecordingNode {
     next: u64,
     dials: Vec<(LinkId, MemberId)>,
     ups: Vec<LinkId>,
     downs: Vec<(LinkId, bool)>,
-    heard: Vec<(LinkId, Message)>,
-    says: BTreeMap<LinkId, VecDeque<Message>>,
-    /// Said on every link for ever.
+    received: Vec<(LinkId, Message)>,
+    outgoing: BTreeMap<LinkId, VecDeque<Message>>,
+    /// Whether every link always has a message to send.
     floods: bool,
-    said: u64,
+    flood_sent: u64,
     closes: Vec<LinkId>,
-    /// Refuses what it hears.
-    refuses: bool,
+    /// Whether it rejects received messages.
+    rejects: bool,
 }
 
 impl RecordingNode {
@@ -36,8 +36,8 @@
         LinkId(self.next)
     }
 
-    fn say(&mut self, link: LinkId, message: Message) {
-        self.says.entry(link).or_default().push_back(message);
+    fn queue(&mut self, link: LinkId, message: Message) {
+        self.outgoing.entry(link).or_default().push_back(message);
     }
 }
 
@@ -48,13 +48,13 @@
 
     fn accepted(&mut self, _: f64) -> LinkId {
         self.next += 1;
-        self.says.entry(LinkId(self.next)).or_default();
+        self.outgoing.entry(LinkId(self.next)).or_default();
         LinkId(self.next)
     }
 
     fn up(&mut self, _: f64, link: LinkId) {
         self.ups.push(link);
-        self.says.entry(link).or_default();
+        self.outgoing.entry(link).or_default();
     }
 
     fn down(&mut self, _: f64, link: LinkId, refused: bool) {
@@ -62,23 +62,23 @@
     }
 
     fn hear(&mut self, _: f64, link: LinkId, message: &Message) -> Result<(), LinkError> {
-        self.heard.push((link, message.clone()));
-        if self.refuses {
+        self.received.push((link, message.clone()));
+        if self.rejects {
             return Err(LinkError::OutOfPlace);
         }
         Ok(())
     }
 
     fn due(&mut self, _: f64) -> Vec<LinkId> {
-        self.says.keys().copied().collect()
+        self.outgoing.keys().copied().collect()
     }
 
     fn say(&mut self, _: f64, link: LinkId) -> Option<Message> {
         if self.floods {
-            self.said += 1;
+            self.flood_sent += 1;
             return Some(Message::Unknown(250));
         }
-        self.says.get_mut(&link)?.pop_front()
+        self.outgoing.get_mut(&link)?.pop_front()
     }
 
     fn writable(&mut self, _: f64, _: LinkId) {}
@@ -94,14 +94,14 @@
     }
 }
 
-/// A node with its links, and the time.
+/// A node with its links and a clock.
 struct TestBed {
     watch: Watch,
     links: Links,
     node: RecordingNode,
-    begun: Instant,
-    /// Seconds that were skipped.
-    skipped: f64,
+    started: Instant,
+    /// Seconds that were skipped_s on the clock.
+    skipped_s: f64,
 }
 
 impl TestBed {
@@ -109,11 +109,11 @@
         let mut watch = Watch::new().unwrap();
         let listen = listens.then(|| (Ipv4Addr::LOCALHOST, 0).into());
         let links = Links::open(listen, most, &mut watch).unwrap();
-        TestBed { watch, links, node: RecordingNode::default(), begun: Instant::now(), skipped: 0.0 }
+        TestBed { watch, links, node: RecordingNode::default(), started: Instant::now(), skipped_s: 0.0 }
     }
 
     fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() + self.skipped
+        self.started.elapsed().as_secs_f64() + self.skipped_s
     }
 
     fn iterate(&mut self) {
@@ -125,11 +125,11 @@
         self.links.apply_node_actions(now, &mut self.node, &mut self.watch);
     }
 
-    /// Turns until something holds; fails where it does not in time.
-    fn until(&mut self, what: &str, mut holds: impl FnMut(&mut TestBed) -> bool) {
-        let begun = Instant::now();
+    /// Runs iterations until the condition holds; fails if it does not in time.
+    fn run_until(&mut self, what: &str, mut holds: impl FnMut(&mut TestBed) -> bool) {
+        let started = Instant::now();
         while !holds(self) {
-            assert!(begun.elapsed() < TIMEOUT, "waited in vain for {what}");
+            assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
             self.iterate();
         }
     }
@@ -148,12 +148,12 @@
 }
 
 fn hello() -> Message {
-    let life = Incarnation { number: 1, nonce: 1 };
+    let incarnation = Incarnation { number: 1, nonce: 1 };
     Message::Hello(Hello {
         protocol: (1, 1),
         from: MemberId(1),
         to: MemberId(2),
-        life,
+        life: incarnation,
         topic: Topic(3),
         name: "n1".into(),
     })
@@ -165,7 +165,7 @@
     bytes
 }
 
-/// The next message from a stream; none at its end.
+/// Returns the next message from a stream; `None` at its end.
 fn next(stream: &mut TcpStream) -> Option<Message> {
     let mut bytes = Vec::new();
     loop {
@@ -182,30 +182,30 @@
 }
 
 #[test]
-fn a_link_is_made_spoken_on_and_closed() {
+fn link_is_established_carries_messages_and_closes() {
     let (mut relay, mut leaf) = (TestBed::new(true, 100), TestBed::new(false, 4));
     leaf.set_address(MemberId(2), relay.links.address().unwrap());
     let link = leaf.node.dial(MemberId(2));
-    leaf.until("the link", |f| f.node.ups == [link]);
-    leaf.node.say(link, hello());
+    leaf.run_until("the link", |f| f.node.ups == [link]);
+    leaf.node.queue(link, hello());
     leaf.iterate();
-    relay.until("the hello", |f| f.node.heard == [(LinkId(1), hello())]);
-    relay.node.say(LinkId(1), Message::Pong(7));
+    relay.run_until("the hello", |f| f.node.received == [(LinkId(1), hello())]);
+    relay.node.queue(LinkId(1), Message::Pong(7));
     relay.node.closes.push(LinkId(1));
-    // What was said on a link that is closed arrives before its end.
-    leaf.until("the end", |f| {
+    // Messages sent before the link is closed arrive before its end.
+    leaf.run_until("the end", |f| {
         relay.iterate();
         f.node.downs == [(link, false)]
     });
-    assert_eq!(leaf.node.heard, [(link, Message::Pong(7))]);
-    relay.until("its own end", |f| f.links.is_empty());
-    assert_eq!(relay.node.downs, [], "who closes a link is not told that it is down");
+    assert_eq!(leaf.node.received, [(link, Message::Pong(7))]);
+    relay.run_until("its own end", |f| f.links.is_empty());
+    assert_eq!(relay.node.downs, [], "the node that closes a link is not informed that it is down");
     assert_eq!((leaf.links.counts.sent, relay.links.counts.received), (1, 1));
     assert_eq!(leaf.links.counts.bytes_sent, frame(&hello()).len() as u64);
 }
 
 #[test]
-fn a_message_in_pieces_and_one_of_an_unknown_kind_are_taken() {
+fn message_in_pieces_and_message_of_unknown_kind_are_accepted() {
     let mut relay = TestBed::new(true, 100);
     let mut stream = relay.connect();
     for byte in frame(&hello()) {
@@ -214,108 +214,110 @@
     }
     stream.write_all(&frame(&Message::Unknown(200))).unwrap();
     stream.write_all(&frame(&Message::Ping(9))).unwrap();
-    relay.until("all three", |f| f.node.heard.len() == 3);
-    let all: Vec<Message> = relay.node.heard.iter().map(|(_, m)| m.clone()).collect();
+    relay.run_until("all three", |f| f.node.received.len() == 3);
+    let all: Vec<Message> = relay.node.received.iter().map(|(_, m)| m.clone()).collect();
     assert_eq!(all, [hello(), Message::Unknown(200), Message::Ping(9)]);
     assert_eq!((relay.links.counts.unknown, relay.links.counts.refused), (1, 0));
 }
 
 #[test]
-fn an_address_that_refuses_is_told_as_that() {
+fn refused_connection_is_reported_as_refused() {
     let mut leaf = TestBed::new(false, 4);
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     leaf.set_address(MemberId(2), closed);
     let link = leaf.node.dial(MemberId(2));
-    leaf.until("the refusal", |f| f.node.downs == [(link, true)]);
-    let nobody = leaf.node.dial(MemberId(3));
-    leaf.until("an unknown relay", |f| f.node.downs.contains(&(nobody, false)));
+    leaf.run_until("the refusal", |f| f.node.downs == [(link, true)]);
+    let unknown_relay = leaf.node.dial(MemberId(3));
+    leaf.run_until("an unknown relay", |f| f.node.downs.contains(&(unknown_relay, false)));
     assert!(leaf.links.is_empty());
 }
 
 #[test]
-fn what_is_no_message_and_what_the_node_refuses_closes_the_link() {
+fn invalid_input_and_rejected_messages_close_the_link() {
     let mut relay = TestBed::new(true, 100);
     let mut stream = relay.connect();
     stream.write_all(&[0xff; 64]).unwrap();
-    relay.until("the link to go", |f| f.node.downs == [(LinkId(1), false)]);
+    relay.run_until("the link to go", |f| f.node.downs == [(LinkId(1), false)]);
     assert_eq!(relay.links.counts.refused, 1);
-    // What the node has to say to one that it refuses still arrives.
+    // The node's answer to a rejected message still arrives.
     let mut stream = relay.connect();
-    relay.until("a link", |f| f.links.len() == 1);
-    relay.node.refuses = true;
-    relay.node.says.insert(LinkId(2), VecDeque::new());
+    relay.run_until("a link", |f| f.links.len() == 1);
+    relay.node.rejects = true;
+    relay.node.outgoing.insert(LinkId(2), VecDeque::new());
     stream.write_all(&frame(&hello())).unwrap();
-    relay.node.say(LinkId(2), Message::Lacks(Mark::default()));
-    relay.until("the refusal", |f| f.node.downs.contains(&(LinkId(2), false)));
+    relay.node.queue(LinkId(2), Message::Lacks(Mark::default()));
+    relay.run_until("the refusal", |f| f.node.downs.contains(&(LinkId(2), false)));
     assert_eq!(next(&mut stream), Some(Message::Lacks(Mark::default())));
     assert_eq!(next(&mut stream), None);
 }
 
-/// Guards against strangers that take all descriptors of a relay, and against leaves that are turned away by them.
+/// Unidentified links must not use up all descriptors of a relay and must not keep leaves from connecting.
 #[test]
-fn strangers_are_bounded_in_number_and_time() {
+fn unidentified_links_are_limited_in_number_and_time() {
     let mut relay = TestBed::new(true, 1000);
-    let silent: Vec<TcpStream> = (0..MAX_UNIDENTIFIED_LINKS + 8).map(|_| relay.connect()).collect();
-    relay.until("as many as may be", |f| f.links.len() == MAX_UNIDENTIFIED_LINKS);
-    assert_eq!(relay.links.counts.refused, 0, "those that have just come are not sent away for others");
-    relay.skipped += MIN_IDENTIFY_TIME_S;
+    let unidentified: Vec<TcpStream> = (0..MAX_UNIDENTIFIED_LINKS + 8).map(|_| relay.connect()).collect();
+    relay.run_until("as many as may be", |f| f.links.len() == MAX_UNIDENTIFIED_LINKS);
+    assert_eq!(relay.links.counts.refused, 0, "new links are not closed to make room for others");
+    relay.skipped_s += MIN_IDENTIFY_TIME_S;
     let mut leaf = relay.connect();
     leaf.write_all(&frame(&hello())).unwrap();
-    relay.until("the leaf", |f| f.node.heard.len() == 1);
+    relay.run_until("the leaf", |f| f.node.received.len() == 1);
     assert!(relay.links.len() <= MAX_UNIDENTIFIED_LINKS + 1);
-    relay.skipped += HANDSHAKE_TIMEOUT_S;
-    relay.until("only the leaf", |f| f.links.len() == 1);
-    assert_eq!(relay.node.downs.len(), silent.len());
-    // It said who it is, and stays.
-    relay.skipped += HANDSHAKE_TIMEOUT_S;
+    relay.skipped_s += HANDSHAKE_TIMEOUT_S;
+    relay.run_until("only the leaf", |f| f.links.len() == 1);
+    assert_eq!(relay.node.downs.len(), unidentified.len());
+    // The leaf has sent its hello and stays.
+    relay.skipped_s += HANDSHAKE_TIMEOUT_S;
     relay.iterate();
     assert_eq!(relay.links.len(), 1);
 }
 
 #[test]
-fn links_are_bounded() {
+fn number_of_links_is_limited() {
     let mut relay = TestBed::new(true, 3);
     let mut all: Vec<TcpStream> = (0..5).map(|_| relay.connect()).collect();
     all.iter_mut().for_each(|s| s.write_all(&frame(&hello())).unwrap());
-    relay.until("three", |f| f.node.heard.len() == 3);
+    relay.run_until("three", |f| f.node.received.len() == 3);
     relay.iterate();
     assert_eq!(relay.links.len(), 3);
     drop(all.drain(..3));
-    relay.until("those that waited", |f| f.node.heard.len() == 5);
+    relay.run_until("those that waited", |f| f.node.received.len() == 5);
 }
 
-/// A leaf that reads nothing costs its relay a bounded buffer and no other leaf anything.
+/// A leaf that reads nothing uses a bounded buffer at its relay, doesn't affect other leaves, and is disconnected.
 #[test]
-fn a_link_that_is_not_read_is_cut_off() {
+fn link_that_is_not_read_is_closed() {
     let mut relay = TestBed::new(true, 100);
     let mut slow = relay.connect();
     slow.write_all(&frame(&hello())).unwrap();
-    relay.until("the slow one", |f| f.node.heard.len() == 1);
+    relay.run_until("the slow one", |f| f.node.received.len() == 1);
     relay.node.floods = true;
-    let mut said = 0;
-    relay.until("it is full", |f| std::mem::replace(&mut said, f.node.said) == f.node.said && said > 0);
+    let mut sent = 0;
+    relay.run_until("it is full", |f| {
+        std::mem::replace(&mut sent, f.node.flood_sent) == f.node.flood_sent && sent > 0
+    });
     let bytes = relay.links.counts.bytes_sent;
-    // What the system keeps at both ends: the reader's buffer is the kernel's default.
-    assert!(bytes < 16 << 20, "{bytes} bytes were said to one that reads nothing");
+    // The system's buffers at both ends; the reader's has the kernel's default size.
+    assert!(bytes < 16 << 20, "{bytes} bytes were sent to a peer that reads nothing");
     let waiting =
         relay.links.links.values().map(|l| l.connection.queued() - l.connection.written()).sum::<u64>();
     assert!(waiting as usize <= MAX_QUEUED_BYTES, "{waiting}");
     let mut quick = relay.connect();
     quick.write_all(&frame(&hello())).unwrap();
-    relay.until("another", |f| f.node.heard.len() == 2);
+    relay.run_until("another", |f| f.node.received.len() == 2);
     relay.node.floods = false;
-    relay.node.say(LinkId(2), Message::Pong(1));
+    relay.node.queue(LinkId(2), Message::Pong(1));
     relay.iterate();
     while !matches!(next(&mut quick), Some(Message::Pong(1))) {}
-    relay.skipped += STUCK_TIMEOUT_S;
-    relay.until("the slow one's end", |f| f.node.downs == [(LinkId(1), false)]);
+    relay.skipped_s += STUCK_TIMEOUT_S;
+    relay.run_until("the slow one's end", |f| f.node.downs == [(LinkId(1), false)]);
     assert_eq!((relay.links.counts.stuck, relay.links.len()), (1, 1));
 }
 
 #[test]
-fn a_link_that_does_not_come_up_is_given_up() {
+fn link_that_is_not_established_in_time_is_closed() {
     let mut leaf = TestBed::new(false, 4);
-    // A listener whose queue is full takes no further ones: they stay on their way.
+    // A listener whose queue is full accepts no more connections; they stay pending.
     let listener = bind((Ipv4Addr::LOCALHOST, 0).into(), 0).unwrap();
     let address = listener.local_addr().unwrap();
     let full: Vec<TcpStream> = (0..4).filter_map(|_| dial(address).ok()).collect();
@@ -323,14 +325,14 @@
     let link = leaf.node.dial(MemberId(2));
     leaf.iterate();
     assert_eq!((leaf.links.len(), &leaf.node.ups[..]), (1, &[][..]));
-    leaf.skipped += HANDSHAKE_TIMEOUT_S;
-    leaf.until("the end", |f| f.node.downs == [(link, false)]);
+    leaf.skipped_s += HANDSHAKE_TIMEOUT_S;
+    leaf.run_until("the end", |f| f.node.downs == [(link, false)]);
     drop(full);
 }
 
-/// Each error of the links has a row of its own on the page for on-call staff, and says what can be done.
+/// Each link error must have its own row on the page for on-call staff, and a text that says what to do.
 #[test]
-fn every_error_of_a_link_is_on_the_page_for_on_call_staff() {
+fn each_link_error_is_documented_for_on_call_staff() {
     let page = include_str!("../../../../../docs/ONCALL.md");
     let node = [
         LinkError::Protocol { least: 2, most: 3 },
@@ -353,8 +355,8 @@
         let row = format!("| `{}` |", error.name());
         assert!(page.contains(&row), "{row} is not in docs/ONCALL.md");
         let text = error.to_string();
-        assert!(text.contains(';') || text.contains(':'), "{text:?} says nothing of what can be done");
+        assert!(text.contains(';') || text.contains(':'), "{text:?} does not say what to do");
     }
     let names: std::collections::BTreeSet<&str> = all.iter().map(RelayLinkError::name).collect();
-    assert_eq!(names.len(), all.len(), "a name of its own for each");
+    assert_eq!(names.len(), all.len(), "each error has its own name");
 }
