--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -1,5 +1,5 @@
-//! This gatekeeper in a tier of relays: as a relay, or as a leaf of one. The decisions are in the crate `relay`; this module
-//! stands between them, the links ([`super::relays`]) and the rest of the gatekeeper.
+//! This gatekeeper in a tier of relays, as a relay or as a leaf. The decisions are made in the crate `relay`. This module connects
+//! them with the links ([`super::relays`]) and the rest of the gatekeeper.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -28,16 +28,16 @@
 use super::relays::{max_leaf_links, max_links, Links};
 use super::subjects::{Room, Subject};
 
-/// A start waits so long at most for what a relay knows, in seconds, until it says that it is ready.
+/// Time after which a started leaf is ready even if it has not received a relay's state.
 const MAX_CATCH_UP_WAIT_S: f64 = 1.0;
-/// A turn so long after the one before: this process was paused.
+/// This process was paused if two iterations are at least this far apart.
 const PAUSE_THRESHOLD_S: f64 = 1.0;
-/// At a start the fleet's settings are proposed for so long, until a majority of relays is heard.
+/// How long the fleet's settings are proposed again at a start, until a majority of relays is alive.
 const PROPOSE_RETRY_S: f64 = 10.0;
-/// Mistakes in the file with the fleet's settings that are logged one by one.
+/// Errors in the file with the fleet's settings that are logged one by one.
 const MAX_LOGGED_PROBLEMS: usize = 20;
 
-/// Descriptors that the links of a fleet may take, in its role.
+/// Returns how many descriptors the links of a fleet may use, depending on this gatekeeper's role.
 pub fn max_link_descriptors(conf: &FleetConf, platform_name: &str) -> usize {
     match &conf.tier {
         None => super::peers::max_links(conf.members.len()),
@@ -52,19 +52,21 @@
     }
 }
 
-/// Why the file with the fleet's settings was not proposed or not accepted. Nothing of it is in force anywhere.
+/// Why the file with the fleet's settings was not proposed or not accepted. None of it is in force anywhere.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
-    /// The file is not what it should be.
-    #[error("{0} mistakes in the file: mend it and send SIGHUP; `fleet-settings-problem` has each")]
+    /// The file has errors.
+    #[error(
+        "{0} errors in the file: correct it and send SIGHUP; each is logged as `fleet-settings-problem`"
+    )]
     File(usize),
-    /// The relay refuses.
+    /// The relay refused the proposal.
     #[error(transparent)]
     Refused(#[from] SettingsError),
 }
 
 impl SettingsFileError {
-    /// In a word, for the log and the page for on-call staff.
+    /// Returns the label used in the log and on the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             SettingsFileError::File(_) => "settings-file",
@@ -87,11 +89,11 @@
     }
 }
 
-/// What decides whether a configuration read anew needs another life.
+/// The part of the configuration that can't change without a new incarnation.
 #[derive(Clone, PartialEq)]
 struct Identity {
     name: String,
-    /// Where a relay listens.
+    /// Listen address of a relay.
     listen: Option<SocketAddr>,
     place: Place,
     topic: Topic,
@@ -101,7 +103,7 @@
     fn of(conf: &FleetConf, tier: &TierConf, platform: &hollypaddle_config::Platform) -> Identity {
         let name = conf.own_name(&platform.name).to_string();
         let relay = tier.relay(&name);
-        // A leaf stands in the platform's district where its file says nothing.
+        // By default the zone of a leaf is the platform's district.
         let district = || platform.own.and_then(|own| platform.districts.get(own)).cloned();
         let own = Location {
             zone: tier.location.zone.clone().or_else(district),
@@ -116,7 +118,7 @@
     }
 }
 
-/// A place in the words of the crate `relay`. Where the region is not told it is that of the zone's relays, if they have one.
+/// Converts a location to a place of the crate `relay`. If the region is not configured, it is that of the zone's relays, if any.
 fn place(location: &Location, relays: &[hollypaddle_config::RelayConf]) -> Place {
     let of_zone = || {
         let same = |l: &&Location| l.zone.is_some() && l.zone == location.zone;
@@ -128,7 +130,7 @@
     }
 }
 
-/// This gatekeeper in its tier.
+/// The state of this gatekeeper in a tier that it has joined.
 struct Joined {
     conf: FleetConf,
     tier: TierConf,
@@ -136,19 +138,19 @@
     role: Role,
     links: Links,
     names: BTreeMap<MemberId, String>,
-    joined: f64,
-    ticked: f64,
-    // Of a leaf.
+    joined_at: f64,
+    last_tick_at: f64,
+    // Used by a leaf.
     reported: ReportedServers,
-    /// Servers that are gone from the list, and since when: told of as that for a while.
+    /// Servers that were removed from the list, and when. They are reported as gone for a while.
     removed_servers: VecDeque<(f64, ServerKey)>,
     observations: PeerObservations,
-    /// The settings that came last.
+    /// The settings that were received last.
     received_settings: Option<Arc<Set>>,
-    // Of a relay.
-    /// What is to be proposed, and until when that is tried.
+    // Used by a relay.
+    /// Settings to be proposed, and until when to retry.
     proposal: Option<(Vec<(String, String)>, f64)>,
-    /// What became of the last proposal that was refused.
+    /// Why the last proposal was refused.
     refused: Option<String>,
     log_limiter: EventLogLimiter,
 }
@@ -189,8 +191,8 @@
             identity,
             role,
             links,
-            joined: now,
-            ticked: now,
+            joined_at: now,
+            last_tick_at: now,
             reported: ReportedServers::default(),
             removed_servers: VecDeque::new(),
             observations: PeerObservations::new(now),
@@ -201,7 +203,7 @@
         })
     }
 
-    /// Takes relays, times and bounds read anew.
+    /// Applies relays, timing and limits of a reloaded configuration.
     fn change(&mut self, room: &mut Room, conf: &FleetConf, tier: &TierConf) {
         let now = room.now;
         match &mut self.role {
@@ -218,7 +220,7 @@
         (self.conf, self.tier) = (conf.clone(), tier.clone());
     }
 
-    /// Says that it ends, and closes all links.
+    /// Announces that this gatekeeper leaves, and closes all links.
     fn leave(mut self, room: &mut Room) {
         match &mut self.role {
             Role::Leaf(_) => self.links.send_to_all(&Message::Leave),
@@ -236,7 +238,7 @@
 
     // ---- Settings
 
-    /// Reads the file with the fleet's settings, to propose what it says.
+    /// Reads the file with the fleet's settings and proposes its content.
     fn read_settings(&mut self, now: f64, path: &Path, at_start: bool) {
         let wanted = match hollypaddle_config::entries(path) {
             Ok(wanted) => wanted,
@@ -245,12 +247,13 @@
                     let (place, what) = (problem.place.to_string(), problem.what.as_str());
                     log::warn!(place = place.as_str(), what; "fleet-settings-problem");
                 }
-                return self.settings_refused(&SettingsFileError::File(problems.len()));
+                return self.record_refusal(&SettingsFileError::File(problems.len()));
             }
         };
         if let Role::Relay(relay) = &self.role {
             let writer = relay.identity().writer == relay.identity().own;
-            // One file may serve all relays: what is in force already is no change, and at a start only the writer's counts.
+            // One file may be shared by all relays: settings that are already in force are no change, and at a start only the
+            // writer's file counts.
             let as_in_force = relay.settings().entries().eq(sorted(&wanted).iter().map(|(n, t)| (*n, *t)));
             if !writer && (at_start || as_in_force) {
                 return;
@@ -261,7 +264,7 @@
         self.propose(now);
     }
 
-    /// Proposes what was read. At a start that waits until the other relays are heard.
+    /// Proposes the settings that were read. At a start this is retried until the other relays are alive.
     fn propose(&mut self, now: f64) {
         let Role::Relay(relay) = &mut self.role else { return };
         let Some((wanted, until)) = self.proposal.take() else { return };
@@ -274,21 +277,21 @@
             Err(SettingsError::CatchingUp | SettingsError::NoMajority { .. }) if now < until => {
                 self.proposal = Some((wanted, until));
             }
-            Err(error) => self.settings_refused(&error.into()),
+            Err(error) => self.record_refusal(&error.into()),
         }
     }
 
-    fn settings_refused(&mut self, error: &SettingsFileError) {
+    fn record_refusal(&mut self, error: &SettingsFileError) {
         let reason = error.name();
         log::warn!(reason, error:%; "fleet-settings-refused");
         self.refused = Some(error.to_string());
     }
 
-    // ---- A turn
+    // ---- Steps of an iteration of the event loop
 
-    /// Returns whether this process was paused.
+    /// Advances the time; returns whether this process was paused.
     fn tick(&mut self, now: f64) -> bool {
-        let resumed = now - std::mem::replace(&mut self.ticked, now) >= PAUSE_THRESHOLD_S;
+        let resumed = now - std::mem::replace(&mut self.last_tick_at, now) >= PAUSE_THRESHOLD_S;
         self.role.node().tick(now);
         self.log(now);
         resumed
@@ -302,8 +305,8 @@
         for server in self.reported.report_changes(now, room.servers, leaf.as_mut()) {
             self.removed_servers.push_back((now, server));
         }
-        let forget = self.conf.settings.forget;
-        while let Some((_, server)) = self.removed_servers.pop_front_if(|(at, _)| now - *at >= forget) {
+        let forget_after = self.conf.settings.forget;
+        while let Some((_, server)) = self.removed_servers.pop_front_if(|(at, _)| now - *at >= forget_after) {
             let listed = self.reported.pool_of(server).is_some()
                 || self.removed_servers.iter().any(|(_, again)| *again == server);
             if !listed {
@@ -311,11 +314,11 @@
             }
         }
         let Some(guard) = &mut room.gates.fleet else { return Vec::new() };
-        let late = self.conf.settings.lists_late;
-        self.observations.update(now, &leaf.hearsay(now), (room.list_at, late), room.servers, guard)
+        let lists_late = self.conf.settings.lists_late;
+        self.observations.update(now, &leaf.hearsay(now), (room.list_at, lists_late), room.servers, guard)
     }
 
-    /// Settings that came and were not offered before.
+    /// Returns newly received settings, once.
     fn take_offered_settings(&mut self) -> Option<Arc<Set>> {
         let Role::Leaf(leaf) = &mut self.role else { return None };
         let offered = leaf.offered()?;
@@ -324,14 +327,14 @@
     }
 
     fn ready(&self, now: f64) -> bool {
-        let late = now - self.joined >= MAX_CATCH_UP_WAIT_S;
+        let waited_enough = now - self.joined_at >= MAX_CATCH_UP_WAIT_S;
         match &self.role {
-            Role::Leaf(leaf) => late || leaf.level(),
+            Role::Leaf(leaf) => waited_enough || leaf.level(),
             Role::Relay(relay) => relay.ready(),
         }
     }
 
-    // ---- The log
+    // ---- Log
 
     fn log(&mut self, now: f64) {
         match &mut self.role {
@@ -344,11 +347,11 @@
             }
             Role::Relay(relay) => {
                 for event in relay.events() {
-                    let may = match &event {
+                    let may_log = match &event {
                         relay::Event::Mesh(event) => self.log_limiter.may_log_event(now, event),
                         _ => self.log_limiter.may_log(now),
                     };
-                    if may {
+                    if may_log {
                         let name =
                             |id| relay.leaf_name(id).map_or_else(|| name(&self.names, id), String::from);
                         log_relay_event(&event, name);
@@ -400,7 +403,7 @@
 
     fn report_relay(&self, now: f64, relay: &Relay) -> Value {
         let view = relay.mesh().view();
-        let heard = 1 + view.peers().filter(|m| matches!(view.state(*m), State::Alive)).count();
+        let alive = 1 + view.peers().filter(|m| matches!(view.state(*m), State::Alive)).count();
         let row = |r: &hollypaddle_membership::view::Row| {
             json!({
                 "name": self.name(r.member), "state": r.state.name(), "life": r.incarnation.map(|i| i.to_string()),
@@ -418,8 +421,8 @@
         let mark = relay.settings().mark();
         json!({
             "role": "relay", "name": self.identity.name, "life": relay.identity().life.to_string(),
-            "ready": relay.ready(), "writer": self.tier.writer, "heard": heard, "all": self.tier.relays.len(),
-            "majority": 2 * heard > self.tier.relays.len(),
+            "ready": relay.ready(), "writer": self.tier.writer, "heard": alive, "all": self.tier.relays.len(),
+            "majority": 2 * alive > self.tier.relays.len(),
             "attached": relay.attached(), "limit": relay.limit(), "takes": relay.takes(),
             "settings": {"version": mark.version, "hash": hash(mark),
                 "entries": relay.settings().entries().count(),
@@ -526,50 +529,51 @@
     .into()
 }
 
-/// This gatekeeper in a tier, where the own configuration has one.
+/// This gatekeeper in a tier, if one is configured.
 #[derive(Default)]
 pub struct InTier {
     joined: Option<Joined>,
-    /// One that was joined and does not count yet.
+    /// A tier that was joined while a configuration is prepared, and is not in use yet.
     prepared: Option<Joined>,
 }
 
 impl InTier {
-    /// The lines of a list, with what others know.
+    /// Applies what other gatekeepers report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(joined) = &self.joined {
             joined.observations.overlay(entries, list_at, joined.conf.settings.lists_late);
         }
     }
 
-    /// Settings of the fleet that came and were not offered before.
+    /// Returns newly received settings of the fleet, once.
     pub fn take_offered_settings(&mut self) -> Option<Arc<Set>> {
         self.joined.as_mut().and_then(Joined::take_offered_settings)
     }
 
-    /// Settings of the fleet that were turned down, to be tried again as the own configuration has changed.
+    /// Returns the settings of the fleet that are not in force here, to be tried again after this gatekeeper's configuration has
+    /// changed.
     pub fn rejected_settings(&self) -> Option<Arc<Set>> {
         let joined = self.joined.as_ref()?;
         let Role::Leaf(leaf) = &joined.role else { return None };
-        let held = joined.received_settings.as_ref()?;
-        (leaf.status(joined.ticked).in_force < held.mark().version).then(|| Arc::clone(held))
+        let received = joined.received_settings.as_ref()?;
+        (leaf.status(joined.last_tick_at).in_force < received.mark().version).then(|| Arc::clone(received))
     }
 
-    /// Settings of this version are in force here, or why they are not.
+    /// Reports that this version of the settings is in force here, or why it is not.
     pub fn report_verdict(&mut self, version: u64, verdict: Result<(), String>) {
         let Some(Joined { role: Role::Leaf(leaf), .. }) = &mut self.joined else { return };
         leaf.verdict(version, verdict);
     }
 }
 
-fn of(conf: &Conf) -> Option<(&FleetConf, &TierConf)> {
+fn fleet_and_tier(conf: &Conf) -> Option<(&FleetConf, &TierConf)> {
     let fleet = conf.fleet.as_ref()?;
     Some((fleet, fleet.tier.as_ref()?))
 }
 
 impl Subject for InTier {
     fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
-        let Some((conf, tier)) = of(new) else { return Ok(()) };
+        let Some((conf, tier)) = fleet_and_tier(new) else { return Ok(()) };
         let identity = Identity::of(conf, tier, room.platform);
         if self.joined.as_ref().is_none_or(|joined| joined.identity != identity) {
             self.prepared = Some(Joined::join(room, conf, tier)?);
@@ -585,7 +589,7 @@
 
     fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
         let (prepared, at_start) = (self.prepared.take(), self.joined.is_none());
-        let word = match (&mut self.joined, prepared, of(new)) {
+        let change = match (&mut self.joined, prepared, fleet_and_tier(new)) {
             (old, Some(prepared), _) => {
                 if let Some(old) = old.replace(prepared) {
                     old.leave(room);
@@ -605,21 +609,21 @@
             }
         };
         if let Some(joined) = &mut self.joined {
-            if word.is_some() {
+            if change.is_some() {
                 room.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
             }
-            // Every reading of the configuration at a relay reads the fleet's settings, too.
+            // A relay reads the fleet's settings whenever it reads its configuration.
             if let (Role::Relay(_), Some(path)) = (&joined.role, joined.tier.settings.clone()) {
                 joined.read_settings(room.now, &path, at_start);
             }
         }
-        word.map(|word| format!("tier-{word}"))
+        change.map(|change| format!("tier-{change}"))
     }
 
     fn begin(&mut self, room: &mut Room) {
         if let Some(joined) = &mut self.joined {
             if joined.tick(room.now) {
-                // What waits at the socket was said before or while this process was paused.
+                // Answers waiting at the socket were sent before or during the pause.
                 room.resolver.forget_asked();
                 room.resolver.ask();
             }
@@ -660,14 +664,14 @@
     }
 
     fn not_ready(&self) -> Option<&'static str> {
-        self.joined.as_ref().filter(|joined| !joined.ready(joined.ticked)).map(|_| "catching-up")
+        self.joined.as_ref().filter(|joined| !joined.ready(joined.last_tick_at)).map(|_| "catching-up")
     }
 
     fn answer(&mut self, room: &mut Room, question: &Question) -> Option<Value> {
         Some(match (question, &self.joined) {
             (Question::Members {}, Some(joined)) => json!({"ok": joined.report(room.now)}),
             (Question::Replica {}, Some(_)) => {
-                json!({"error": "no copies of other members are held in a tier of relays: ask `members`"})
+                json!({"error": "a tier of relays holds no copies of other members: ask for `members`"})
             }
             (Question::Members {} | Question::Replica {}, None) => {
                 json!({"error": "no fleet: the block `fleet` is not configured"})
--- a/crates/gatekeeper/src/node/tier/tests.rs
+++ b/crates/gatekeeper/src/node/tier/tests.rs
@@ -2,10 +2,9 @@
 
 use super::*;
 
-/// Each reason for which settings of the fleet are refused has a row on the page for on-call staff, and says what can be
-/// done.
+/// Each reason for rejecting the fleet's settings must have a row on the page for on-call staff, and a text that says what to do.
 #[test]
-fn every_refusal_of_settings_is_on_the_page_for_on_call_staff() {
+fn each_settings_error_is_documented_for_on_call_staff() {
     let page = include_str!("../../../../../docs/ONCALL.md");
     let refused = [
         SettingsError::NotWriter,
@@ -20,13 +19,13 @@
     for error in all {
         let row = format!("| `{}` |", error.name());
         assert!(page.contains(&row), "{row} is not in docs/ONCALL.md");
-        assert!(error.to_string().contains(':'), "{error} says nothing of what can be done");
+        assert!(error.to_string().contains(':'), "{error} does not say what to do");
     }
 }
 
-/// Each event of a tier has a row on that page.
+/// Each log event of a tier must have a row on that page.
 #[test]
-fn every_event_is_on_the_page_for_on_call_staff() {
+fn each_log_event_is_documented_for_on_call_staff() {
     let page = include_str!("../../../../../docs/ONCALL.md");
     let sources = [
         include_str!("../tier.rs"),
@@ -40,7 +39,7 @@
     ];
     let mut found = 0;
     for source in sources {
-        // The name stands behind the fields, or alone.
+        // The name follows the fields, or is the only argument.
         for line in source.split("log::").skip(1) {
             let after = |mark: &str| line.split_once(mark).map(|(before, name)| (before.len(), name));
             let level = |at: usize| !line[..at].contains(");");
@@ -57,9 +56,9 @@
     assert!(found > 30, "only {found} events were found");
 }
 
-/// The file's defaults are those that the crate's bounds were reckoned with.
+/// The defaults of the configuration must equal those that the limits of the crate `relay` were computed with.
 #[test]
-fn what_the_file_leaves_out_is_what_the_relays_were_reckoned_with() {
+fn defaults_of_the_configuration_equal_those_of_the_relay_crate() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("own.conf");
     std::fs::write(&path, "fleet {\n relay r1 127.0.0.1:7100\n}\n").unwrap();
