--- a/crates/gatekeeper/src/node/clients/draining.rs
+++ b/crates/gatekeeper/src/node/clients/draining.rs
@@ -11,7 +11,7 @@
 use super::set_up::request_class;
 use super::{BestReply, Client, Clients};
 use crate::node::delivery::Closed;
-use crate::node::poller::{Key, Watch};
+use crate::node::poller::{Key, Poller};
 
 /// A drain that goes on.
 pub(super) struct Drain {
@@ -31,13 +31,13 @@
 
 /// What is to be done to calls before connections can be closed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct DrainOrders {
+pub struct DrainActions {
     /// The connections whose open set-ups get their final answer now.
-    pub answer: Vec<Key>,
+    pub answer_set_ups_of: Vec<Key>,
     /// Calls that stand are cut, as no connection stays on which their ends could be told.
-    pub cut: bool,
+    pub cut_calls: bool,
     /// The connections that stay for calls of their own, which are not cut.
-    pub staying: BTreeSet<Key>,
+    pub kept: BTreeSet<Key>,
 }
 
 impl Clients {
@@ -58,17 +58,25 @@
     }
 
     /// Whether connections are closed as soon as they wait for nothing, so that every turn may bring one.
-    pub fn drains_firmly(&self, now: f64) -> bool {
+    pub fn closes_idle_immediately(&self, now: f64) -> bool {
         self.drain.as_ref().is_some_and(|drain| now - drain.began >= drain::FIRM_AFTER_S)
     }
 
     /// While drained, closes the connections that are to be let go; returns what is to be done before others can be. With
     /// `told_elsewhere`, others tell the ends for which no caller is here.
-    pub fn drain(&mut self, now: f64, told_elsewhere: bool, watch: &Watch, calls: &mut Calls) -> DrainOrders {
-        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else { return DrainOrders::default() };
+    pub fn drain(
+        &mut self,
+        now: f64,
+        told_elsewhere: bool,
+        poller: &Poller,
+        calls: &mut Calls,
+    ) -> DrainActions {
+        let Some(began) = self.drain.as_ref().map(|drain| drain.began) else {
+            return DrainActions::default();
+        };
         let staying = self.staying(now, began, calls);
         let end_path = self.end_path(now, began, &staying, calls);
-        let mut orders = DrainOrders { staying, ..DrainOrders::default() };
+        let mut actions = DrainActions { kept: staying, ..DrainActions::default() };
         let mut closing = Vec::new();
         let decide = |state: &drain::Connection| match drain::decide(now, began, state) {
             Decision::CutCalls if told_elsewhere => Decision::Close,
@@ -78,8 +86,8 @@
             let state = client.state(*key, end_path, calls);
             match decide(&state) {
                 Decision::Close => closing.push(*key),
-                Decision::AnswerSetUps => orders.answer.push(*key),
-                Decision::CutCalls => orders.cut = true,
+                Decision::AnswerSetUps => actions.answer_set_ups_of.push(*key),
+                Decision::CutCalls => actions.cut_calls = true,
                 Decision::Keep(reason) => client.log_kept(*key, reason, &state),
             }
         }
@@ -88,40 +96,40 @@
                 let state = client.state(key, end_path, calls);
                 (decide(&state) == Decision::Close).then_some(Over::Drained)
             };
-            self.drain_counts.closed += u64::from(self.close_if(now, key, reason, watch, calls));
+            self.drain_counts.closed += u64::from(self.close_if(now, key, reason, poller, calls));
         }
         if now - began >= drain::DROP_AFTER_S {
-            self.drop_blocked(now, watch);
+            self.drop_blocked(now, poller);
         }
-        if orders.cut {
-            self.send_all_undelivered(now, watch, calls);
+        if actions.cut_calls {
+            self.send_all_undelivered(now, poller, calls);
         }
         if now - began >= drain::TERM_S {
             self.log_term(now, calls);
         }
-        orders
+        actions
     }
 
     /// Drops the closed connections whose peers do not read what was sent before the close.
-    fn drop_blocked(&mut self, now: f64, watch: &Watch) {
+    fn drop_blocked(&mut self, now: f64, poller: &Poller) {
         let blocked = self.closing.iter().filter(|(_, closing)| closing.is_blocked());
         let blocked: Vec<Key> = blocked.map(|(key, _)| *key).collect();
         for key in blocked {
             log::debug!(caller = key; "drain-dropped");
-            self.drop_closing(now, key, Closed::Unknown, watch);
+            self.drop_closing(now, key, Closed::Unknown, poller);
         }
     }
 
     /// Refuses a set-up that comes late in a drain; returns whether it did.
-    pub(super) fn refuse_drained(&mut self, now: f64, key: Key, message: &Message, watch: &Watch) -> bool {
+    pub(super) fn refuse_drained(&mut self, now: f64, key: Key, message: &Message, poller: &Poller) -> bool {
         let refuses = self.drain.as_ref().is_some_and(|drain| drain::refuses_set_ups(now, drain.began));
         if refuses {
             let call = format_args!("{:016x}", message.call);
             log::debug!(call:%, caller = key; "set-up-refused-in-drain");
             self.drain_counts.refused += 1;
-            self.turned_away.push(request_class(message, &self.classes));
-            let refusal = encode(message.call, Reply::Refused(self.stay_away()));
-            self.send(now, key, &refusal, BestReply::Outcome, watch);
+            self.refused_classes.push(request_class(message, &self.classes));
+            let refusal = encode(message.call, Reply::Refused(self.retry_after()));
+            self.send(now, key, &refusal, BestReply::Outcome, poller);
         }
         refuses
     }
@@ -136,7 +144,8 @@
 
     /// The connection that stays for the ends of calls whose own does not, while there are any.
     fn end_path(&self, now: f64, began: f64, staying: &BTreeSet<Key>, calls: &Calls) -> Option<Key> {
-        if self.undelivered.is_empty() && !calls.stands_elsewhere(|origin| staying.contains(&origin)) {
+        if self.undelivered.is_empty() && !calls.has_standing_call_outside(|origin| staying.contains(&origin))
+        {
             return None;
         }
         let usable = self.connections.iter().filter(|(_, client)| !client.reset_seen);
@@ -157,10 +166,11 @@
         let Some(drain) = self.drain.as_mut().filter(|drain| !drain.term_logged) else { return };
         drain.term_logged = true;
         let held = || self.connections.iter();
-        let waiting = held().filter(|(key, _)| calls.open_from(**key) > 0).count();
-        let standing = held().filter(|(key, _)| calls.standing_from(**key) > 0).count();
-        let idle =
-            held().filter(|(key, _)| calls.open_from(**key) == 0 && calls.standing_from(**key) == 0).count();
+        let waiting = held().filter(|(key, _)| calls.open_count(**key) > 0).count();
+        let standing = held().filter(|(key, _)| calls.standing_count(**key) > 0).count();
+        let idle = held()
+            .filter(|(key, _)| calls.open_count(**key) == 0 && calls.standing_count(**key) == 0)
+            .count();
         let is_in_use = |client: &Client| client.asked_at.is_some_and(|at| now - at < drain::IN_USE_S);
         let in_use = held().filter(|(_, client)| is_in_use(client)).count();
         log::info!(held = held().count(), waiting, standing, idle, in_use; "drain-term");
@@ -176,8 +186,8 @@
             told: self.best_reply != BestReply::None,
             asks_again: self.asked_again_at.is_some(),
             // An answer that came in this turn is not written yet.
-            open: calls.open_from(key) + usize::from(calls.owes_reply(key)),
-            standing: calls.standing_from(key),
+            open: calls.open_count(key) + usize::from(calls.has_pending_reply(key)),
+            standing: calls.standing_count(key),
             writing: self.connection.blocked(),
             reading: self.connection.holds_part(),
             end_path: Some(key) == end_path,
--- a/crates/gatekeeper/src/node/gates.rs
+++ b/crates/gatekeeper/src/node/gates.rs
@@ -1,30 +1,31 @@
-//! The gates that set-ups have to pass, in their order.
+//! The gates that a set-up must pass before it is sent to a server.
 //!
-//! One after the other is asked, and the first denial counts:
+//! They are asked in this order, and the first denial is final:
 //!
-//! 1. `fleet`: what other gatekeepers know of servers, and nothing at all while what is believed here is old.
-//! 2. `crossing`: budgets for set-ups to other districts.
+//! 1. `fleet` denies servers that other gatekeepers report as unusable, and all servers while this gatekeeper's own
+//!    knowledge is out of date.
+//! 2. `crossing` denies set-ups to other districts that are over budget.
 
 use hollypaddle_crossing::Crossing;
 use hollypaddle_policy::{Candidate, Denial, Event, Gate};
 use hollypaddle_replica::guard::Guard;
 
-/// All gates of this gatekeeper; one that is not configured is not there.
+/// All gates of this gatekeeper. A gate that is not configured is `None`.
 #[derive(Default)]
 pub struct Gates {
-    /// What other gatekeepers know.
+    /// Denies servers by what other gatekeepers report.
     pub fleet: Option<Guard>,
-    /// Account and budgets of what crosses districts.
+    /// Counts set-ups to other districts and enforces their budgets.
     pub crossing: Option<Crossing>,
 }
 
 impl Gate for Gates {
-    fn hear(&mut self, now: f64, event: &Event) {
+    fn on_event(&mut self, now: f64, event: &Event) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.hear(now, event);
+            fleet.on_event(now, event);
         }
         if let Some(crossing) = &mut self.crossing {
-            crossing.hear(now, event);
+            crossing.on_event(now, event);
         }
     }
 
@@ -33,13 +34,13 @@
         self.crossing.as_mut().map_or(Ok(()), |crossing| crossing.may_send(now, candidate))
     }
 
-    fn sent(&mut self, now: f64, candidate: &Candidate) {
+    fn on_sent(&mut self, now: f64, candidate: &Candidate) {
         if let Some(crossing) = &mut self.crossing {
-            crossing.sent(now, candidate);
+            crossing.on_sent(now, candidate);
         }
     }
 
-    fn turned_away(&mut self, now: f64, candidate: &Candidate, denial: &Denial) {
+    fn on_refused(&mut self, now: f64, candidate: &Candidate, denial: &Denial) {
         log::debug!(
             call = candidate.call, class = candidate.class, reason = denial.reason,
             retry_after_s = denial.retry_after;
@@ -47,12 +48,12 @@
         );
         match &mut self.fleet {
             Some(fleet) if denial.reason.starts_with("fleet-") => {
-                return fleet.turned_away(now, candidate, denial);
+                return fleet.on_refused(now, candidate, denial);
             }
             _ => {}
         }
         if let Some(crossing) = &mut self.crossing {
-            crossing.turned_away(now, candidate, denial);
+            crossing.on_refused(now, candidate, denial);
         }
     }
 }
--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -20,8 +20,8 @@
 use postcard::ser_flavors::Size;
 
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
-use super::servers::dial;
+use super::poller::{Key, Poller, Ready};
+use super::servers::connect_nonblocking;
 
 /// Longest frame, including its length prefix. The longest message is a piece of a stream, of some 15 KiB.
 const MAX_FRAME_BYTES: usize = 64 * 1024;
@@ -232,10 +232,10 @@
 
 impl Peers {
     /// Opens the listener.
-    pub fn listen(own: MemberId, address: SocketAddr, watch: &mut Watch) -> io::Result<Peers> {
+    pub fn listen(own: MemberId, address: SocketAddr, poller: &mut Poller) -> io::Result<Peers> {
         let listener = bind(address, LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
-        let key = watch.add(&listener, false)?;
+        let key = poller.add(&listener, false)?;
         Ok(Peers {
             own,
             listener: Some((listener, key)),
@@ -259,7 +259,7 @@
         now: f64,
         all: impl Iterator<Item = (MemberId, String, SocketAddr)>,
         member: &mut Member,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         let others = all.filter(|(id, ..)| *id != self.own);
         let old = std::mem::take(&mut self.members);
@@ -276,7 +276,7 @@
             .filter(|(_, link)| link.member.is_some_and(|m| address_changed(&m) && old.contains_key(&m)))
             .map(|(key, _)| *key)
             .collect();
-        obsolete.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        obsolete.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
     }
 
     /// Returns a member's name, or its id if it is not configured.
@@ -285,37 +285,37 @@
     }
 
     /// Stops accepting and dialing, and closes all links.
-    pub fn close_all(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn close_all(&mut self, now: f64, member: &mut Member, poller: &Poller) {
         if let Some((listener, _)) = self.listener.take() {
-            watch.remove(&listener);
+            poller.remove(&listener);
         }
         let keys: Vec<Key> = self.links.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        keys.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
         self.members.values_mut().for_each(|n| n.next_dial_at = f64::INFINITY);
     }
 
     /// Announces to all members that this one leaves.
-    pub fn send_leave(&mut self, watch: &Watch) {
+    pub fn send_leave(&mut self, poller: &Poller) {
         for (key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
-            link.send_message(*key, Word::Leave, watch, &mut self.counts);
+            link.send_message(*key, Word::Leave, poller, &mut self.counts);
         }
     }
 
     // ---- Socket events
 
     /// Handles a socket that is ready, if it belongs to a link or is the listener.
-    pub fn handle_ready(&mut self, now: f64, ready: Ready, member: &mut Member, watch: &mut Watch) {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, member: &mut Member, poller: &mut Poller) {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
-            return self.accept(now, watch, member);
+            return self.accept(now, poller, member);
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if !link.up {
-            return self.connected(now, ready.key, member, watch);
+            return self.connected(now, ready.key, member, poller);
         }
         if ready.writable && link.connection.flush().is_err() {
-            return self.drop_link(now, ready.key, member, watch);
+            return self.drop_link(now, ready.key, member, poller);
         }
-        link.watch(ready.key, watch);
+        link.watch(ready.key, poller);
         if !ready.readable {
             return;
         }
@@ -329,16 +329,16 @@
                 return;
             }
             self.counts.received += 1;
-            if let Err(reason) = self.handle_message(now, ready.key, &message, member, watch) {
-                return self.refuse(now, ready.key, &reason, member, watch);
+            if let Err(reason) = self.handle_message(now, ready.key, &message, member, poller) {
+                return self.refuse(now, ready.key, &reason, member, poller);
             }
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, poller),
             Err(reason) => {
                 let error = LinkError::Unreadable(reason.to_string());
-                self.refuse(now, ready.key, &error, member, watch)
+                self.refuse(now, ready.key, &error, member, poller)
             }
         }
     }
@@ -349,7 +349,7 @@
         key: Key,
         message: &Word,
         member: &mut Member,
-        watch: &Watch,
+        poller: &Poller,
     ) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
         if let (true, Some(from)) = (link.identified, link.member) {
@@ -372,7 +372,7 @@
         // incarnation of it is known here.
         if let (false, Word::Hello { from, .. }) = (link.dialed, message) {
             if self.members.contains_key(from) {
-                link.send_message(key, member.hello(now, *from), watch, &mut self.counts);
+                link.send_message(key, member.hello(now, *from), poller, &mut self.counts);
             }
         }
         let from = identified?;
@@ -386,24 +386,24 @@
         // The end of an earlier link was not noticed.
         if let Some(old) = self.by_member.insert(from, key).filter(|old| *old != key) {
             if let Some(link) = self.links.remove(&old) {
-                watch.remove(link.connection.stream());
+                poller.remove(link.connection.stream());
             }
         }
         Ok(())
     }
 
     /// Closes a link after invalid or rejected input.
-    fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, watch: &Watch) {
+    fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, poller: &Poller) {
         self.counts.refused += 1;
         let name = self.links.get(&key).and_then(|l| l.member).map(|m| self.name(m));
         let reason = error.name();
         log::debug!(member = name.as_deref().unwrap_or("-"), reason, error:%; "fleet-link-refused");
-        self.drop_link(now, key, member, watch);
+        self.drop_link(now, key, member, poller);
     }
 
-    fn drop_link(&mut self, now: f64, key: Key, member: &mut Member, watch: &Watch) {
+    fn drop_link(&mut self, now: f64, key: Key, member: &mut Member, poller: &Poller) {
         let Some(link) = self.links.remove(&key) else { return };
-        watch.remove(link.connection.stream());
+        poller.remove(link.connection.stream());
         let Some(of) = link.member else { return };
         if self.by_member.get(&of) == Some(&key) {
             self.by_member.remove(&of);
@@ -414,20 +414,20 @@
         }
     }
 
-    fn accept(&mut self, now: f64, watch: &mut Watch, member: &mut Member) {
+    fn accept(&mut self, now: f64, poller: &mut Poller, member: &mut Member) {
         loop {
             let unidentified = self.links.iter().filter(|(_, l)| !l.identified && !l.dialed);
             let oldest =
                 unidentified.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| *key);
             if let Some(oldest) = oldest.filter(|_| unidentified.count() >= MAX_UNIDENTIFIED_LINKS) {
                 self.counts.refused += 1;
-                self.drop_link(now, oldest, member, watch);
+                self.drop_link(now, oldest, member, poller);
             }
             let Some((listener, listener_key)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, None))),
@@ -440,13 +440,13 @@
                 // Out of descriptors: waiting connections are accepted at the next call of `maintain`.
                 Err(_) => {
                     self.accept_paused = true;
-                    return watch.set(*listener_key, listener, false, false);
+                    return poller.set_interest(*listener_key, listener, false, false);
                 }
             }
         }
     }
 
-    fn connected(&mut self, now: f64, key: Key, member: &mut Member, watch: &Watch) {
+    fn connected(&mut self, now: f64, key: Key, member: &mut Member, poller: &Poller) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let stream = link.connection.stream();
         let result = match stream.take_error() {
@@ -455,16 +455,16 @@
         };
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
-            Err(error) => self.failed(now, key, &error, member, watch),
+            Err(error) => self.failed(now, key, &error, member, poller),
             Ok(()) => {
                 let Some(to) = link.member else { return };
                 (link.up, link.since) = (true, now);
-                link.send_message(key, member.hello(now, to), watch, &mut self.counts);
+                link.send_message(key, member.hello(now, to), poller, &mut self.counts);
             }
         }
     }
 
-    fn failed(&mut self, now: f64, key: Key, error: &io::Error, member: &mut Member, watch: &Watch) {
+    fn failed(&mut self, now: f64, key: Key, error: &io::Error, member: &mut Member, poller: &Poller) {
         let Some(of) = self.links.get(&key).and_then(|link| link.member) else { return };
         let refused = error.kind() == ErrorKind::ConnectionRefused;
         if refused {
@@ -474,21 +474,21 @@
             peer.redial_delay =
                 if refused { MIN_REDIAL_DELAY_S } else { (peer.redial_delay * 2.0).min(MAX_REDIAL_DELAY_S) };
         }
-        self.drop_link(now, key, member, watch);
+        self.drop_link(now, key, member, poller);
     }
 
     /// Dials members without a link and closes links whose handshake timed out. Called periodically.
-    pub fn maintain(&mut self, now: f64, member: &mut Member, watch: &mut Watch) {
+    pub fn maintain(&mut self, now: f64, member: &mut Member, poller: &mut Poller) {
         if let (true, Some((listener, key))) = (self.accept_paused, &self.listener) {
             self.accept_paused = false;
-            watch.set(*key, listener, true, false);
+            poller.set_interest(*key, listener, true, false);
         }
         let timed_out = |l: &Link| !l.identified && now - l.since >= HANDSHAKE_TIMEOUT_S;
         let timed_out: Vec<Key> =
             self.links.iter().filter(|(_, l)| timed_out(l)).map(|(key, _)| *key).collect();
         for key in timed_out {
-            self.failed(now, key, &ErrorKind::TimedOut.into(), member, watch);
-            self.drop_link(now, key, member, watch);
+            self.failed(now, key, &ErrorKind::TimedOut.into(), member, poller);
+            self.drop_link(now, key, member, poller);
         }
         if member.view().superseded() || self.listener.is_none() {
             return;
@@ -506,7 +506,7 @@
             if let Some(peer) = self.members.get_mut(&id) {
                 peer.next_dial_at = now + peer.redial_delay;
             }
-            match dial(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
+            match connect_nonblocking(address).and_then(|stream| Ok((poller.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.refused(now, id),
                 // Out of descriptors, or no route: this says nothing about the member.
@@ -516,7 +516,7 @@
     }
 
     /// Sends what is due on every link that has room.
-    pub fn send_due(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn send_due(&mut self, now: f64, member: &mut Member, poller: &Poller) {
         let mut stuck = Vec::new();
         for (&key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
             let Some(to) = link.member else { continue };
@@ -525,13 +525,13 @@
                     break;
                 }
                 let Some(message) = member.say(now, to) else { break };
-                if !link.send_message(key, message, watch, &mut self.counts) {
+                if !link.send_message(key, message, poller, &mut self.counts) {
                     stuck.push(key);
                     break;
                 }
             }
         }
-        stuck.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        stuck.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
     }
 }
 
@@ -552,7 +552,7 @@
     }
 
     /// Sends a message; returns whether the link is still usable.
-    fn send_message(&mut self, key: Key, message: Word, watch: &Watch, counts: &mut Counts) -> bool {
+    fn send_message(&mut self, key: Key, message: Word, poller: &Poller, counts: &mut Counts) -> bool {
         let before = self.connection.queued();
         let framed = Framed(message);
         let sent = self.connection.send(&framed);
@@ -560,15 +560,15 @@
         counts.sent += 1;
         counts.bytes_sent += bytes;
         counts.by_kind.count(&framed.0, bytes);
-        self.watch(key, watch);
+        self.watch(key, poller);
         sent.is_ok()
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let watching_writable = !self.up || self.connection.blocked();
         if watching_writable != self.watching_writable {
             self.watching_writable = watching_writable;
-            watch.set(key, self.connection.stream(), true, watching_writable);
+            poller.set_interest(key, self.connection.stream(), true, watching_writable);
         }
     }
 }
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -19,8 +19,8 @@
 use socket2::SockRef;
 
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
-use super::servers::dial;
+use super::poller::{Key, Poller, Ready};
+use super::servers::connect_nonblocking;
 
 /// Unsent bytes that may be queued on a link.
 const MAX_QUEUED_BYTES: usize = 2 * message::MOST;
@@ -161,12 +161,12 @@
 
 impl Links {
     /// Opens the listener, if there is one, for at most this many simultaneous links.
-    pub fn open(listen: Option<SocketAddr>, max_links: usize, watch: &mut Watch) -> io::Result<Links> {
+    pub fn open(listen: Option<SocketAddr>, max_links: usize, poller: &mut Poller) -> io::Result<Links> {
         let (mut listener, mut address) = (None, None);
         if let Some(listen) = listen {
             let opened = bind(listen, LISTEN_BACKLOG)?;
             address = Some(opened.local_addr()?);
-            let key = watch.add(&opened, false)?;
+            let key = poller.add(&opened, false)?;
             listener = Some((opened, key));
         }
         Ok(Links {
@@ -193,7 +193,7 @@
         max_links: usize,
         addresses: BTreeMap<MemberId, SocketAddr>,
         node: &mut dyn Node,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         self.max_links = max_links;
         let address_changed =
@@ -201,7 +201,7 @@
         let keys: Vec<Key> =
             self.links.iter().filter(|(_, l)| address_changed(l)).map(|(key, _)| *key).collect();
         self.addresses = addresses;
-        keys.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
+        keys.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, poller));
     }
 
     /// Returns the number of links.
@@ -225,14 +225,14 @@
     }
 
     /// Closes all sockets, after watching_writable what can be written without waiting.
-    pub fn close_all(mut self, watch: &Watch) {
+    pub fn close_all(mut self, poller: &Poller) {
         if let Some((listener, _)) = self.listener.take() {
-            watch.remove(&listener);
+            poller.remove(&listener);
         }
         for link in self.links.values_mut() {
             // Unwritten bytes are lost; the peer sees the link closed.
             let _ = link.connection.flush();
-            watch.remove(link.connection.stream());
+            poller.remove(link.connection.stream());
         }
     }
 
@@ -245,41 +245,41 @@
     }
 
     /// Handles a socket that is ready, if it belongs to a link or is the listener; returns whether it does.
-    pub fn handle_ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &mut Watch) -> bool {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, poller: &mut Poller) -> bool {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
-            self.accept(now, node, watch);
+            self.accept(now, node, poller);
             return true;
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return false };
         if link.closing_since.is_some() {
             // Waits for the peer to close the link or for an error. What the peer still sends is discarded.
             if link.connection.flush().is_err() || link.connection.pass_over().is_err() {
-                self.drop_link(ready.key, watch);
+                self.drop_link(ready.key, poller);
             } else {
-                link.watch(ready.key, watch);
+                link.watch(ready.key, poller);
                 self.shutdown_write(ready.key);
             }
         } else if !link.up {
-            self.connected(now, ready.key, node, watch);
+            self.connected(now, ready.key, node, poller);
         } else {
-            self.read_and_write(now, ready, node, watch);
+            self.read_and_write(now, ready, node, poller);
         }
         true
     }
 
-    fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &Watch) {
+    fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, poller: &Poller) {
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if ready.writable {
             let was_blocked = link.connection.blocked();
             if link.connection.flush().is_err() {
-                return self.handle_link_down(now, ready.key, false, node, watch);
+                return self.handle_link_down(now, ready.key, false, node, poller);
             }
             link.record_progress(now);
             if was_blocked && !link.connection.blocked() {
                 node.writable(now, link.id);
             }
         }
-        link.watch(ready.key, watch);
+        link.watch(ready.key, poller);
         if !ready.readable {
             return;
         }
@@ -290,7 +290,7 @@
             self.counts.bytes_received += length;
             self.counts.unknown += u64::from(matches!(message, Message::Unknown(_)));
             if let Err(error) = node.hear(now, id, &message) {
-                return self.refuse(now, ready.key, &error.into(), node, watch);
+                return self.refuse(now, ready.key, &error.into(), node, poller);
             }
             if let Some(link) = self.links.get_mut(&ready.key) {
                 link.identified = true;
@@ -298,34 +298,34 @@
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.handle_link_down(now, ready.key, false, node, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.handle_link_down(now, ready.key, false, node, poller),
             Err(reason) => {
                 let error = RelayLinkError::Unreadable(reason.to_string());
-                self.refuse(now, ready.key, &error, node, watch);
+                self.refuse(now, ready.key, &error, node, poller);
             }
         }
     }
 
-    fn accept(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    fn accept(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         loop {
             let unidentified = self.links.iter().filter(|(_, l)| l.is_unidentified());
             let oldest = unidentified.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since));
             let oldest = oldest.map(|(key, link)| (*key, link.since));
             if unidentified.count() >= MAX_UNIDENTIFIED_LINKS {
                 match oldest.filter(|(_, since)| now - since >= MIN_IDENTIFY_TIME_S) {
-                    Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, watch),
-                    None => return self.pause_accept(watch),
+                    Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, poller),
+                    None => return self.pause_accept(poller),
                 }
             }
             if self.links.len() >= self.max_links {
-                return self.pause_accept(watch);
+                return self.pause_accept(poller);
             }
             let Some((listener, _)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => {
@@ -339,16 +339,16 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset
                     ) => {}
                 // Out of descriptors.
-                Err(_) => return self.pause_accept(watch),
+                Err(_) => return self.pause_accept(poller),
             }
         }
     }
 
     /// Stops accepting. Waiting connections are accepted at the next call of [`maintain`](Self::maintain).
-    fn pause_accept(&mut self, watch: &Watch) {
+    fn pause_accept(&mut self, poller: &Poller) {
         if let Some((listener, key)) = &self.listener {
             self.accept_paused = true;
-            watch.set(*key, listener, false, false);
+            poller.set_interest(*key, listener, false, false);
         }
     }
 
@@ -357,7 +357,7 @@
         self.links.insert(key, link);
     }
 
-    fn connected(&mut self, now: f64, key: Key, node: &mut dyn Node, watch: &Watch) {
+    fn connected(&mut self, now: f64, key: Key, node: &mut dyn Node, poller: &Poller) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let stream = link.connection.stream();
         let result = match stream.take_error() {
@@ -367,11 +367,11 @@
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
             Err(error) => {
-                self.handle_link_down(now, key, error.kind() == ErrorKind::ConnectionRefused, node, watch)
+                self.handle_link_down(now, key, error.kind() == ErrorKind::ConnectionRefused, node, poller)
             }
             Ok(()) => {
                 (link.up, link.since) = (true, now);
-                link.watch(key, watch);
+                link.watch(key, poller);
                 node.up(now, link.id);
             }
         }
@@ -380,7 +380,7 @@
     // ---- The end of a link
 
     /// Closes a link for an error and informs the node.
-    fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, watch: &Watch) {
+    fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, poller: &Poller) {
         self.counts.refused += 1;
         self.counts.stuck += u64::from(matches!(error, RelayLinkError::Stuck));
         let link = self.links.get(&key);
@@ -390,7 +390,7 @@
         let rejected = matches!(error, RelayLinkError::Node(_));
         let Some(link) = self.links.get_mut(&key).filter(|l| rejected && l.up && l.closing_since.is_none())
         else {
-            return self.handle_link_down(now, key, false, node, watch);
+            return self.handle_link_down(now, key, false, node, poller);
         };
         // A node may answer what it rejects: another relay learns which incarnation of it is known here.
         for _ in 0..MAX_MESSAGES_PER_ITERATION {
@@ -402,21 +402,21 @@
         }
         let id = link.id;
         node.down(now, id, false);
-        self.close(now, id, watch);
+        self.close(now, id, poller);
     }
 
     /// Removes a link that is down and informs the node.
-    fn handle_link_down(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, watch: &Watch) {
+    fn handle_link_down(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, poller: &Poller) {
         let active = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
-        self.drop_link(key, watch);
+        self.drop_link(key, poller);
         if let Some(id) = active {
             node.down(now, id, refused);
         }
     }
 
-    fn drop_link(&mut self, key: Key, watch: &Watch) {
+    fn drop_link(&mut self, key: Key, poller: &Poller) {
         if let Some(link) = self.links.remove(&key) {
-            watch.remove(link.connection.stream());
+            poller.remove(link.connection.stream());
             if self.by_id.get(&link.id) == Some(&key) {
                 self.by_id.remove(&link.id);
             }
@@ -425,11 +425,11 @@
 
     /// Closes a link that the node no longer uses. The socket is closed once everything is written and the peer has closed its
     /// end too. Closing it earlier, with unread input, could lose the last message.
-    fn close(&mut self, now: f64, id: LinkId, watch: &Watch) {
+    fn close(&mut self, now: f64, id: LinkId, poller: &Poller) {
         let Some(key) = self.by_id.remove(&id) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
         match link.up {
-            false => self.drop_link(key, watch),
+            false => self.drop_link(key, poller),
             true => {
                 link.closing_since = Some(now);
                 self.shutdown_write(key);
@@ -448,14 +448,14 @@
     // ---- The steps of an iteration of the event loop
 
     /// Closes links that have timed out and resumes accepting. Called periodically.
-    pub fn maintain(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn maintain(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         let keys: Vec<Key> = self.links.keys().copied().collect();
         for key in keys {
             let Some(link) = self.links.get_mut(&key) else { continue };
             link.record_progress(now);
             let error = match () {
                 () if link.closing_since.is_some_and(|since| now - since >= CLOSE_TIMEOUT_S) => {
-                    self.drop_link(key, watch);
+                    self.drop_link(key, poller);
                     continue;
                 }
                 () if link.closing_since.is_some() => continue,
@@ -466,26 +466,26 @@
                 () if now - link.written.1 >= STUCK_TIMEOUT_S => RelayLinkError::Stuck,
                 () => continue,
             };
-            self.refuse(now, key, &error, node, watch);
+            self.refuse(now, key, &error, node, poller);
         }
         if std::mem::take(&mut self.accept_paused) {
             if let Some((listener, key)) = &self.listener {
-                watch.set(*key, listener, true, false);
+                poller.set_interest(*key, listener, true, false);
             }
-            self.accept(now, node, watch);
+            self.accept(now, node, poller);
         }
     }
 
     /// Makes links, sends messages and closes links as the node requests. Called at the end of an iteration.
-    pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         for (id, to) in node.dials(now) {
             let dialed = match self.addresses.get(&to) {
-                Some(address) => dial(*address),
+                Some(address) => connect_nonblocking(*address),
                 None => Err(ErrorKind::AddrNotAvailable.into()),
             };
             let attempt = dialed.and_then(|stream| {
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
-                Ok((watch.add(&stream, true)?, stream))
+                Ok((poller.add(&stream, true)?, stream))
             });
             match attempt {
                 Ok((key, stream)) => self.insert(key, Link::new(now, id, Some(to), stream)),
@@ -522,11 +522,11 @@
                 }
             }
             link.record_progress(now);
-            link.watch(key, watch);
+            link.watch(key, poller);
         }
-        broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
+        broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, poller));
         for id in node.closes() {
-            self.close(now, id, watch);
+            self.close(now, id, poller);
         }
     }
 }
@@ -560,11 +560,11 @@
         }
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let watching_writable = !self.up || self.connection.blocked();
         if watching_writable != self.watching_writable {
             self.watching_writable = watching_writable;
-            watch.set(key, self.connection.stream(), true, watching_writable);
+            poller.set_interest(key, self.connection.stream(), true, watching_writable);
         }
     }
 }
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -96,20 +96,20 @@
 
 /// A node with its links and a clock.
 struct TestBed {
-    watch: Watch,
+    poller: Poller,
     links: Links,
     node: RecordingNode,
     started: Instant,
-    /// Seconds that were skipped_s on the clock.
+    /// Seconds that were skipped on the clock.
     skipped_s: f64,
 }
 
 impl TestBed {
     fn new(listens: bool, most: usize) -> TestBed {
-        let mut watch = Watch::new().unwrap();
+        let mut poller = Poller::new().unwrap();
         let listen = listens.then(|| (Ipv4Addr::LOCALHOST, 0).into());
-        let links = Links::open(listen, most, &mut watch).unwrap();
-        TestBed { watch, links, node: RecordingNode::default(), started: Instant::now(), skipped_s: 0.0 }
+        let links = Links::open(listen, most, &mut poller).unwrap();
+        TestBed { poller, links, node: RecordingNode::default(), started: Instant::now(), skipped_s: 0.0 }
     }
 
     fn now(&self) -> f64 {
@@ -118,11 +118,11 @@
 
     fn iterate(&mut self) {
         let now = self.now();
-        for ready in self.watch.wait(0.002).unwrap() {
-            self.links.handle_ready(now, ready, &mut self.node, &mut self.watch);
+        for ready in self.poller.wait(0.002).unwrap() {
+            self.links.handle_ready(now, ready, &mut self.node, &mut self.poller);
         }
-        self.links.maintain(now, &mut self.node, &mut self.watch);
-        self.links.apply_node_actions(now, &mut self.node, &mut self.watch);
+        self.links.maintain(now, &mut self.node, &mut self.poller);
+        self.links.apply_node_actions(now, &mut self.node, &mut self.poller);
     }
 
     /// Runs iterations until the condition holds; fails if it does not in time.
@@ -143,7 +143,7 @@
     fn set_address(&mut self, member: MemberId, address: SocketAddr) {
         let addresses = BTreeMap::from([(member, address)]);
         let now = self.now();
-        self.links.reconfigure(now, 100, addresses, &mut self.node, &self.watch);
+        self.links.reconfigure(now, 100, addresses, &mut self.node, &self.poller);
     }
 }
 
@@ -320,7 +320,7 @@
     // A listener whose queue is full accepts no more connections; they stay pending.
     let listener = bind((Ipv4Addr::LOCALHOST, 0).into(), 0).unwrap();
     let address = listener.local_addr().unwrap();
-    let full: Vec<TcpStream> = (0..4).filter_map(|_| dial(address).ok()).collect();
+    let full: Vec<TcpStream> = (0..4).filter_map(|_| connect_nonblocking(address).ok()).collect();
     leaf.set_address(MemberId(2), address);
     let link = leaf.node.dial(MemberId(2));
     leaf.iterate();
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -20,13 +20,13 @@
 use hollypaddle_replica::record::{ServerKey, Topic};
 use serde_json::{json, Value};
 
-use super::control::Question;
+use super::components::{Component, ComponentContext};
+use super::control::Query;
 use super::events::{log_member_event, EventLogLimiter};
 use super::fleet::new_incarnation;
 use super::observations::{PeerObservations, ReportedServers};
 use super::poller::Ready;
 use super::relays::{max_leaf_links, max_links, Links};
-use super::subjects::{Room, Subject};
 
 /// Time after which a started leaf is ready even if it has not received a relay's state.
 const MAX_CATCH_UP_WAIT_S: f64 = 1.0;
@@ -156,11 +156,11 @@
 }
 
 impl Joined {
-    fn join(room: &mut Room, conf: &FleetConf, tier: &TierConf) -> io::Result<Joined> {
-        let now = room.now;
-        let identity = Identity::of(conf, tier, room.platform);
+    fn join(ctx: &mut ComponentContext, conf: &FleetConf, tier: &TierConf) -> io::Result<Joined> {
+        let now = ctx.now;
+        let identity = Identity::of(conf, tier, ctx.platform);
         let own = MemberId::of(&identity.name);
-        let incarnation = new_incarnation(now, room.seed);
+        let incarnation = new_incarnation(now, ctx.seed);
         let relays = places(tier);
         let mut role = match tier.relay(&identity.name) {
             Some(_) => {
@@ -175,8 +175,8 @@
             }
         };
         let max_links = max_links_in_tier(tier, &identity.name);
-        let mut links = Links::open(identity.listen, max_links, room.watch)?;
-        links.reconfigure(now, max_links, addresses(tier), role.node(), room.watch);
+        let mut links = Links::open(identity.listen, max_links, ctx.poller)?;
+        links.reconfigure(now, max_links, addresses(tier), role.node(), ctx.poller);
         let name = identity.name.as_str();
         match links.address() {
             Some(listen) => {
@@ -204,8 +204,8 @@
     }
 
     /// Applies relays, timing and limits of a reloaded configuration.
-    fn change(&mut self, room: &mut Room, conf: &FleetConf, tier: &TierConf) {
-        let now = room.now;
+    fn change(&mut self, ctx: &mut ComponentContext, conf: &FleetConf, tier: &TierConf) {
+        let now = ctx.now;
         match &mut self.role {
             Role::Leaf(leaf) => leaf.change(now, places(tier), timing(tier)),
             Role::Relay(relay) => {
@@ -215,21 +215,21 @@
             }
         }
         let max_links = max_links_in_tier(tier, &self.identity.name);
-        self.links.reconfigure(now, max_links, addresses(tier), self.role.node(), room.watch);
+        self.links.reconfigure(now, max_links, addresses(tier), self.role.node(), ctx.poller);
         self.names = names(tier, &self.identity.name);
         (self.conf, self.tier) = (conf.clone(), tier.clone());
     }
 
     /// Announces that this gatekeeper leaves, and closes all links.
-    fn leave(mut self, room: &mut Room) {
+    fn leave(mut self, ctx: &mut ComponentContext) {
         match &mut self.role {
             Role::Leaf(_) => self.links.send_to_all(&Message::Leave),
             Role::Relay(relay) => {
-                relay.end(room.now);
-                self.links.apply_node_actions(room.now, self.role.node(), room.watch);
+                relay.end(ctx.now);
+                self.links.apply_node_actions(ctx.now, self.role.node(), ctx.poller);
             }
         }
-        self.links.close_all(room.watch);
+        self.links.close_all(ctx.poller);
     }
 
     fn name(&self, member: MemberId) -> String {
@@ -297,12 +297,12 @@
         resumed
     }
 
-    fn due(&mut self, room: &mut Room) -> Vec<PoolEntry> {
-        let now = room.now;
-        self.links.maintain(now, self.role.node(), room.watch);
+    fn due(&mut self, ctx: &mut ComponentContext) -> Vec<PoolEntry> {
+        let now = ctx.now;
+        self.links.maintain(now, self.role.node(), ctx.poller);
         self.propose(now);
         let Role::Leaf(leaf) = &mut self.role else { return Vec::new() };
-        for server in self.reported.report_changes(now, room.servers, leaf.as_mut()) {
+        for server in self.reported.report_changes(now, ctx.servers, leaf.as_mut()) {
             self.removed_servers.push_back((now, server));
         }
         let forget_after = self.conf.settings.forget;
@@ -313,9 +313,9 @@
                 leaf.server(now, server, None);
             }
         }
-        let Some(guard) = &mut room.gates.fleet else { return Vec::new() };
+        let Some(guard) = &mut ctx.gates.fleet else { return Vec::new() };
         let lists_late = self.conf.settings.lists_late;
-        self.observations.update(now, &leaf.hearsay(now), (room.list_at, lists_late), room.servers, guard)
+        self.observations.update(now, &leaf.hearsay(now), (ctx.list_at, lists_late), ctx.servers, guard)
     }
 
     /// Returns newly received settings, once.
@@ -531,13 +531,13 @@
 
 /// This gatekeeper in a tier, if one is configured.
 #[derive(Default)]
-pub struct InTier {
+pub struct TierComponent {
     joined: Option<Joined>,
     /// A tier that was joined while a configuration is prepared, and is not in use yet.
     prepared: Option<Joined>,
 }
 
-impl InTier {
+impl TierComponent {
     /// Applies what other gatekeepers report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(joined) = &self.joined {
@@ -571,109 +571,109 @@
     Some((fleet, fleet.tier.as_ref()?))
 }
 
-impl Subject for InTier {
-    fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
+impl Component for TierComponent {
+    fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some((conf, tier)) = fleet_and_tier(new) else { return Ok(()) };
-        let identity = Identity::of(conf, tier, room.platform);
+        let identity = Identity::of(conf, tier, ctx.platform);
         if self.joined.as_ref().is_none_or(|joined| joined.identity != identity) {
-            self.prepared = Some(Joined::join(room, conf, tier)?);
+            self.prepared = Some(Joined::join(ctx, conf, tier)?);
         }
         Ok(())
     }
 
-    fn abandon(&mut self, room: &mut Room) {
+    fn abandon(&mut self, ctx: &mut ComponentContext) {
         if let Some(prepared) = self.prepared.take() {
-            prepared.links.close_all(room.watch);
+            prepared.links.close_all(ctx.poller);
         }
     }
 
-    fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
+    fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
         let (prepared, at_start) = (self.prepared.take(), self.joined.is_none());
         let change = match (&mut self.joined, prepared, fleet_and_tier(new)) {
             (old, Some(prepared), _) => {
                 if let Some(old) = old.replace(prepared) {
-                    old.leave(room);
+                    old.leave(ctx);
                 }
                 Some("joined")
             }
             (Some(joined), None, Some((conf, tier))) if new.fleet != old.fleet => {
-                joined.change(room, conf, tier);
+                joined.change(ctx, conf, tier);
                 Some("changed")
             }
             (Some(_), None, Some(_)) | (None, None, _) => None,
             (old, None, None) => {
                 if let Some(old) = old.take() {
-                    old.leave(room);
+                    old.leave(ctx);
                 }
                 Some("left")
             }
         };
         if let Some(joined) = &mut self.joined {
             if change.is_some() {
-                room.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
+                ctx.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
             }
             // A relay reads the fleet's settings whenever it reads its configuration.
             if let (Role::Relay(_), Some(path)) = (&joined.role, joined.tier.settings.clone()) {
-                joined.read_settings(room.now, &path, at_start);
+                joined.read_settings(ctx.now, &path, at_start);
             }
         }
         change.map(|change| format!("tier-{change}"))
     }
 
-    fn begin(&mut self, room: &mut Room) {
+    fn begin_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = &mut self.joined {
-            if joined.tick(room.now) {
+            if joined.tick(ctx.now) {
                 // Answers waiting at the socket were sent before or during the pause.
-                room.resolver.forget_asked();
-                room.resolver.ask();
+                ctx.resolver.forget_queries();
+                ctx.resolver.send_query();
             }
         }
     }
 
-    fn heard(&mut self, room: &mut Room, ready: Ready) {
+    fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
         if let Some(joined) = &mut self.joined {
-            joined.links.handle_ready(room.now, ready, joined.role.node(), room.watch);
+            joined.links.handle_ready(ctx.now, ready, joined.role.node(), ctx.poller);
         }
     }
 
-    fn due(&mut self, room: &mut Room, _: &Conf) {
+    fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         let Some(joined) = &mut self.joined else { return };
-        let entries = joined.due(room);
+        let entries = joined.due(ctx);
         if !entries.is_empty() {
-            room.calls.events.push(ModuleEvent::List { kind: ListKind::Changes, entries });
+            ctx.calls.events.push(ModuleEvent::List { kind: ListKind::Changes, entries });
         }
     }
 
-    fn carry_out(&mut self, room: &mut Room) {
+    fn finish_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = &mut self.joined {
-            joined.links.apply_node_actions(room.now, joined.role.node(), room.watch);
+            joined.links.apply_node_actions(ctx.now, joined.role.node(), ctx.poller);
         }
     }
 
-    fn end(&mut self, room: &mut Room) {
+    fn shut_down(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = self.joined.take() {
-            joined.leave(room);
+            joined.leave(ctx);
         }
     }
 
-    fn wants_turn_at(&self) -> Option<f64> {
+    fn next_iteration_at(&self) -> Option<f64> {
         self.joined.as_ref().map(|joined| match &joined.role {
             Role::Leaf(leaf) => leaf.next_at(),
             Role::Relay(relay) => relay.next_at(),
         })
     }
 
-    fn not_ready(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         self.joined.as_ref().filter(|joined| !joined.ready(joined.last_tick_at)).map(|_| "catching-up")
     }
 
-    fn answer(&mut self, room: &mut Room, question: &Question) -> Option<Value> {
+    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
         Some(match (question, &self.joined) {
-            (Question::Members {}, Some(joined)) => json!({"ok": joined.report(room.now)}),
-            (Question::Replica {}, Some(_)) => {
+            (Query::Members {}, Some(joined)) => json!({"ok": joined.report(ctx.now)}),
+            (Query::Replica {}, Some(_)) => {
                 json!({"error": "a tier of relays holds no copies of other members: ask for `members`"})
             }
-            (Question::Members {} | Question::Replica {}, None) => {
+            (Query::Members {} | Query::Replica {}, None) => {
                 json!({"error": "no fleet: the block `fleet` is not configured"})
             }
             _ => return None,
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -4,12 +4,12 @@
 
 use std::time::Instant;
 
-use hollypaddle_core::calls::{Calls, Content, Effect, End, Order, Request};
+use hollypaddle_core::calls::{Calls, Command, Content, Effect, End, Request};
 use hollypaddle_crossing::{
     Amount, BendSettings, ClassInfo, Crossing, District, Rate, Rule, Scope, Settings as GateSettings,
 };
 use hollypaddle_policy::{
-    Action, CallId, Cause, ClassSettings, Controller, Event, Gate, GoalWeights, ListKind, Open, Outcome,
+    Action, AllowAll, CallId, Cause, ClassSettings, Controller, Event, Gate, GoalWeights, ListKind, Outcome,
     PoolEntry, PoolId, Readiness, Report, Settings,
 };
 
@@ -29,20 +29,20 @@
         repeatable: true,
     };
     Settings {
-        fronts: 8,
-        period: 0.005,
+        gatekeepers: 8,
+        min_batch_interval: 0.005,
         classes: vec![class(1.0), class(8.0)],
         tenants: Vec::new(),
         over_share_worth: 1.0,
         goal: GoalWeights::default(),
-        hold: Some(8.0),
-        retransmit: 0.4,
-        release: 0.3,
+        mean_holding_time: Some(8.0),
+        retransmit_time: 0.4,
+        release_time: 0.3,
         try_limit: 6,
         may_cancel: true,
-        retry_after: Some(2.0),
-        cold: 14.0,
-        cold_from: 0.3,
+        max_retry_after: Some(2.0),
+        warm_up_time: 14.0,
+        initial_capacity_ratio: 0.3,
         overload_factor: 3.0,
         must_subscribe: false,
     }
@@ -96,7 +96,7 @@
 
 impl<G: Gate> Feed<G> {
     fn new(gate: G, servers: u32, with_core: bool) -> Self {
-        let mut controller = Controller::gated(settings(), 1, gate);
+        let mut controller = Controller::with_gate(settings(), 1, gate);
         let entry = |n: u32| PoolEntry {
             pool: PoolId(u64::from(n)),
             number: n,
@@ -140,10 +140,19 @@
                 }
             }
             if let Some(pool) = sent {
-                self.tell(Event::Stood { call, pool, lag: 0.02, attempt: 0 });
-                let (cause, wait, report) = (Cause::Unknown, None, Report::default());
+                self.tell(Event::Established { call, pool, delay: 0.02, attempt: 0 });
+                let (cause, retry_after, report) = (Cause::Unknown, None, Report::default());
                 let (complete, outcome) = (true, Outcome::Done);
-                self.tell(Event::Ended { call, pool, attempt: 0, complete, outcome, cause, wait, report });
+                self.tell(Event::Ended {
+                    call,
+                    pool,
+                    attempt: 0,
+                    complete,
+                    outcome,
+                    cause,
+                    retry_after,
+                    report,
+                });
             }
             if let Some(token) = timer {
                 self.tell(Event::Timer { token });
@@ -163,9 +172,9 @@
         let content = Content { number: vec![b'7'; 16], description: Some(vec![0; 64]) };
         let _ = core.offer(self.now, 1, Request { id, class, wait: 3.0, dialled: id, first_choice, content });
         if let Some(pool) = self.settle(&mut core) {
-            core.stood(self.now, pool, id, Some(vec![0; 64]));
+            core.established(self.now, pool, id, Some(vec![0; 64]));
             self.settle(&mut core);
-            core.ended(self.now, pool, id, End::of(Outcome::Done));
+            core.ended(self.now, pool, id, End::with_outcome(Outcome::Done));
             self.settle(&mut core);
         }
         core
@@ -176,7 +185,7 @@
         let (mut sent, mut timers) = (None, Vec::new());
         while !(core.events.is_empty() && core.effects.is_empty()) {
             for effect in core.effects.drain(..) {
-                if let Effect::Server { pool, order: Order::SetUp { .. }, .. } = effect {
+                if let Effect::Command { pool, command: Command::SetUp { .. }, .. } = effect {
                     sent = Some(pool);
                 }
             }
@@ -185,7 +194,7 @@
             }
             for action in self.out.drain(..) {
                 match action {
-                    Action::Send { call, pool, limit } => core.send(self.now, call, pool, limit),
+                    Action::Send { call, pool, limit } => core.start_attempt(self.now, call, pool, limit),
                     Action::Refuse { call, retry_after } => core.refuse(call, retry_after),
                     Action::Fail { call } => core.fail(call),
                     Action::Timer { token, .. } => timers.push(token),
@@ -276,7 +285,7 @@
 
 /// Measures one pair, the two turn about.
 pub fn cost(servers: u32, rules: usize, with_core: bool) -> Cost {
-    let mut open = Feed::new(Open, servers, with_core);
+    let mut open = Feed::new(AllowAll, servers, with_core);
     let mut gated = Feed::new(gate(rules), servers, with_core);
     let mut pairs = Vec::new();
     // The first stretches fill caches and tables.
