--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -573,7 +573,7 @@
     // ---- Timers
 
     /// Handles a caller's deadline. The timeout of an open attempt is reported to the decision module, which answers it
-    /// within [`DEADLINE_SLACK_S`]; a call that is still pending after that fails here.
+    /// within `DEADLINE_SLACK_S`; a call that is still pending after that fails here.
     pub fn deadline_passed(&mut self, now: f64, call: CallId) {
         let Some(c) = self.calls.get_mut(&call) else { return };
         match std::mem::replace(&mut c.state, State::Pending) {
