--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -367,7 +367,7 @@
             }
         }
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
-        let identified = member.greeted(now, message);
+        let sender = member.greeted(now, message);
         // The member that makes the link sends its hello first. It is answered even if it is rejected, so that it learns which
         // incarnation of it is known here.
         if let (false, Word::Hello { from, .. }) = (link.dialed, message) {
@@ -375,7 +375,7 @@
                 link.send_message(key, member.hello(now, *from), poller, &mut self.counts);
             }
         }
-        let from = identified?;
+        let from = sender?;
         if link.member.is_some_and(|to| to != from) {
             return Err(LinkError::AnotherMember);
         }
