--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -94,7 +94,7 @@
 
 /// All listed servers.
 pub struct Servers {
-    link: ProtocolSettings,
+    protocol: ProtocolSettings,
     telemetry: Telemetry,
     /// The number of each listed server, by its id. No number is given twice, so that late input for a server that is gone is
     /// not attributed to its successor.
@@ -109,9 +109,14 @@
 
 impl Servers {
     /// Creates the state without any servers.
-    pub fn new(link: ProtocolSettings, telemetry: Telemetry, descriptors: Descriptors, seed: u64) -> Self {
+    pub fn new(
+        protocol: ProtocolSettings,
+        telemetry: Telemetry,
+        descriptors: Descriptors,
+        seed: u64,
+    ) -> Self {
         let (pools, servers) = (BTreeMap::new(), BTreeMap::new());
-        Servers { link, telemetry, pools, last_pool: 0, servers, descriptors, seed }
+        Servers { protocol, telemetry, pools, last_pool: 0, servers, descriptors, seed }
     }
 
     /// Maximum number of client connections that the descriptors allow beside those to the listed servers.
@@ -121,7 +126,7 @@
 
     /// Replaces the classes, indexed by class number, after the settings were read again. Set-ups carry their names.
     pub fn set_classes(&mut self, classes: Vec<super::config::ProtocolClass>) {
-        self.link.classes = classes;
+        self.protocol.classes = classes;
     }
 
     // ---- The server list
@@ -129,7 +134,7 @@
     /// Applies a complete list. A server missing from it is gone.
     pub fn apply_list(&mut self, list: &Snapshot, kind: ListKind, ctx: &mut Context) {
         let mut entries = Vec::new();
-        let silence_timeout = self.link.silence_timeout();
+        let silence_timeout = self.protocol.silence_timeout();
         for (name, listed) in &list.servers {
             let pool = *self.pools.entry(name.clone()).or_insert_with(|| {
                 self.last_pool += 1;
@@ -153,7 +158,7 @@
                 log::info!(server = server.name.as_str(), cut; "server-gone");
             }
         }
-        self.link.connections = self.descriptors.divided(self.servers.len()).each_server;
+        self.protocol.connections = self.descriptors.divided(self.servers.len()).each_server;
         ctx.calls.events.push(Event::List { kind, entries });
     }
 
@@ -205,7 +210,7 @@
                 server.waiting_set_ups.push_back(WaitingSetUp { id, since: ctx.now, class, until, content });
             }
             (Command::SetUp { .. }, _) => ctx.calls.attempt_not_sent(pool, id),
-            (Command::GiveUp, Some(server)) => server.give_up(pool, id, &self.link, ctx),
+            (Command::GiveUp, Some(server)) => server.give_up(pool, id, &self.protocol, ctx),
             (Command::GiveUp, None) => ctx.calls.give_up_written(pool, id),
             (Command::Release, Some(server)) => server.release(ctx.now, id, ctx.poller),
             (Command::Release, None) => {}
@@ -217,9 +222,9 @@
     /// leaves, the caller's set-up must not be sent.
     pub fn send_waiting(&mut self, ctx: &mut Context) {
         for (&pool, server) in self.servers.iter_mut().filter(|(_, s)| !s.waiting_set_ups.is_empty()) {
-            server.send_waiting(pool, &self.link, ctx);
+            server.send_waiting(pool, &self.protocol, ctx);
             if !server.waiting_set_ups.is_empty() && server.channels.values().all(|c| c.up) {
-                server.connect(pool, &self.link, ctx);
+                server.connect(pool, &self.protocol, ctx);
             }
         }
     }
@@ -246,7 +251,7 @@
         let Some((&pool, server)) = found else { return };
         let Some(channel) = server.channels.get_mut(&ready.key) else { return };
         if !channel.up {
-            return server.finish_connecting(pool, ready.key, &self.link, ctx);
+            return server.finish_connecting(pool, ready.key, &self.protocol, ctx);
         }
         let mut messages = Vec::new();
         let mut end = if ready.writable { channel.connection.flush() } else { Ok(()) };
@@ -254,7 +259,7 @@
             let calls = &*ctx.calls;
             end = channel.connection.read_judged(&mut messages, &|candidate| judge(candidate, pool, calls));
         }
-        server.handle_read(pool, ready.key, (messages, end), (&self.telemetry, &self.link), ctx);
+        server.handle_read(pool, ready.key, (messages, end), (&self.telemetry, &self.protocol), ctx);
     }
 
     /// Handles the messages that have been held back for long enough.
@@ -270,7 +275,7 @@
             let (mut messages, calls) = (Vec::new(), &*ctx.calls);
             let judge = |candidate: Candidate| judge(candidate, pool, calls);
             let end = channel.connection.release_held(&mut messages, &judge);
-            server.handle_read(pool, key, (messages, end), (&self.telemetry, &self.link), ctx);
+            server.handle_read(pool, key, (messages, end), (&self.telemetry, &self.protocol), ctx);
         }
     }
 
@@ -283,7 +288,7 @@
     /// Opens and closes connections and applies timeouts. Called periodically.
     pub fn maintain(&mut self, ctx: &mut Context) {
         for (&pool, server) in &mut self.servers {
-            server.maintain(pool, &self.link, ctx);
+            server.maintain(pool, &self.protocol, ctx);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -28,7 +28,7 @@
 const MAX_UNWRITTEN_BYTES: usize = 128 * 1024;
 
 impl Server {
-    pub(super) fn connect(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+    pub(super) fn connect(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
         if ctx.now < self.retry_at {
             return;
         }
@@ -36,7 +36,7 @@
         self.connect_attempts += 1;
         // Frees a connection slot by closing the connection that has been silent for longest. A connection with open set-ups
         // is kept until they are given up.
-        if self.channels.len() >= link.connections {
+        if self.channels.len() >= protocol.connections {
             let unused = self.channels.iter().filter(|(_, c)| c.open.is_empty());
             let oldest = unused.min_by(|a, b| a.1.heard_at.total_cmp(&b.1.heard_at)).map(|(key, _)| *key);
             match oldest {
@@ -71,21 +71,21 @@
         pool: PoolId,
         key: Key,
         reason: &Over,
-        link: &ProtocolSettings,
+        protocol: &ProtocolSettings,
         ctx: &mut Context,
     ) {
         log::debug!(server = self.name.as_str(), connection = key, reason:%; "connection-closed");
         let lifetime = self.channels.get(&key).map_or(0.0, |c| ctx.now - c.since);
         self.close_channels(pool, |k| k == key, ctx);
         self.send_queued_releases(ctx);
-        self.reconnect(lifetime, pool, link, ctx);
+        self.reconnect(lifetime, pool, protocol, ctx);
     }
 
     /// Connects again after a connection that lasted `lifetime` seconds. It does so at once, unless the server keeps closing new
     /// connections, or closes idle ones that nothing waits for: a refused connect shows that the process died with its calls. An
     /// attempt in progress may have been made while the machine was away, and would fail late; the close of this connection
     /// shows that the machine is back.
-    fn reconnect(&mut self, lifetime: f64, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+    fn reconnect(&mut self, lifetime: f64, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
         self.quick_closes =
             if lifetime >= RETRY_INTERVAL_S { 0 } else { self.quick_closes.saturating_add(1) };
         if self.quick_closes <= MAX_QUICK_CLOSES {
@@ -96,7 +96,7 @@
             self.schedule_idle_retry(lifetime, ctx.now);
         }
         if is_needed || ctx.now >= self.idle_retry_at {
-            self.connect(pool, link, ctx);
+            self.connect(pool, protocol, ctx);
         }
     }
 
@@ -117,7 +117,7 @@
         &mut self,
         pool: PoolId,
         key: Key,
-        link: &ProtocolSettings,
+        protocol: &ProtocolSettings,
         ctx: &mut Context,
     ) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
@@ -133,7 +133,7 @@
             Err(error)
                 if error.kind() == ErrorKind::ConnectionReset && self.quick_closes < MAX_QUICK_CLOSES =>
             {
-                self.close_and_reconnect(pool, key, &Over::Broken(error), link, ctx);
+                self.close_and_reconnect(pool, key, &Over::Broken(error), protocol, ctx);
             }
             Err(error) => {
                 self.close_channels(pool, |k| k == key, ctx);
--- a/crates/gatekeeper/src/node/servers/incoming.rs
+++ b/crates/gatekeeper/src/node/servers/incoming.rs
@@ -57,7 +57,7 @@
         pool: PoolId,
         key: Key,
         message: Message,
-        (telemetry, link): (&Telemetry, &ProtocolSettings),
+        (telemetry, protocol): (&Telemetry, &ProtocolSettings),
         ctx: &mut Context,
     ) -> Result<(), Over> {
         let id = message.call;
@@ -74,9 +74,9 @@
                 return Err(Over::Improper("an answer without a description, or with a cause"));
             }
             kind::ANSWER => {
-                self.silence_timeout = link.silence_timeout();
+                self.silence_timeout = protocol.silence_timeout();
                 if let Some(sent_at) = self.remove_open_set_up(key, id) {
-                    self.close_overtaken(pool, sent_at, link, ctx);
+                    self.close_overtaken(pool, sent_at, protocol, ctx);
                 }
                 ctx.calls.established(ctx.now, pool, id, description);
                 if has_report {
@@ -90,9 +90,9 @@
                 }
             }
             kind::RELEASE => {
-                self.silence_timeout = link.silence_timeout();
+                self.silence_timeout = protocol.silence_timeout();
                 self.remove_open_set_up(key, id);
-                ctx.calls.ended(ctx.now, pool, id, parse_end(&message, report, link.max_wait()));
+                ctx.calls.ended(ctx.now, pool, id, parse_end(&message, report, protocol.max_wait()));
             }
             kind::STATE | kind::TEST_RESULT if has_report => ctx.calls.load_reported(pool, report),
             kind::TEST => {
--- a/crates/gatekeeper/src/node/servers/liveness.rs
+++ b/crates/gatekeeper/src/node/servers/liveness.rs
@@ -54,27 +54,27 @@
 
 impl Server {
     /// Applies timeouts to the server's connections and waiting set-ups, and connects if due. Called periodically.
-    pub(super) fn maintain(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
-        self.close_stalled(pool, link, ctx);
-        self.close_timed_out(pool, link, ctx);
-        self.connect_if_due(pool, link, ctx);
-        self.fail_overdue_set_ups(pool, link, ctx);
+    pub(super) fn maintain(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
+        self.close_stalled(pool, protocol, ctx);
+        self.close_timed_out(pool, protocol, ctx);
+        self.connect_if_due(pool, protocol, ctx);
+        self.fail_overdue_set_ups(pool, protocol, ctx);
         self.cut_if_vanished(pool, ctx);
         self.send_queued_releases(ctx);
     }
 
-    fn close_stalled(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+    fn close_stalled(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
         let stalled = |c: &mut Channel| c.up && c.connection.stalled(ctx.now, STALLED_AFTER_S);
         let stalled: Vec<Key> =
             self.channels.iter_mut().filter_map(|(key, c)| stalled(c).then_some(*key)).collect();
         for key in stalled {
-            self.close_and_reconnect(pool, key, &Over::Stalled, link, ctx);
+            self.close_and_reconnect(pool, key, &Over::Stalled, protocol, ctx);
         }
     }
 
     /// Closes connections that were not established in time.
-    fn close_timed_out(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
-        let late = |c: &Channel| !c.up && ctx.now - c.since >= link.connect_timeout;
+    fn close_timed_out(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
+        let late = |c: &Channel| !c.up && ctx.now - c.since >= protocol.connect_timeout;
         let late: BTreeMap<Key, f64> =
             self.channels.iter().filter(|(_, c)| late(c)).map(|(key, c)| (*key, c.since)).collect();
         self.close_channels(pool, |key| late.contains_key(&key), ctx);
@@ -86,7 +86,7 @@
     }
 
     /// Connects if there is no connection, or if the existing ones are silent.
-    fn connect_if_due(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+    fn connect_if_due(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
         if self.channels.values().any(|c| !c.up) {
             return;
         }
@@ -98,18 +98,18 @@
             let first_sent_at = open.map(|set_up| set_up.sent_at).fold(now, f64::min);
             self.silent_at.get_or_insert(first_sent_at);
         }
-        let limit = link.quiet_timeout();
+        let limit = protocol.quiet_timeout();
         let quiet = self.channels.values().all(|c| now - c.since > limit && now - c.heard_at > limit);
         let due = self.channels.is_empty() && now >= self.idle_retry_at;
         if silent || due || quiet && ctx.calls.has_calls_at(pool) {
-            self.connect(pool, link, ctx);
+            self.connect(pool, protocol, ctx);
         }
     }
 
     /// Fails set-ups that wait for a connection that is never opened, or that no connection accepts. They go elsewhere or are
     /// refused after the time in which a connection must be established, rather than at their deadlines.
-    fn fail_overdue_set_ups(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
-        let limit = link.connect_timeout + CONNECT_SLACK_S;
+    fn fail_overdue_set_ups(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
+        let limit = protocol.connect_timeout + CONNECT_SLACK_S;
         while let Some(late) = self.waiting_set_ups.pop_front_if(|set_up| ctx.now - set_up.since >= limit) {
             ctx.calls.attempt_not_sent(pool, late.id);
         }
@@ -142,7 +142,7 @@
         &mut self,
         pool: PoolId,
         sent_at: f64,
-        link: &ProtocolSettings,
+        protocol: &ProtocolSettings,
         ctx: &mut Context,
     ) {
         let overtaken = |c: &Channel, set_up: &SentSetUp| {
@@ -151,7 +151,7 @@
         let dead = |c: &Channel| c.open.values().any(|set_up| overtaken(c, set_up));
         let dead: Vec<Key> = self.channels.iter().filter(|(_, c)| dead(c)).map(|(key, _)| *key).collect();
         for key in dead {
-            self.close_and_reconnect(pool, key, &Over::Silent, link, ctx);
+            self.close_and_reconnect(pool, key, &Over::Silent, protocol, ctx);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/set_ups.rs
+++ b/crates/gatekeeper/src/node/servers/set_ups.rs
@@ -28,7 +28,7 @@
     /// server begins to drain, or when the caller leaves. Nothing is sent on old connections to an unreachable server either:
     /// set-ups lost there would be assumed to run, while those that wait for a connection are known to have never run. A set-up
     /// that is past its deadline is left to its timer, which is due.
-    pub(super) fn send_waiting(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
+    pub(super) fn send_waiting(&mut self, pool: PoolId, protocol: &ProtocolSettings, ctx: &mut Context) {
         let mut waiting = std::mem::take(&mut self.waiting_set_ups);
         while !self.unreachable && !waiting.is_empty() {
             let Some((key, channel)) = most_recent_channel(&mut self.channels) else { break };
@@ -36,7 +36,7 @@
             let WaitingSetUp { id, class, until, content, .. } = &waiting[next];
             let left_ms = ((until - ctx.now) * 1000.0).max(1.0);
             let mut message = Message::new(kind::SET_UP, *id)
-                .with(code::CLASS, link.classes.get(*class).map_or("", |c| c.name.as_str()))
+                .with(code::CLASS, protocol.classes.get(*class).map_or("", |c| c.name.as_str()))
                 .with(code::WAIT, format!("{left_ms:.0}"))
                 .with(code::NUMBER, &content.number[..]);
             if let Some(description) = &content.description {
@@ -57,7 +57,7 @@
                     channel.open.insert(id, SentSetUp { sent_at: ctx.now, end_offset: 0 });
                     waiting.remove(next);
                     self.forget_releases(id);
-                    self.close_and_reconnect(pool, key, &error, link, ctx);
+                    self.close_and_reconnect(pool, key, &error, protocol, ctx);
                 }
             }
         }
@@ -66,7 +66,7 @@
 
     /// Gives up a set-up: removes it if it waits, sends its release if it was sent, or closes its connection if only a part of it
     /// was written.
-    pub(super) fn give_up(&mut self, pool: PoolId, id: u64, link: &ProtocolSettings, ctx: &mut Context) {
+    pub(super) fn give_up(&mut self, pool: PoolId, id: u64, protocol: &ProtocolSettings, ctx: &mut Context) {
         if let Some(index) = self.waiting_set_ups.iter().position(|s| s.id == id) {
             self.waiting_set_ups.remove(index);
             return ctx.calls.give_up_written(pool, id);
@@ -79,7 +79,7 @@
         // reads it. Only closing the connection keeps it from arriving completely.
         if set_up.is_some_and(|set_up| set_up.end_offset > channel.connection.written()) {
             ctx.calls.give_up_written(pool, id);
-            return self.close_and_reconnect(pool, key, &Over::Stuck, link, ctx);
+            return self.close_and_reconnect(pool, key, &Over::Stuck, protocol, ctx);
         }
         let release = Release::new(ctx.now, id);
         match (channel.send_release(ctx.now, key, release, ctx.poller), set_up) {
--- a/crates/gatekeeper/src/node/servers/tests.rs
+++ b/crates/gatekeeper/src/node/servers/tests.rs
@@ -18,7 +18,7 @@
 
 impl TestBed {
     fn new(address: SocketAddr, seed: u64) -> TestBed {
-        let link = ProtocolSettings {
+        let protocol = ProtocolSettings {
             classes: Vec::new(),
             connect_timeout: 0.5,
             drain_grace: 0.25,
@@ -32,7 +32,7 @@
             "requestClasses":[],"safety":{"cold":14,"coldFrom":0.3,"overloadFactor":3}}"#,
         )
         .unwrap();
-        let servers = Servers::new(link, telemetry, Descriptors { all: 64, fixed: 16 }, seed);
+        let servers = Servers::new(protocol, telemetry, Descriptors { all: 64, fixed: 16 }, seed);
         TestBed { poller: Poller::new().unwrap(), calls: Calls::new(0.0, 0), servers, address }
     }
 
--- a/crates/gatekeeper/src/node/servers/tests/releases.rs
+++ b/crates/gatekeeper/src/node/servers/tests/releases.rs
@@ -64,7 +64,7 @@
 
     fn connect(&mut self, now: f64) {
         let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
-        self.servers.servers.get_mut(&POOL).unwrap().connect(POOL, &self.servers.link, &mut ctx);
+        self.servers.servers.get_mut(&POOL).unwrap().connect(POOL, &self.servers.protocol, &mut ctx);
         self.step(now);
     }
 }
