--- a/crates/gatekeeper/tests/hollow.rs
+++ b/crates/gatekeeper/tests/hollow.rs
@@ -7,7 +7,7 @@
 
 use clap::Parser;
 use hollypaddle_hollow::leaves::{run, Plan};
-use hollypaddle_hollow::stage::{Setup, Stage};
+use hollypaddle_hollow::test_bed::{Setup, Stage};
 use hollypaddle_standin::program::unix_time;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hollypaddle");
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! - [`leaves`]: the process, and what it reports.
 //! - [`process`]: the same from outside: starts one and reads its reports.
-//! - [`stage`]: relays and gatekeepers as real processes, with hollow ones beside them.
+//! - [`test_bed`]: relays and gatekeepers as real processes, with hollow ones beside them.
 
 pub mod leaves;
 pub mod process;
-pub mod stage;
+pub mod test_bed;
--- a/crates/measure/src/size/hollow.rs
+++ b/crates/measure/src/size/hollow.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 use clap::ValueEnum;
-use hollypaddle_hollow::stage::{Bytes, Setup, Stage, Used};
+use hollypaddle_hollow::test_bed::{Bytes, Setup, Stage, Used};
 use hollypaddle_standin::program::unix_time;
 use minijinja::{context, Environment};
 use serde::{Deserialize, Serialize};
--- a/crates/relay/src/leaf.rs
+++ b/crates/relay/src/leaf.rs
@@ -16,12 +16,12 @@
 use hollypaddle_replica::stream::Stream;
 
 use crate::budget::Budget;
-use crate::copying::{Copy, Cursor, NotTaken};
 use crate::message::{
     cut, Attach, Digest, Feed, Hello, Message, Refusal, NAME, PROTOCOL, PROTOCOL_LEAST, REASON,
 };
 use crate::placement::{chance, order, Place, RelayPlace};
 use crate::settings::{Incoming, Mark, Outgoing, PartError, Set};
+use crate::stream_copy::{Copy, Cursor, NotTaken};
 use crate::{LinkError, LinkId, Node, Timing};
 
 /// Own turns further apart than this: this process was paused, and the silence of others tells nothing.
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -22,18 +22,18 @@
 //! - [`message`]: what is said, and its frames.
 //! - [`placement`]: which relay, in which order, and how many leaves one takes.
 //! - [`budget`]: bytes a second.
-//! - [`copying`]: a stream told on one link as differences, both ends.
+//! - [`stream_copy`]: a stream told on one link as differences, both ends.
 //! - [`settings`]: the set of settings, its versions and differences.
 //! - [`leaf`], [`relay`]: the two roles.
 
 pub mod budget;
-pub mod copying;
 pub mod leaf;
+pub mod leaf_limit;
 pub mod message;
 pub mod placement;
 pub mod relay;
 pub mod settings;
-pub mod share;
+pub mod stream_copy;
 
 pub use leaf::Leaf;
 pub use message::Message;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -14,7 +14,7 @@
 mod leaves;
 mod links;
 mod mesh;
-mod time;
+mod timers;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -27,13 +27,13 @@
 use hollypaddle_replica::{Settings as MeshSettings, Word};
 
 use crate::budget::Budget;
-use crate::copying::{Copy, Cursor, NotTaken};
+use crate::leaf_limit::Share;
 use crate::message::{
     cut, Attach, Copied, Digest, Feed, Hello, Message, Refusal, NAME, PROTOCOL, PROTOCOL_LEAST, REASON,
 };
 use crate::placement::{chance, limit, RelayPlace};
 use crate::settings::{Incoming, Mark, Outgoing, PartError, Set, SetError};
-use crate::share::Share;
+use crate::stream_copy::{Copy, Cursor, NotTaken};
 use crate::{LinkError, LinkId, Node, Timing};
 
 /// Own turns further apart than this: this process was paused, and the silence of others tells nothing.
--- a/crates/relay/tests/share.rs
+++ b/crates/relay/tests/share.rs
@@ -1,6 +1,6 @@
 //! How many leaves a relay may have, as what it takes goes up and down.
 
-use hollypaddle_relay::share::Share;
+use hollypaddle_relay::leaf_limit::Share;
 
 /// Seconds in which the limit falls to a new target, and between two steps.
 const FALLS: f64 = 60.0;
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,7 +1,7 @@
 //! Streams told on a link as differences, against the stream itself: lost and doubled pieces, tombstones beyond the horizon.
 
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_relay::copying::{Copy, Cursor, RECORDS};
+use hollypaddle_relay::stream_copy::{Copy, Cursor, RECORDS};
 use hollypaddle_replica::record::{Key, Origin, Place, ServerFact, ServerKey, Value};
 use hollypaddle_replica::stream::{Stream, TOMBSTONES};
 use proptest::prelude::*;
