--- a/crates/faults/src/tier/inputs.rs
+++ b/crates/faults/src/tier/inputs.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hollypaddle_relay::relay::SettingsError;
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_relay::Node;
 use hollypaddle_replica::record::ServerFact;
 
@@ -23,7 +23,7 @@
         };
         let at = self.clock(node);
         if let Some(Process::Leaf(leaf)) = &mut self.nodes[node].process {
-            leaf.server(at, key, fact);
+            leaf.set_server(at, key, fact);
             self.schedule_turn(node, nanos(self.now));
         }
     }
@@ -38,7 +38,7 @@
         };
         let at = self.clock(node);
         if let Some(Process::Leaf(leaf)) = &mut self.nodes[node].process {
-            leaf.silent(at, key, started, silent.then_some(at));
+            leaf.set_silent(at, key, started, silent.then_some(at));
             self.schedule_turn(node, nanos(self.now));
         }
     }
@@ -48,7 +48,7 @@
         &mut self,
         node: usize,
         wanted: &[(String, String)],
-    ) -> Option<Result<Mark, SettingsError>> {
+    ) -> Option<Result<Revision, SettingsError>> {
         let now = self.clock(node);
         if !self.awake(node) {
             return None;
--- a/crates/faults/src/tier/mod.rs
+++ b/crates/faults/src/tier/mod.rs
@@ -2,7 +2,7 @@
 //! are cut, slow, lossy, closed with or without a sign; kills, pauses, restarts; readers that read nothing.
 //!
 //! Nothing steps: a queue of events has what arrives when, and when each node wants its next turn
-//! ([`hollypaddle_relay::Node::next_at`]). Each message is encoded and decoded. What must hold is held against what the
+//! ([`hollypaddle_relay::Node::next_tick_at`]). Each message is encoded and decoded. What must hold is held against what the
 //! world itself knows: who lives and was heard by whom, which relays have stored what, and what every leaf was told to say.
 //!
 //! Nodes are numbered through: the relays from 0, then the leaves. Scripts name them `g0`, `g1`, ....
@@ -32,7 +32,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
 use hollypaddle_membership::MemberId;
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_relay::{Leaf, Relay};
 use hollypaddle_replica::record::{Place as ServerPlace, ServerFact, Topic};
 use rand_chacha::rand_core::SeedableRng;
@@ -76,7 +76,7 @@
     /// When something was last heard of each relay by another relay.
     relay_last_heard: BTreeMap<(usize, usize), f64>,
     /// Who has stored which settings at some time.
-    stored: BTreeMap<Mark, BTreeSet<usize>>,
+    stored: BTreeMap<Revision, BTreeSet<usize>>,
     /// Changes, by version.
     pub changes: BTreeMap<u64, Changed>,
     /// What did not hold.
@@ -138,16 +138,16 @@
             connections: BTreeSet::new(),
             idle_turns: (0, 0),
             meter: Meter::default(),
-            settings: Mark::default(),
+            settings: Revision::default(),
             orphaned: None,
-            held: (0, Mark::default()),
+            held: (0, Revision::default()),
             servers: BTreeMap::new(),
             silent: BTreeMap::new(),
             clear_since: 0.0,
             counted_version: 0,
             last_heard: None,
-            in_force: Mark::default(),
-            proposed: Mark::default(),
+            in_force: Revision::default(),
+            proposed: Revision::default(),
             had_majority: false,
             reachable_relays: VecDeque::new(),
         });
--- a/crates/faults/src/tier/network.rs
+++ b/crates/faults/src/tier/network.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use hollypaddle_relay::budget::HEADERS;
+use hollypaddle_relay::budget::PACKET_HEADER_BYTES;
 use hollypaddle_relay::LinkId;
 
 use super::queue::{nanos, Event};
@@ -72,7 +72,7 @@
     pub(super) fn transmit(&mut self, connection: usize, side: usize, packet: Packet) {
         let Some(c) = &self.connections[connection] else { return };
         let (from, to) = (c.sides[1 - side].node, c.sides[side].node);
-        let bytes = if let Packet::Frame(frame) = &packet { frame.len() + HEADERS } else { 0 };
+        let bytes = if let Packet::Frame(frame) = &packet { frame.len() + PACKET_HEADER_BYTES } else { 0 };
         let mut at = self.now + self.delay(from, to);
         if let Some(path) = self.paths.get_mut(&(from, to)) {
             if let Some(rate) = path.impairment.rate {
@@ -198,7 +198,7 @@
         let mut packets = Vec::new();
         while let Some((_, packet)) = own.inbox.pop_front_if(|(at, _)| *at <= now) {
             if let Packet::Frame(frame) = &packet {
-                own.bytes -= frame.len() + HEADERS;
+                own.bytes -= frame.len() + PACKET_HEADER_BYTES;
             }
             packets.push(packet);
         }
--- a/crates/faults/src/tier/nodes.rs
+++ b/crates/faults/src/tier/nodes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_relay::{leaf, relay, Leaf, LinkId, Node, Relay};
 use hollypaddle_replica::record::{ServerFact, ServerKey};
 use rand::Rng;
@@ -51,11 +51,11 @@
     pub(super) idle_turns: (u64, u32),
     // Of a leaf.
     pub(super) meter: Meter,
-    pub(super) settings: Mark,
+    pub(super) settings: Revision,
     /// Since when it is without a relay, which one it had, and its count of attachments then.
     pub(super) orphaned: Option<(f64, usize, u32)>,
     /// Records of servers and settings that it has.
-    pub(super) held: (usize, Mark),
+    pub(super) held: (usize, Revision),
     pub(super) servers: BTreeMap<ServerKey, (f64, ServerFact)>,
     pub(super) silent: BTreeMap<ServerKey, (f64, u64)>,
     /// Since when it is awake and on no path that was cut.
@@ -65,8 +65,8 @@
     /// When a relay took a message of it last, and which.
     pub(super) last_heard: Option<(f64, usize)>,
     // Of a relay.
-    pub(super) in_force: Mark,
-    pub(super) proposed: Mark,
+    pub(super) in_force: Revision,
+    pub(super) proposed: Revision,
     /// Whether it reached a majority when paths were opened last.
     pub(super) had_majority: bool,
     /// How many relays it reached, itself counted, at which times.
@@ -88,30 +88,35 @@
         let mut timing = plan.timing;
         let process = if node < plan.relays {
             match plan.planted {
-                Some(Planted::NoShare) if node == 0 => timing.bound = 100.0,
-                Some(Planted::NoBudget) => (timing.leaf_rate, timing.burst) = (1e6, 10.0),
+                Some(Planted::NoShare) if node == 0 => timing.max_load_ratio = 100.0,
+                Some(Planted::NoBudget) => (timing.leaf_bytes_per_s, timing.burst_s) = (1e6, 10.0),
                 _ => {}
             }
             let mut relays = plan.relay_places();
             if plan.planted == Some(Planted::SmallMajority) && node == 0 {
                 relays.truncate(2);
             }
-            let identity = relay::Identity { own, life, relays, writer: id(0, &plan) };
+            let identity = relay::Identity { id: own, incarnation: life, relays, writer: id(0, &plan) };
             Process::Relay(Box::new(Relay::new(now, identity, plan.mesh, timing)))
         } else {
             match plan.planted {
-                Some(Planted::SlowToLeave) => timing.silent = 6.0,
-                Some(Planted::NoBudget) => (timing.report_rate, timing.burst) = (1e6, 10.0),
+                Some(Planted::SlowToLeave) => timing.silent_after_s = 6.0,
+                Some(Planted::NoBudget) => (timing.report_bytes_per_s, timing.burst_s) = (1e6, 10.0),
                 _ => {}
             }
-            let identity = leaf::Identity { own, life, topic: plan.topic(node), place: plan.place(node) };
+            let identity = leaf::Identity {
+                id: own,
+                incarnation: life,
+                topic: plan.topic(node),
+                location: plan.place(node),
+            };
             let mut leaf = Leaf::new(now, identity, plan.relay_places(), timing);
             let state = &self.nodes[node];
             for (server, (at, fact)) in &state.servers {
-                leaf.server(self.clock_at(node, *at), *server, Some(*fact));
+                leaf.set_server(self.clock_at(node, *at), *server, Some(*fact));
             }
             for (server, (at, started)) in &state.silent {
-                leaf.silent(now, *server, *started, Some(self.clock_at(node, *at)));
+                leaf.set_silent(now, *server, *started, Some(self.clock_at(node, *at)));
             }
             Process::Leaf(Box::new(leaf))
         };
@@ -121,9 +126,9 @@
         (state.started, state.clear_since) = (self.now, self.now);
         (state.paused, state.deaf, state.powered_off) = (false, false, false);
         (state.settings, state.in_force, state.proposed) =
-            (Mark::default(), Mark::default(), Mark::default());
+            (Revision::default(), Revision::default(), Revision::default());
         state.orphaned = (node >= plan.relays).then_some((self.now, usize::MAX, 0));
-        (state.held, state.counted_version) = ((0, Mark::default()), 0);
+        (state.held, state.counted_version) = ((0, Revision::default()), 0);
         state.last_heard = None;
         self.schedule_turn(node, nanos(self.now));
     }
--- a/crates/faults/src/tier/observe.rs
+++ b/crates/faults/src/tier/observe.rs
@@ -4,7 +4,7 @@
 
 use hollypaddle_membership::view::Change;
 use hollypaddle_relay::message::Message;
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_relay::{leaf, relay, Leaf, Relay};
 use hollypaddle_replica::member;
 use hollypaddle_replica::record::{Key, Presence};
@@ -65,14 +65,14 @@
     }
 
     /// Whether a relay has stored settings, now or before.
-    fn record_stored(&mut self, node: usize, mark: Mark) {
+    fn record_stored(&mut self, node: usize, mark: Revision) {
         if mark.version > 0 {
             self.stored.entry(mark).or_default().insert(node);
         }
     }
 
     /// No change is in force anywhere that a majority of relays has not stored.
-    pub(super) fn check_in_force(&mut self, node: usize, mark: Mark) {
+    pub(super) fn check_in_force(&mut self, node: usize, mark: Revision) {
         let count = self.stored.get(&mark).map_or(0, BTreeSet::len);
         if mark.version > 0 && 2 * count <= self.plan.relays {
             let what = format!("version {} at node {node}, stored by {count} relays", mark.version);
@@ -84,7 +84,7 @@
     }
 
     /// No node's settings ever go back to an older version.
-    fn check_monotonic(&mut self, node: usize, old: Mark, new: Mark) {
+    fn check_monotonic(&mut self, node: usize, old: Revision, new: Revision) {
         if new < old {
             let what = format!("node {node} from version {} to {}", old.version, new.version);
             self.record_violation("settings never go back to an older version", what);
@@ -99,7 +99,7 @@
     }
 
     fn observe_leaf(&mut self, node: usize, leaf: &mut Leaf, local: f64) {
-        let lost = leaf.events().iter().any(|e| matches!(e, leaf::Event::Lost(..)));
+        let lost = leaf.take_events().iter().any(|e| matches!(e, leaf::Event::Lost(..)));
         if lost && self.plan.planted == Some(Planted::ForgetsAlone) {
             let (identity, relays) = (leaf.identity().clone(), leaf.relays().to_vec());
             *leaf = Leaf::new(local, identity, relays, self.plan.timing);
@@ -123,13 +123,13 @@
             }
             self.nodes[node].held = has;
         }
-        let Some(set) = leaf.offered() else { return };
-        let mark = set.mark();
+        let Some(set) = leaf.take_new_settings() else { return };
+        let mark = set.revision();
         self.check_monotonic(node, self.nodes[node].settings, mark);
         self.nodes[node].settings = mark;
         self.check_in_force(node, mark);
         let verdict = if self.picky.contains(&node) { Err("not with me".to_string()) } else { Ok(()) };
-        leaf.verdict(mark.version, verdict);
+        leaf.record_settings_result(mark.version, verdict);
         let (now, clear_since) = (self.now, self.nodes[node].clear_since);
         let since = self.nodes[node].counted_version;
         self.nodes[node].counted_version = since.max(mark.version);
@@ -141,7 +141,7 @@
     }
 
     fn observe_relay(&mut self, node: usize, relay: &mut Relay, local: f64) {
-        let (mark, proposed) = (relay.settings().mark(), relay.proposed().unwrap_or_default());
+        let (mark, proposed) = (relay.settings().revision(), relay.proposed().unwrap_or_default());
         if mark != self.nodes[node].in_force {
             self.check_monotonic(node, self.nodes[node].in_force, mark);
             self.nodes[node].in_force = mark;
@@ -162,11 +162,11 @@
             self.record_stored(node, proposed);
         }
         self.most[node] = self.most[node].max(relay.counts.leaves as usize);
-        for event in relay.events() {
+        for event in relay.take_events() {
             match event {
-                relay::Event::Leaf(member, Presence::Gone) => {
+                relay::Event::LeafPresence(member, Presence::Gone) => {
                     let Some(&leaf) = self.node_by_id.get(&member) else { continue };
-                    let row = relay.rows(local).into_iter().find(|r| r.leaf == member);
+                    let row = relay.leaf_rows(local).into_iter().find(|r| r.leaf == member);
                     if let Some(row) = row {
                         self.reported_gone.insert((member, row.moves));
                     }
--- a/crates/faults/src/tier/plan.rs
+++ b/crates/faults/src/tier/plan.rs
@@ -1,7 +1,7 @@
 //! What is played: the size of the tier, its zones and topics, and the fault that is put in on purpose.
 
 use hollypaddle_membership::MemberId;
-use hollypaddle_relay::placement::{Place, RelayPlace};
+use hollypaddle_relay::placement::{NodeLocation, RelayLocation};
 use hollypaddle_relay::Timing;
 use hollypaddle_replica::record::{ServerKey, Topic};
 use hollypaddle_replica::Settings as MeshSettings;
@@ -90,8 +90,8 @@
         usize::from(self.zone(node) >= self.first)
     }
 
-    pub(super) fn place(&self, node: usize) -> Place {
-        Place { zone: format!("z{}", self.zone(node)), region: format!("r{}", self.region(node)) }
+    pub(super) fn place(&self, node: usize) -> NodeLocation {
+        NodeLocation { zone: format!("z{}", self.zone(node)), region: format!("r{}", self.region(node)) }
     }
 
     /// The topic of a leaf.
@@ -99,8 +99,8 @@
         Topic::of(&format!("service {}", (node - self.relays) % self.topics))
     }
 
-    pub(super) fn relay_places(&self) -> Vec<RelayPlace> {
-        (0..self.relays).map(|n| RelayPlace { relay: id(n, self), place: self.place(n) }).collect()
+    pub(super) fn relay_places(&self) -> Vec<RelayLocation> {
+        (0..self.relays).map(|n| RelayLocation { relay: id(n, self), location: self.place(n) }).collect()
     }
 
     /// The server of a topic by its number.
--- a/crates/faults/src/tier/queue.rs
+++ b/crates/faults/src/tier/queue.rs
@@ -94,7 +94,7 @@
         let Some((node, link)) = self.open_end(connection, side) else { return false };
         let local = self.clock(node);
         if let Some(process) = &mut self.nodes[node].process {
-            process.node().writable(local, link);
+            process.node().link_writable(local, link);
         }
         self.schedule_turn(node, at);
         true
@@ -114,7 +114,7 @@
         let local = self.clock(node);
         if let Some(process) = &mut self.nodes[node].process {
             process.node().tick(local);
-            process.node().down(local, link, false);
+            process.node().link_down(local, link, false);
         }
         self.schedule_turn(node, at);
         true
--- a/crates/faults/src/tier/runs.rs
+++ b/crates/faults/src/tier/runs.rs
@@ -99,7 +99,7 @@
                 world.settle(&mut figures, 30.0);
                 world.pass(60.0);
                 world.heal();
-                world.pass(2.5 * world.plan.timing.home);
+                world.pass(2.5 * world.plan.timing.return_delay_s);
             }
             Run::Rack => {
                 let rack: Vec<usize> =
@@ -108,7 +108,7 @@
                 world.settle(&mut figures, 30.0);
                 world.pass(60.0);
                 world.heal();
-                world.pass(2.5 * world.plan.timing.home);
+                world.pass(2.5 * world.plan.timing.return_delay_s);
             }
             Run::Zone => {
                 zone.iter().for_each(|n| world.kill(*n));
@@ -196,7 +196,7 @@
         self.scan_every = 5.0;
         self.pass(1.0);
         self.changes_settings(0);
-        self.pass(2.5 * self.plan.timing.home);
+        self.pass(2.5 * self.plan.timing.return_delay_s);
         self.measure_from_here();
     }
 
--- a/crates/faults/src/tier/scan.rs
+++ b/crates/faults/src/tier/scan.rs
@@ -1,7 +1,7 @@
 //! Invariants that are looked at now and then, over all nodes at once.
 
 use hollypaddle_membership::MemberId;
-use hollypaddle_relay::placement::limit;
+use hollypaddle_relay::placement::leaf_limit;
 use hollypaddle_replica::record::{LeafFact, Presence};
 
 use super::meter::{BYTES, OVER};
@@ -30,13 +30,14 @@
             let reaches = self.count_reachable(node);
             let lows = &mut self.nodes[node].reachable_relays;
             lows.push_back((self.now, reaches));
-            while lows.front().is_some_and(|(at, _)| self.now - at > 2.5 * self.plan.timing.home) {
+            while lows.front().is_some_and(|(at, _)| self.now - at > 2.5 * self.plan.timing.return_delay_s) {
                 lows.pop_front();
             }
             let least = lows.iter().map(|(_, n)| *n).min().unwrap_or(1);
             let Some(relay) = self.relay(node) else { continue };
             let t = &self.plan.timing;
-            let (attached, share) = (relay.attached(), limit(self.plan.leaves, least, t.bound, t.leaves));
+            let (attached, share) =
+                (relay.attached_count(), leaf_limit(self.plan.leaves, least, t.max_load_ratio, t.max_leaves));
             if attached > share {
                 let what =
                     format!("relay {node} has {attached} of {}, {share} are its share", self.plan.leaves);
--- a/crates/faults/src/tier/settled.rs
+++ b/crates/faults/src/tier/settled.rs
@@ -4,7 +4,7 @@
 
 use hollypaddle_membership::view::State;
 use hollypaddle_membership::MemberId;
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_replica::record::{join_servers, LeafFact, Presence, ServerFact, ServerKey, Topic};
 
 use super::{id, World};
@@ -51,7 +51,7 @@
             let Some(leaf) = self.leaf(node) else { continue };
             let topic = self.plan.topic(node);
             let (servers, silent) = self.model(topic);
-            let said = leaf.hearsay(self.clock(node));
+            let said = leaf.peer_observations(self.clock(node));
             let heard: BTreeMap<ServerKey, ServerFact> =
                 said.iter().filter(|(_, s)| s.at > f64::NEG_INFINITY).map(|(k, s)| (*k, s.fact)).collect();
             if heard != servers {
@@ -69,7 +69,7 @@
             for other in self.leaf_nodes().filter(|n| *n != node && self.plan.topic(*n) == topic) {
                 let fact = peers.get(&id(other, &self.plan));
                 let here = fact.is_some_and(|f| f.presence == Presence::Here);
-                let life = self.leaf(other).map(|l| l.identity().life);
+                let life = self.leaf(other).map(|l| l.identity().incarnation);
                 let right = match self.awake(other) {
                     true => here && fact.map(|f| f.life) == life,
                     false => !here,
@@ -85,9 +85,9 @@
     /// All who are awake are on the newest settings that were in force anywhere.
     pub fn all_on_newest(&self) -> Vec<Broken> {
         const RULE: &str = "all who are reached are on the newest settings";
-        let relays = (0..self.plan.relays).filter_map(|n| Some((n, self.relay(n)?.settings().mark())));
+        let relays = (0..self.plan.relays).filter_map(|n| Some((n, self.relay(n)?.settings().revision())));
         let leaves = self.leaf_nodes().filter_map(|n| Some((n, self.leaf(n)?.status(0.0).settings)));
-        let all: Vec<(usize, Mark)> = relays.chain(leaves).filter(|(n, _)| self.awake(*n)).collect();
+        let all: Vec<(usize, Revision)> = relays.chain(leaves).filter(|(n, _)| self.awake(*n)).collect();
         let newest = all.iter().map(|(_, mark)| *mark).max().unwrap_or_default();
         let behind = all.into_iter().filter(|(_, mark)| *mark != newest);
         behind
@@ -100,7 +100,7 @@
     /// All relays hear each other.
     pub fn relays_hear_each_other(&self) -> bool {
         let alive = |a: usize, b: usize| {
-            self.relay(a).is_some_and(|r| matches!(r.mesh().view().state(id(b, &self.plan)), State::Alive))
+            self.relay(a).is_some_and(|r| matches!(r.member().view().state(id(b, &self.plan)), State::Alive))
         };
         let awake: Vec<usize> = (0..self.plan.relays).filter(|n| self.awake(*n)).collect();
         awake.iter().all(|a| awake.iter().all(|b| a == b || alive(*a, *b)))
--- a/crates/faults/src/tier/turn.rs
+++ b/crates/faults/src/tier/turn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use hollypaddle_relay::budget::HEADERS;
+use hollypaddle_relay::budget::PACKET_HEADER_BYTES;
 use hollypaddle_relay::message::Message;
 use rand::Rng;
 
@@ -31,7 +31,7 @@
         self.close_ended(node, &mut process);
         self.dial(node, &mut process, local);
         self.observe(node, &mut process, local);
-        let next = process.node().next_at();
+        let next = process.node().next_tick_at();
         self.nodes[node].process = Some(process);
         if idle && !said {
             self.count_idle_turn(node);
@@ -44,7 +44,7 @@
     /// Sends what a node has to say, as far as its connections have room; whether that was anything.
     fn send_due(&mut self, node: usize, process: &mut Process, local: f64) -> bool {
         let mut said = false;
-        for link in process.node().due(local) {
+        for link in process.node().links_to_serve(local) {
             let Some((connection, side)) = self.nodes[node].links.get(&link).copied() else { continue };
             while let Some(c) = &mut self.connections[connection] {
                 let other = &mut c.sides[1 - side];
@@ -56,7 +56,7 @@
                     }
                     break;
                 }
-                let Some(message) = process.node().say(local, link) else { break };
+                let Some(message) = process.node().next_message(local, link) else { break };
                 said = true;
                 self.send(node, connection, side, message);
             }
@@ -66,7 +66,7 @@
 
     /// Closes the connections that a node is done with.
     fn close_ended(&mut self, node: usize, process: &mut Process) {
-        for link in process.node().closes() {
+        for link in process.node().links_to_close() {
             if let Some((connection, _)) = self.nodes[node].links.remove(&link) {
                 self.nodes[node].connections.remove(&connection);
                 self.close(connection, node);
@@ -76,7 +76,7 @@
 
     /// Makes the connections that a node wants.
     fn dial(&mut self, node: usize, process: &mut Process, local: f64) {
-        for (link, to) in process.node().dials(local) {
+        for (link, to) in process.node().links_to_open(local) {
             let Some(&other) = self.node_by_id.get(&to) else { continue };
             let life = self.nodes[node].life;
             let side = |node, life, link| Side {
@@ -126,29 +126,29 @@
         let (link, from) = (c.sides[side].link, c.sides[1 - side].node);
         match (packet, link) {
             (Packet::Connect(_), _) => {
-                let link = process.node().accepted(local);
+                let link = process.node().accept_link(local);
                 c.sides[side].link = Some(link);
                 self.nodes[node].links.insert(link, (connection, side));
             }
-            (Packet::Connected, Some(link)) => process.node().up(local, link),
+            (Packet::Connected, Some(link)) => process.node().link_up(local, link),
             (Packet::Frame(frame), Some(link)) => {
                 let message = match Message::decode(&frame) {
                     Ok(Some((message, whole))) if whole == frame.len() => message,
                     other => return self.record_violation("what is said can be read", format!("{other:?}")),
                 };
                 self.observe_message(node, from, &message);
-                if let Err(error) = process.node().hear(local, link, &message) {
+                if let Err(error) = process.node().receive(local, link, &message) {
                     *self.errors.entry(error.name()).or_default() += 1;
                     self.nodes[node].links.remove(&link);
                     self.nodes[node].connections.remove(&connection);
                     self.close(connection, node);
-                    process.node().down(local, link, false);
+                    process.node().link_down(local, link, false);
                 }
             }
             (packet @ (Packet::Close | Packet::Refused), link) => {
                 if let Some(link) = link {
                     self.nodes[node].links.remove(&link);
-                    process.node().down(local, link, matches!(packet, Packet::Refused));
+                    process.node().link_down(local, link, matches!(packet, Packet::Refused));
                 }
                 self.nodes[node].connections.remove(&connection);
                 self.closed(connection, side);
@@ -167,7 +167,7 @@
         if bytes == 0 {
             return self.record_violation("what is said can be told", format!("{message:?}"));
         }
-        let bytes = bytes + HEADERS;
+        let bytes = bytes + PACKET_HEADER_BYTES;
         let kind = self.said.entry(message.kind()).or_default();
         (kind.0, kind.1) = (kind.0 + 1, kind.1 + bytes as u64);
         let second = self.now as u64;
--- a/crates/faults/tests/share.rs
+++ b/crates/faults/tests/share.rs
@@ -24,7 +24,7 @@
 
 /// How many leaves a relay has, and how many it says it may have.
 fn attached(world: &World, relay: usize) -> Option<(usize, usize)> {
-    world.relay(relay).map(|relay| (relay.attached(), relay.limit()))
+    world.relay(relay).map(|relay| (relay.attached_count(), relay.leaf_limit()))
 }
 
 /// Lets time pass, with a look at every relay now and then.
@@ -42,7 +42,7 @@
 /// Leaves that come late, after the loss of their relay is known, come beyond the share that holds once it is back.
 #[test]
 fn a_relay_has_no_more_leaves_than_it_may_as_another_comes_back() {
-    let late = Timing { spread: 3.0, ..Timing::default() };
+    let late = Timing { max_reattach_delay_s: 3.0, ..Timing::default() };
     let mut world = world(Plan { timing: late, ..Plan::of(3, 64) }, 1);
     world.kill(1);
     pass(&mut world, 6.0);
@@ -64,7 +64,7 @@
     ended.iter().for_each(|leaf| world.kill(*leaf));
     pass(&mut world, SETTLED);
     let left = 300 - ended.len();
-    let share = ((left + 1) as f64 / 5.0 * world.plan.timing.bound).ceil() as usize;
+    let share = ((left + 1) as f64 / 5.0 * world.plan.timing.max_load_ratio).ceil() as usize;
     for relay in 0..5 {
         let (attached, limit) = attached(&world, relay).unwrap();
         assert!(attached <= share, "relay {relay} has {attached}, {share} are its share, it says {limit}");
@@ -77,8 +77,10 @@
 #[test]
 fn a_relay_says_that_it_may_have_more_before_it_takes_them() {
     for seed in 3..8 {
-        let mut world =
-            world(Plan { timing: Timing { spread: 0.6, ..Timing::default() }, ..Plan::of(5, 300) }, seed);
+        let mut world = world(
+            Plan { timing: Timing { max_reattach_delay_s: 0.6, ..Timing::default() }, ..Plan::of(5, 300) },
+            seed,
+        );
         world.kill(0);
         world.kill(1);
         pass(&mut world, 3.0);
--- a/crates/faults/tests/tier.rs
+++ b/crates/faults/tests/tier.rs
@@ -255,7 +255,7 @@
                 match first {
                     3 => assert!(said.is_ok(), "seed {seed}: {said:?}"),
                     _ => assert!(
-                        matches!(said, Err(SettingsError::NoMajority { heard: 2, all: 5 })),
+                        matches!(said, Err(SettingsError::NoMajority { reachable: 2, total: 5 })),
                         "seed {seed}: {said:?}"
                     ),
                 }
@@ -281,7 +281,7 @@
     world.start(0);
     world.pass(0.001);
     let refused = world.propose(0, &entries(9)).unwrap().unwrap_err();
-    assert!(matches!(refused, SettingsError::NoMajority { heard: 1, all: 3 }), "{refused}");
+    assert!(matches!(refused, SettingsError::NoMajority { reachable: 1, total: 3 }), "{refused}");
     quiet(&mut world);
 }
 
@@ -294,7 +294,7 @@
             world.propose(0, &entries(n)).unwrap().unwrap();
             world.pass(0.2);
         }
-        let version = world.relay(0).unwrap().settings().mark().version;
+        let version = world.relay(0).unwrap().settings().revision().version;
         assert!(version > 5);
         (0..5).for_each(|n| world.kill(n));
         world.pass(3.0);
@@ -307,12 +307,12 @@
         });
         assert!(taken, "seed {seed}");
         world.pass(1.0);
-        assert!(world.relay(0).unwrap().settings().mark().version < version);
+        assert!(world.relay(0).unwrap().settings().revision().version < version);
         world.heal();
         world.pass(8.0);
         assert_eq!(world.unsettled(), [], "seed {seed}");
         let settings = world.relay(0).unwrap().settings();
-        assert!(settings.mark().version > version, "{:?}", settings.mark());
+        assert!(settings.revision().version > version, "{:?}", settings.revision());
         let wanted = entries(50);
         let mut text: Vec<(&str, &str)> = wanted.iter().map(|(n, t)| (n.as_str(), t.as_str())).collect();
         text.sort();
@@ -343,7 +343,7 @@
     let has = leaf.status(world.clock(5));
     assert_eq!((has.relay, has.servers, has.leaves), (None, had.servers, had.leaves));
     assert_eq!(has.settings, had.settings);
-    assert!(has.age > 55.0, "{}", has.age);
+    assert!(has.last_heard_s > 55.0, "{}", has.last_heard_s);
     assert!(leaf.peers().all(|(_, fact)| fact.presence == Presence::Here));
     quiet(&mut world);
 }
@@ -408,16 +408,16 @@
     world.kill(0);
     world.kill(1);
     world.pass(6.0);
-    let most = (2..5).map(|n| world.relay(n).unwrap().attached()).max().unwrap();
+    let most = (2..5).map(|n| world.relay(n).unwrap().attached_count()).max().unwrap();
     assert!(most <= 126, "{most}: a quarter above a third of 301");
     assert!(world.all_attached());
     // They go home slowly.
     world.start(0);
     world.start(1);
     world.pass(20.0);
-    assert!(world.relay(0).unwrap().attached() < 10, "{}", world.relay(0).unwrap().attached());
+    assert!(world.relay(0).unwrap().attached_count() < 10, "{}", world.relay(0).unwrap().attached_count());
     world.pass(60.0);
-    let all: Vec<usize> = (0..5).map(|n| world.relay(n).unwrap().attached()).collect();
+    let all: Vec<usize> = (0..5).map(|n| world.relay(n).unwrap().attached_count()).collect();
     assert!(all.iter().all(|n| (40..=76).contains(n)), "{all:?}");
     quiet(&mut world);
 }
@@ -453,7 +453,7 @@
 
 #[test]
 fn faults_put_in_on_purpose_are_found() {
-    let home = Timing { home: 5.0, ..Timing::default() };
+    let home = Timing { return_delay_s: 5.0, ..Timing::default() };
     let found = |planted, trouble: fn(&mut World), rule: &str| {
         let run = |planted| {
             let mut world = World::new(Plan { planted, timing: home, ..Plan::of(5, 200) }, 12);
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -7,7 +7,7 @@
 use crate::node::subjects::Room;
 use hollypaddle_config::{Conf, Problem};
 use hollypaddle_policy::{ClassSettings, ListKind, Settings};
-use hollypaddle_relay::settings::Set;
+use hollypaddle_relay::settings::SettingsSet;
 use hollypaddle_service::classes::Table;
 use std::io;
 
@@ -111,8 +111,8 @@
 
     /// Takes settings of the fleet, beside the own file as it was last read: all of them or none, as at a reading anew. The
     /// relay hears what came of it.
-    pub(super) fn take_settings(&mut self, now: f64, set: &Set) {
-        let version = set.mark().version;
+    pub(super) fn take_settings(&mut self, now: f64, set: &SettingsSet) {
+        let version = set.revision().version;
         let entries: Vec<(String, String)> =
             set.entries().map(|(name, text)| (name.to_string(), text.to_string())).collect();
         let merged = self.own_file.with(&entries, &self.names);
--- a/crates/gatekeeper/src/node/observations.rs
+++ b/crates/gatekeeper/src/node/observations.rs
@@ -34,11 +34,11 @@
 
 impl ServerReporter for Leaf {
     fn report_server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
-        Leaf::server(self, at, server, Some(fact));
+        Leaf::set_server(self, at, server, Some(fact));
     }
 
     fn report_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
-        Leaf::silent(self, now, server, started_ms, since);
+        Leaf::set_silent(self, now, server, started_ms, since);
     }
 }
 
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -23,7 +23,7 @@
 use super::servers::connect_nonblocking;
 
 /// Bytes of a message that may wait for a link to take them.
-const MAX_QUEUED_BYTES: usize = 2 * message::MOST;
+const MAX_QUEUED_BYTES: usize = 2 * message::MAX_FRAME_BYTES;
 /// Bytes that the system keeps for a link that does not read, about: it doubles the figure for its own needs.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
 /// A link that takes none of what waits for so long is closed, in seconds.
@@ -272,7 +272,7 @@
             }
             link.record_progress(now);
             if waited && !link.connection.blocked() {
-                node.writable(now, link.id);
+                node.link_writable(now, link.id);
             }
         }
         link.watch(ready.key, watch);
@@ -285,7 +285,7 @@
             self.counts.received += 1;
             self.counts.bytes_received += length;
             self.counts.unknown += u64::from(matches!(message, Message::Unknown(_)));
-            if let Err(error) = node.hear(now, id, &message) {
+            if let Err(error) = node.receive(now, id, &message) {
                 return self.refuse(now, ready.key, &error.into(), node, watch);
             }
             if let Some(link) = self.links.get_mut(&ready.key) {
@@ -325,7 +325,7 @@
             });
             match accepted {
                 Ok((key, stream)) => {
-                    let id = node.accepted(now);
+                    let id = node.accept_link(now);
                     self.insert(key, Link::new(now, id, None, stream));
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
@@ -368,7 +368,7 @@
             Ok(()) => {
                 (link.up, link.since) = (true, now);
                 link.watch(key, watch);
-                node.up(now, link.id);
+                node.link_up(now, link.id);
             }
         }
     }
@@ -390,14 +390,16 @@
         };
         // A node may answer what it refuses: another relay hears which life of it is known here.
         for _ in 0..MAX_MESSAGES_PER_ITERATION {
-            let Some(message) = node.say(now, link.id).filter(|_| !link.connection.blocked()) else { break };
+            let Some(message) = node.next_message(now, link.id).filter(|_| !link.connection.blocked()) else {
+                break;
+            };
             self.counts.sent += 1;
             if link.connection.send(&Framed(message, 0)).is_err() {
                 break;
             }
         }
         let id = link.id;
-        node.down(now, id, false);
+        node.link_down(now, id, false);
         self.close(now, id, watch);
     }
 
@@ -406,7 +408,7 @@
         let live = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
         self.drop_link(key, watch);
         if let Some(id) = live {
-            node.down(now, id, refused);
+            node.link_down(now, id, refused);
         }
     }
 
@@ -474,7 +476,7 @@
 
     /// Closes, makes and says what the node wants. Called at the end of a turn.
     pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
-        for (id, to) in node.dials(now) {
+        for (id, to) in node.links_to_open(now) {
             let dialed = match self.addresses.get(&to) {
                 Some(address) => connect_nonblocking(*address),
                 None => Err(ErrorKind::AddrNotAvailable.into()),
@@ -488,12 +490,12 @@
                 // Where it is not a refusal it is a want of descriptors, or a way that is not there.
                 Err(error) => {
                     log::debug!(error:%; "relay-link-failed");
-                    node.down(now, id, error.kind() == ErrorKind::ConnectionRefused);
+                    node.link_down(now, id, error.kind() == ErrorKind::ConnectionRefused);
                 }
             }
         }
         let mut broken = Vec::new();
-        for id in node.due(now) {
+        for id in node.links_to_serve(now) {
             let Some(&key) = self.by_id.get(&id) else { continue };
             let Some(link) = self.links.get_mut(&key).filter(|l| l.up && l.closing_since.is_none()) else {
                 continue;
@@ -504,10 +506,10 @@
                 }
                 if said == MAX_MESSAGES_PER_ITERATION {
                     // It goes on with the next turn.
-                    node.writable(now, id);
+                    node.link_writable(now, id);
                     break;
                 }
-                let Some(message) = node.say(now, id) else { break };
+                let Some(message) = node.next_message(now, id) else { break };
                 let before = link.connection.queued();
                 let sent = link.connection.send(&Framed(message, 0));
                 self.counts.sent += 1;
@@ -521,7 +523,7 @@
             link.watch(key, watch);
         }
         broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
-        for id in node.closes() {
+        for id in node.links_to_close() {
             self.close(now, id, watch);
         }
     }
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -5,7 +5,7 @@
 
 use hollypaddle_membership::Incarnation;
 use hollypaddle_relay::message::Hello;
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_replica::record::Topic;
 
 use super::*;
@@ -42,26 +42,26 @@
 }
 
 impl Node for RecordingNode {
-    fn dials(&mut self, _: f64) -> Vec<(LinkId, MemberId)> {
+    fn links_to_open(&mut self, _: f64) -> Vec<(LinkId, MemberId)> {
         std::mem::take(&mut self.dials)
     }
 
-    fn accepted(&mut self, _: f64) -> LinkId {
+    fn accept_link(&mut self, _: f64) -> LinkId {
         self.next += 1;
         self.says.entry(LinkId(self.next)).or_default();
         LinkId(self.next)
     }
 
-    fn up(&mut self, _: f64, link: LinkId) {
+    fn link_up(&mut self, _: f64, link: LinkId) {
         self.ups.push(link);
         self.says.entry(link).or_default();
     }
 
-    fn down(&mut self, _: f64, link: LinkId, refused: bool) {
+    fn link_down(&mut self, _: f64, link: LinkId, refused: bool) {
         self.downs.push((link, refused));
     }
 
-    fn hear(&mut self, _: f64, link: LinkId, message: &Message) -> Result<(), LinkError> {
+    fn receive(&mut self, _: f64, link: LinkId, message: &Message) -> Result<(), LinkError> {
         self.heard.push((link, message.clone()));
         if self.refuses {
             return Err(LinkError::OutOfPlace);
@@ -69,11 +69,11 @@
         Ok(())
     }
 
-    fn due(&mut self, _: f64) -> Vec<LinkId> {
+    fn links_to_serve(&mut self, _: f64) -> Vec<LinkId> {
         self.says.keys().copied().collect()
     }
 
-    fn say(&mut self, _: f64, link: LinkId) -> Option<Message> {
+    fn next_message(&mut self, _: f64, link: LinkId) -> Option<Message> {
         if self.floods {
             self.said += 1;
             return Some(Message::Unknown(250));
@@ -81,15 +81,15 @@
         self.says.get_mut(&link)?.pop_front()
     }
 
-    fn writable(&mut self, _: f64, _: LinkId) {}
+    fn link_writable(&mut self, _: f64, _: LinkId) {}
 
-    fn closes(&mut self) -> Vec<LinkId> {
+    fn links_to_close(&mut self) -> Vec<LinkId> {
         std::mem::take(&mut self.closes)
     }
 
     fn tick(&mut self, _: f64) {}
 
-    fn next_at(&self) -> f64 {
+    fn next_tick_at(&self) -> f64 {
         f64::INFINITY
     }
 }
@@ -153,7 +153,7 @@
         protocol: (1, 1),
         from: MemberId(1),
         to: MemberId(2),
-        life,
+        incarnation: life,
         topic: Topic(3),
         name: "n1".into(),
     })
@@ -245,9 +245,9 @@
     relay.node.refuses = true;
     relay.node.says.insert(LinkId(2), VecDeque::new());
     stream.write_all(&frame(&hello())).unwrap();
-    relay.node.say(LinkId(2), Message::Lacks(Mark::default()));
+    relay.node.say(LinkId(2), Message::Lacks(Revision::default()));
     relay.until("the refusal", |f| f.node.downs.contains(&(LinkId(2), false)));
-    assert_eq!(next(&mut stream), Some(Message::Lacks(Mark::default())));
+    assert_eq!(next(&mut stream), Some(Message::Lacks(Revision::default())));
     assert_eq!(next(&mut stream), None);
 }
 
@@ -333,7 +333,7 @@
 fn every_error_of_a_link_is_on_the_page_for_on_call_staff() {
     let page = include_str!("../../../../../docs/ONCALL.md");
     let node = [
-        LinkError::Protocol { least: 2, most: 3 },
+        LinkError::Protocol { oldest: 2, newest: 3 },
         LinkError::NotForUs,
         LinkError::OutOfPlace,
         LinkError::StaleLife,
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -12,9 +12,9 @@
 use hollypaddle_membership::MemberId;
 use hollypaddle_policy::{Event as ModuleEvent, ListKind, PoolEntry};
 use hollypaddle_relay::leaf::{self, Leaf};
-use hollypaddle_relay::placement::{Place, RelayPlace};
+use hollypaddle_relay::placement::{NodeLocation, RelayLocation};
 use hollypaddle_relay::relay::{self, Relay, SettingsError};
-use hollypaddle_relay::settings::{Mark, Set};
+use hollypaddle_relay::settings::{Revision, SettingsSet};
 use hollypaddle_relay::{Message, Node, Timing};
 use hollypaddle_replica::guard::Guard;
 use hollypaddle_replica::record::{ServerKey, Topic};
@@ -93,7 +93,7 @@
     name: String,
     /// Where a relay listens.
     listen: Option<SocketAddr>,
-    place: Place,
+    place: NodeLocation,
     topic: Topic,
 }
 
@@ -117,12 +117,12 @@
 }
 
 /// A place in the words of the crate `relay`. Where the region is not told it is that of the zone's relays, if they have one.
-fn place(location: &Location, relays: &[hollypaddle_config::RelayConf]) -> Place {
+fn place(location: &Location, relays: &[hollypaddle_config::RelayConf]) -> NodeLocation {
     let of_zone = || {
         let same = |l: &&Location| l.zone.is_some() && l.zone == location.zone;
         relays.iter().map(|r| &r.location).filter(same).find_map(|l| l.region.clone())
     };
-    Place {
+    NodeLocation {
         zone: location.zone.clone().unwrap_or_default(),
         region: location.region.clone().or_else(of_zone).unwrap_or_default(),
     }
@@ -144,7 +144,7 @@
     removed_servers: VecDeque<(f64, ServerKey)>,
     observations: PeerObservations,
     /// The settings that came last.
-    received_settings: Option<Arc<Set>>,
+    received_settings: Option<Arc<SettingsSet>>,
     // Of a relay.
     /// What is to be proposed, and until when that is tried.
     proposal: Option<(Vec<(String, String)>, f64)>,
@@ -163,13 +163,13 @@
         let mut role = match tier.relay(&identity.name) {
             Some(_) => {
                 let writer = MemberId::of(&tier.writer);
-                let known = relay::Identity { own, life: incarnation, relays, writer };
+                let known = relay::Identity { id: own, incarnation, relays, writer };
                 Role::Relay(Box::new(Relay::new(now, known, conf.settings, timing(tier))))
             }
             None => {
                 let (topic, place) = (identity.topic, identity.place.clone());
-                let known = leaf::Identity { own, life: incarnation, topic, place };
-                Role::Leaf(Box::new(Leaf::new(now, known, relays, timing(tier)).named(&identity.name)))
+                let known = leaf::Identity { id: own, incarnation, topic, location: place };
+                Role::Leaf(Box::new(Leaf::new(now, known, relays, timing(tier)).with_name(&identity.name)))
             }
         };
         let max_links = max_links_in_tier(tier, &identity.name);
@@ -205,11 +205,11 @@
     fn change(&mut self, room: &mut Room, conf: &FleetConf, tier: &TierConf) {
         let now = room.now;
         match &mut self.role {
-            Role::Leaf(leaf) => leaf.change(now, places(tier), timing(tier)),
+            Role::Leaf(leaf) => leaf.reconfigure(now, places(tier), timing(tier)),
             Role::Relay(relay) => {
                 let writer = MemberId::of(&tier.writer);
                 let known = relay::Identity { relays: places(tier), writer, ..relay.identity().clone() };
-                relay.change(now, known, conf.settings, timing(tier));
+                relay.reconfigure(now, known, conf.settings, timing(tier));
             }
         }
         let max_links = max_links_in_tier(tier, &self.identity.name);
@@ -223,7 +223,7 @@
         match &mut self.role {
             Role::Leaf(_) => self.links.send_to_all(&Message::Leave),
             Role::Relay(relay) => {
-                relay.end(room.now);
+                relay.begin_shutdown(room.now);
                 self.links.apply_node_actions(room.now, self.role.node(), room.watch);
             }
         }
@@ -249,7 +249,7 @@
             }
         };
         if let Role::Relay(relay) = &self.role {
-            let writer = relay.identity().writer == relay.identity().own;
+            let writer = relay.identity().writer == relay.identity().id;
             // One file may serve all relays: what is in force already is no change, and at a start only the writer's counts.
             let as_in_force = relay.settings().entries().eq(sorted(&wanted).iter().map(|(n, t)| (*n, *t)));
             if !writer && (at_start || as_in_force) {
@@ -268,7 +268,7 @@
         match relay.propose(now, &wanted) {
             Ok(mark) => {
                 self.refused = None;
-                let in_force = relay.settings().mark().version;
+                let in_force = relay.settings().revision().version;
                 log::info!(version = mark.version, in_force, entries = wanted.len(); "fleet-settings-proposed");
             }
             Err(SettingsError::CatchingUp | SettingsError::NoMajority { .. }) if now < until => {
@@ -307,18 +307,18 @@
             let listed = self.reported.pool_of(server).is_some()
                 || self.removed_servers.iter().any(|(_, again)| *again == server);
             if !listed {
-                leaf.server(now, server, None);
+                leaf.set_server(now, server, None);
             }
         }
         let Some(guard) = &mut room.gates.fleet else { return Vec::new() };
         let late = self.conf.settings.lists_late;
-        self.observations.update(now, &leaf.hearsay(now), (room.list_at, late), room.servers, guard)
+        self.observations.update(now, &leaf.peer_observations(now), (room.list_at, late), room.servers, guard)
     }
 
     /// Settings that came and were not offered before.
-    fn take_offered_settings(&mut self) -> Option<Arc<Set>> {
+    fn take_offered_settings(&mut self) -> Option<Arc<SettingsSet>> {
         let Role::Leaf(leaf) = &mut self.role else { return None };
-        let offered = leaf.offered()?;
+        let offered = leaf.take_new_settings()?;
         self.received_settings = Some(Arc::clone(&offered));
         Some(offered)
     }
@@ -326,7 +326,7 @@
     fn ready(&self, now: f64) -> bool {
         let late = now - self.joined >= MAX_CATCH_UP_WAIT_S;
         match &self.role {
-            Role::Leaf(leaf) => late || leaf.level(),
+            Role::Leaf(leaf) => late || leaf.has_current_feeds(),
             Role::Relay(relay) => relay.ready(),
         }
     }
@@ -336,14 +336,14 @@
     fn log(&mut self, now: f64) {
         match &mut self.role {
             Role::Leaf(leaf) => {
-                for event in leaf.events() {
+                for event in leaf.take_events() {
                     if self.log_limiter.may_log(now) {
                         log_leaf_event(&event, &self.names);
                     }
                 }
             }
             Role::Relay(relay) => {
-                for event in relay.events() {
+                for event in relay.take_events() {
                     let may = match &event {
                         relay::Event::Mesh(event) => self.log_limiter.may_log_event(now, event),
                         _ => self.log_limiter.may_log(now),
@@ -369,12 +369,12 @@
 
     fn report_leaf(&self, now: f64, leaf: &Leaf) -> Value {
         let status = leaf.status(now);
-        let place = |l: &Place| (!l.zone.is_empty()).then(|| l.zone.clone());
+        let place = |l: &NodeLocation| (!l.zone.is_empty()).then(|| l.zone.clone());
         let row = |r: &hollypaddle_config::RelayConf| {
             let id = MemberId::of(&r.name);
             let state = match () {
                 () if status.relay == Some(id) => "own",
-                () if status.second == Some(id) => "second",
+                () if status.second_choice == Some(id) => "second",
                 () => "other",
             };
             json!({"name": r.name, "state": state, "zone": r.location.zone, "region": r.location.region})
@@ -384,10 +384,10 @@
                 "moves": fact.moves})
         };
         json!({
-            "role": "leaf", "name": self.identity.name, "life": leaf.identity().life.to_string(),
+            "role": "leaf", "name": self.identity.name, "life": leaf.identity().incarnation.to_string(),
             "ready": self.ready(now), "zone": place(&self.identity.place),
-            "relay": status.relay.map(|r| self.name(r)), "second": status.second.map(|r| self.name(r)),
-            "age_s": status.age, "moves": status.moves,
+            "relay": status.relay.map(|r| self.name(r)), "second": status.second_choice.map(|r| self.name(r)),
+            "age_s": status.last_heard_s, "moves": status.moves,
             "settings": {"version": status.settings.version, "hash": hash(status.settings),
                 "in_force": status.in_force,
                 "refused": status.turned_down.as_ref().map(|(version, _)| version),
@@ -399,7 +399,7 @@
     }
 
     fn report_relay(&self, now: f64, relay: &Relay) -> Value {
-        let view = relay.mesh().view();
+        let view = relay.member().view();
         let heard = 1 + view.peers().filter(|m| matches!(view.state(*m), State::Alive)).count();
         let row = |r: &hollypaddle_membership::view::Row| {
             json!({
@@ -410,22 +410,22 @@
         };
         let leaf = |r: relay::LeafRow| {
             json!({
-                "name": relay.leaf_name(r.leaf).map_or_else(|| self.name(r.leaf), String::from), "state": presence(r.presence), "since_s": r.since, "moves": r.moves,
+                "name": relay.leaf_name(r.leaf).map_or_else(|| self.name(r.leaf), String::from), "state": presence(r.presence), "since_s": r.since_s, "moves": r.moves,
                 "in_force": r.in_force, "refused": r.turned_down.as_ref().map(|(version, _)| version),
                 "reason": r.turned_down.as_ref().map(|(_, reason)| reason),
             })
         };
-        let mark = relay.settings().mark();
+        let mark = relay.settings().revision();
         json!({
-            "role": "relay", "name": self.identity.name, "life": relay.identity().life.to_string(),
+            "role": "relay", "name": self.identity.name, "life": relay.identity().incarnation.to_string(),
             "ready": relay.ready(), "writer": self.tier.writer, "heard": heard, "all": self.tier.relays.len(),
             "majority": 2 * heard > self.tier.relays.len(),
-            "attached": relay.attached(), "limit": relay.limit(), "takes": relay.takes(),
+            "attached": relay.attached_count(), "limit": relay.leaf_limit(), "takes": relay.accept_limit(),
             "settings": {"version": mark.version, "hash": hash(mark),
                 "entries": relay.settings().entries().count(),
                 "proposed": relay.proposed().map(|p| p.version), "refused": self.refused},
             "relays": view.snapshot(now).iter().map(row).collect::<Vec<_>>(),
-            "members": relay.rows(now).into_iter().map(leaf).collect::<Vec<_>>(),
+            "members": relay.leaf_rows(now).into_iter().map(leaf).collect::<Vec<_>>(),
             "counts": relay.counts, "links": self.links.counts,
         })
     }
@@ -435,7 +435,7 @@
     entries.iter().map(|(name, text)| (name.as_str(), text.as_str())).collect()
 }
 
-fn hash(mark: Mark) -> String {
+fn hash(mark: Revision) -> String {
     format!("{:016x}", mark.hash)
 }
 
@@ -452,10 +452,10 @@
     relays.chain([own]).map(|name| (MemberId::of(name), name.to_string())).collect()
 }
 
-fn places(tier: &TierConf) -> Vec<RelayPlace> {
-    let of = |r: &hollypaddle_config::RelayConf| RelayPlace {
+fn places(tier: &TierConf) -> Vec<RelayLocation> {
+    let of = |r: &hollypaddle_config::RelayConf| RelayLocation {
         relay: MemberId::of(&r.name),
-        place: place(&r.location, &tier.relays),
+        location: place(&r.location, &tier.relays),
     };
     tier.relays.iter().map(of).collect()
 }
@@ -465,7 +465,7 @@
 }
 
 fn timing(tier: &TierConf) -> Timing {
-    Timing { leaf_rate: tier.leaf_rate, leaves: tier.leaves, ..Timing::default() }
+    Timing { leaf_bytes_per_s: tier.leaf_rate, max_leaves: tier.leaves, ..Timing::default() }
 }
 
 fn log_leaf_event(event: &leaf::Event, names: &BTreeMap<MemberId, String>) {
@@ -483,19 +483,19 @@
             let reason = refusal(*why);
             log::info!(relay = name(*relay).as_str(), reason = reason.as_str(), retry_s; "relay-refused");
         }
-        leaf::Event::Settings(mark) => log::debug!(version = mark.version; "fleet-settings-came"),
-        leaf::Event::Resync(feed) => {
+        leaf::Event::SettingsReceived(mark) => log::debug!(version = mark.version; "fleet-settings-came"),
+        leaf::Event::ResyncRequested(feed) => {
             let feed = format!("{feed:?}").to_lowercase();
             log::info!(feed = feed.as_str(); "relay-told-anew");
         }
-        leaf::Event::Raised(life) => log::info!(life:%; "leaf-life-raised"),
+        leaf::Event::IncarnationRaised(life) => log::info!(life:%; "leaf-life-raised"),
     }
 }
 
 fn log_relay_event(event: &relay::Event, name: impl Fn(MemberId) -> String) {
     match event {
         relay::Event::Mesh(event) => log_member_event(event, name),
-        relay::Event::Leaf(leaf, found) => {
+        relay::Event::LeafPresence(leaf, found) => {
             let state = presence(*found);
             log::info!(leaf = name(*leaf).as_str(), state = state.as_str(); "leaf-found");
         }
@@ -543,22 +543,22 @@
     }
 
     /// Settings of the fleet that came and were not offered before.
-    pub fn take_offered_settings(&mut self) -> Option<Arc<Set>> {
+    pub fn take_offered_settings(&mut self) -> Option<Arc<SettingsSet>> {
         self.joined.as_mut().and_then(Joined::take_offered_settings)
     }
 
     /// Settings of the fleet that were turned down, to be tried again as the own configuration has changed.
-    pub fn rejected_settings(&self) -> Option<Arc<Set>> {
+    pub fn rejected_settings(&self) -> Option<Arc<SettingsSet>> {
         let joined = self.joined.as_ref()?;
         let Role::Leaf(leaf) = &joined.role else { return None };
         let held = joined.received_settings.as_ref()?;
-        (leaf.status(joined.ticked).in_force < held.mark().version).then(|| Arc::clone(held))
+        (leaf.status(joined.ticked).in_force < held.revision().version).then(|| Arc::clone(held))
     }
 
     /// Settings of this version are in force here, or why they are not.
     pub fn report_verdict(&mut self, version: u64, verdict: Result<(), String>) {
         let Some(Joined { role: Role::Leaf(leaf), .. }) = &mut self.joined else { return };
-        leaf.verdict(version, verdict);
+        leaf.record_settings_result(version, verdict);
     }
 }
 
@@ -654,8 +654,8 @@
 
     fn wants_turn_at(&self) -> Option<f64> {
         self.joined.as_ref().map(|joined| match &joined.role {
-            Role::Leaf(leaf) => leaf.next_at(),
-            Role::Relay(relay) => relay.next_at(),
+            Role::Leaf(leaf) => leaf.next_tick_at(),
+            Role::Relay(relay) => relay.next_tick_at(),
         })
     }
 
--- a/crates/gatekeeper/src/node/tier/tests.rs
+++ b/crates/gatekeeper/src/node/tier/tests.rs
@@ -10,11 +10,11 @@
     let refused = [
         SettingsError::NotWriter,
         SettingsError::CatchingUp,
-        SettingsError::NoMajority { heard: 1, all: 3 },
-        SettingsError::Set(SetError::Entries(9)),
-        SettingsError::Set(SetError::Entry { name: "x".into(), bytes: 9 }),
-        SettingsError::Set(SetError::Bytes(9)),
-        SettingsError::Set(SetError::Twice("x".into())),
+        SettingsError::NoMajority { reachable: 1, total: 3 },
+        SettingsError::Set(SetError::TooManyEntries(9)),
+        SettingsError::Set(SetError::EntryTooLong { name: "x".into(), bytes: 9 }),
+        SettingsError::Set(SetError::TooLong(9)),
+        SettingsError::Set(SetError::DuplicateName("x".into())),
     ];
     let all = refused.into_iter().map(SettingsFileError::Refused).chain([SettingsFileError::File(3)]);
     for error in all {
--- a/crates/gatekeeper/tests/hollow.rs
+++ b/crates/gatekeeper/tests/hollow.rs
@@ -7,7 +7,7 @@
 
 use clap::Parser;
 use hollypaddle_hollow::leaves::{run, Plan};
-use hollypaddle_hollow::test_bed::{Setup, Stage};
+use hollypaddle_hollow::test_bed::{Setup, TestBed};
 use hollypaddle_standin::program::unix_time;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hollypaddle");
@@ -38,7 +38,7 @@
     }
 }
 
-fn start() -> Result<Stage, Box<dyn Error>> {
+fn start() -> Result<TestBed, Box<dyn Error>> {
     let own = std::env::current_exe()?;
     let hollow = move |plan: &Plan| {
         let mut command = Command::new(&own);
@@ -46,7 +46,7 @@
         command.env(PLAN_VARIABLE, format!("hollow {}", plan.args().join(" ")));
         command
     };
-    Stage::start(Setup {
+    TestBed::start(Setup {
         program: PathBuf::from(PROGRAM),
         hollow: Box::new(hollow),
         relays: RELAYS,
@@ -60,36 +60,37 @@
 }
 
 /// Changes the settings, and checks that the change is in force at all leaves in time.
-fn check_change(stage: &mut Stage, when: &str) -> Result<(), Box<dyn Error>> {
-    let (version, _) = stage.change()?;
-    let seconds = stage.until("a change to be in force at all leaves", TIMEOUT_S, |s| s.all_have(version))?;
+fn check_change(stage: &mut TestBed, when: &str) -> Result<(), Box<dyn Error>> {
+    let (version, _) = stage.change_settings()?;
+    let seconds = stage
+        .wait_until("a change to be in force at all leaves", TIMEOUT_S, |s| s.all_have_version(version))?;
     assert!(seconds <= MAX_IN_FORCE_S, "{when}: in force at all leaves after {seconds:.2} s");
     Ok(())
 }
 
 /// Checks that all leaves are attached in time, and no relay has more than its limit.
-fn check_all_attached(stage: &mut Stage, when: &str) -> Result<(), Box<dyn Error>> {
-    let seconds = stage.until("all leaves to be attached", TIMEOUT_S, Stage::all_attached)?;
+fn check_all_attached(stage: &mut TestBed, when: &str) -> Result<(), Box<dyn Error>> {
+    let seconds = stage.wait_until("all leaves to be attached", TIMEOUT_S, TestBed::all_attached)?;
     assert!(seconds <= MAX_ATTACH_S, "{when}: all leaves attached after {seconds:.2} s");
-    let counts = stage.attached()?;
+    let counts = stage.leaves_by_relay()?;
     assert_eq!(counts.values().sum::<usize>(), GATEKEEPERS + LEAVES, "{when}: {counts:?}");
-    let reports: Vec<_> = stage.relays().map(|n| stage.members(n)).collect();
+    let reports: Vec<_> = stage.relay_indices().map(|n| stage.members_report(n)).collect();
     for report in reports.iter().filter(|report| !report.is_null()) {
         assert!(report["attached"].as_u64() <= report["limit"].as_u64(), "{when}: {report}");
     }
     Ok(())
 }
 
-fn check_none_held_gone(stage: &mut Stage, when: &str) -> Result<(), Box<dyn Error>> {
+fn check_none_held_gone(stage: &mut TestBed, when: &str) -> Result<(), Box<dyn Error>> {
     assert_eq!(stage.false_deaths()?, 0, "{when}: live leaves are held to be gone");
     Ok(())
 }
 
 /// Waits until a relay receives messages from this number of relays, itself included.
-fn wait_for_relays(stage: &mut Stage, relay: usize, count: u64) -> Result<(), Box<dyn Error>> {
-    let n = stage.relay(relay);
-    stage.until("the relays to receive from the expected number of relays", TIMEOUT_S, |s| {
-        let report = s.members(n);
+fn wait_for_relays(stage: &mut TestBed, relay: usize, count: u64) -> Result<(), Box<dyn Error>> {
+    let n = stage.relay_index(relay);
+    stage.wait_until("the relays to receive from the expected number of relays", TIMEOUT_S, |s| {
+        let report = s.members_report(n);
         Ok(report["heard"] == count && (count < RELAYS as u64 || report["ready"] == true))
     })?;
     Ok(())
@@ -103,7 +104,7 @@
     check_none_held_gone(&mut stage, "at first")?;
 
     // A relay is killed and restarted.
-    let killed = stage.relay(1);
+    let killed = stage.relay_index(1);
     stage.kill(killed);
     check_all_attached(&mut stage, "a relay was killed")?;
     check_change(&mut stage, "a relay was killed")?;
@@ -116,32 +117,37 @@
     stage.start_hollow(2)?;
     let restarted_at = unix_time();
     check_all_attached(&mut stage, "a process of leaves was killed")?;
-    stage.until("the restarted leaves to be held alive", MAX_STALE_GONE_S, |s| Ok(s.false_deaths()? == 0))?;
+    stage.wait_until("the restarted leaves to be held alive", MAX_STALE_GONE_S, |s| {
+        Ok(s.false_deaths()? == 0)
+    })?;
     check_change(&mut stage, "a process of leaves was killed")?;
 
     // A relay is cut off: the others go on, and its leaves receive the change that they missed once it is reconnected.
-    stage.cut_off(2, true);
+    stage.cut_relay(2, true);
     wait_for_relays(&mut stage, 0, 2)?;
     wait_for_relays(&mut stage, 2, 1)?;
-    let (version, _) = stage.change()?;
-    let writer = stage.relay(0);
-    stage.until("the other relays to accept a change", MAX_IN_FORCE_S, |s| {
-        Ok(s.members(writer)["settings"]["version"].as_u64() >= Some(version))
+    let (version, _) = stage.change_settings()?;
+    let writer = stage.relay_index(0);
+    stage.wait_until("the other relays to accept a change", MAX_IN_FORCE_S, |s| {
+        Ok(s.members_report(writer)["settings"]["version"].as_u64() >= Some(version))
     })?;
     check_none_held_gone(&mut stage, "a relay is cut off")?;
-    stage.cut_off(2, false);
-    let seconds = stage.until("all leaves to have the change", TIMEOUT_S, |s| s.all_have(version))?;
+    stage.cut_relay(2, false);
+    let seconds =
+        stage.wait_until("all leaves to have the change", TIMEOUT_S, |s| s.all_have_version(version))?;
     assert!(seconds <= MAX_IN_FORCE_S, "in force at all leaves {seconds:.2} s after the links were restored");
     (0..RELAYS).try_for_each(|relay| wait_for_relays(&mut stage, relay, RELAYS as u64))?;
 
     // The writer refuses a change without a majority, and logs the reason.
-    stage.cut_off(0, true);
+    stage.cut_relay(0, true);
     wait_for_relays(&mut stage, 0, 1)?;
-    stage.propose(0)?;
-    stage.until("the refusal", TIMEOUT_S, |s| Ok(!s.logged(writer, "fleet-settings-refused").is_empty()))?;
-    assert_eq!(stage.logged(writer, "fleet-settings-refused")[0]["reason"], "no-majority");
+    stage.propose_change(0)?;
+    stage.wait_until("the refusal", TIMEOUT_S, |s| {
+        Ok(!s.log_lines(writer, "fleet-settings-refused").is_empty())
+    })?;
+    assert_eq!(stage.log_lines(writer, "fleet-settings-refused")[0]["reason"], "no-majority");
     check_none_held_gone(&mut stage, "the writer is cut off")?;
-    stage.cut_off(0, false);
+    stage.cut_relay(0, false);
     (0..RELAYS).try_for_each(|relay| wait_for_relays(&mut stage, relay, RELAYS as u64))?;
     check_change(&mut stage, "the links are restored")?;
     check_all_attached(&mut stage, "the links are restored")?;
@@ -159,9 +165,10 @@
     }
     // None of these faults affected a call.
     stage.rate = 0.0;
-    let ended =
-        |s: &mut Stage| Ok(s.world.callers[..GATEKEEPERS].iter().all(|c| c.unanswered() + c.standing() == 0));
-    stage.until("the ends of all calls", TIMEOUT_S, ended)?;
+    let ended = |s: &mut TestBed| {
+        Ok(s.world.callers[..GATEKEEPERS].iter().all(|c| c.unanswered() + c.standing() == 0))
+    };
+    stage.wait_until("the ends of all calls", TIMEOUT_S, ended)?;
     for callers in &stage.world.callers[..GATEKEEPERS] {
         assert!(callers.calls.values().all(|call| call.answers == 1) && callers.calls.len() > 20);
     }
--- a/crates/hollow/src/leaves.rs
+++ b/crates/hollow/src/leaves.rs
@@ -10,9 +10,9 @@
 use hollypaddle::node::poller::Watch;
 use hollypaddle::node::relays::{max_leaf_links, Links};
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_relay::budget::HEADERS;
+use hollypaddle_relay::budget::PACKET_HEADER_BYTES;
 use hollypaddle_relay::leaf::{Event, Identity, Leaf};
-use hollypaddle_relay::placement::{Place, RelayPlace};
+use hollypaddle_relay::placement::{NodeLocation, RelayLocation};
 use hollypaddle_relay::{Node, Timing};
 use hollypaddle_replica::record::{Place as ServerPlace, Presence, ServerFact, ServerKey, Topic};
 use serde::{Deserialize, Serialize};
@@ -57,7 +57,7 @@
     /// Where it takes links.
     pub address: SocketAddr,
     /// Where it stands.
-    pub place: Place,
+    pub location: NodeLocation,
 }
 
 impl FromStr for RelayArg {
@@ -68,33 +68,33 @@
             return Err("expected NAME,ADDRESS:PORT,ZONE,REGION".into());
         };
         let address = address.parse().map_err(|_| format!("{address:?} is no address"))?;
-        let place = Place { zone: zone.into(), region: region.into() };
-        Ok(RelayArg { name: name.into(), address, place })
+        let place = NodeLocation { zone: zone.into(), region: region.into() };
+        Ok(RelayArg { name: name.into(), address, location: place })
     }
 }
 
 impl std::fmt::Display for RelayArg {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{},{},{},{}", self.name, self.address, self.place.zone, self.place.region)
+        write!(f, "{},{},{},{}", self.name, self.address, self.location.zone, self.location.region)
     }
 }
 
 /// A zone on the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ZoneArg(pub Place);
+pub struct ZoneArg(pub NodeLocation);
 
 impl FromStr for ZoneArg {
     type Err = String;
 
     fn from_str(text: &str) -> Result<ZoneArg, String> {
         let (zone, region) = text.split_once(',').ok_or("expected ZONE,REGION")?;
-        Ok(ZoneArg(Place { zone: zone.into(), region: region.into() }))
+        Ok(ZoneArg(NodeLocation { zone: zone.into(), region: region.into() }))
     }
 }
 
 /// A leaf that took settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Took {
+pub struct SettingsTaken {
     /// Which leaf.
     pub leaf: String,
     /// Which version.
@@ -105,7 +105,7 @@
 
 /// A leaf that was attached.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Moved {
+pub struct Attachment {
     /// Which leaf.
     pub leaf: String,
     /// To which relay.
@@ -128,7 +128,8 @@
     /// How many leaves hold another one to have left or to be gone for good, by that one's id.
     pub gone: BTreeMap<String, usize>,
     /// The same, to be silent or closed for now.
-    pub doubted: BTreeMap<String, usize>,
+    #[serde(rename = "doubted")]
+    pub suspected: BTreeMap<String, usize>,
     /// Servers of all leaves' services that they hear of.
     pub servers: usize,
     /// Other leaves of their services that all of them hear of.
@@ -138,11 +139,14 @@
     /// Bytes of those.
     pub bytes: [u64; 2],
     /// Bytes of each leaf since the start, both ways, headers of packets counted.
-    pub each: Vec<u64>,
+    #[serde(rename = "each")]
+    pub bytes_by_leaf: Vec<u64>,
     /// Settings that leaves took since the last report, and attachments.
-    pub took: Vec<Took>,
+    #[serde(rename = "took")]
+    pub settings_taken: Vec<SettingsTaken>,
     /// The latter.
-    pub moved: Vec<Moved>,
+    #[serde(rename = "moved")]
+    pub attachments: Vec<Attachment>,
 }
 
 /// One leaf with its links.
@@ -159,12 +163,12 @@
     watch: Watch,
     names: BTreeMap<MemberId, String>,
     all: Vec<One>,
-    took: Vec<Took>,
-    moved: Vec<Moved>,
+    took: Vec<SettingsTaken>,
+    moved: Vec<Attachment>,
 }
 
 /// The id of a leaf as reports have it.
-pub fn id(name: &str) -> String {
+pub fn leaf_id(name: &str) -> String {
     format!("{:016x}", MemberId::of(name).0)
 }
 
@@ -223,8 +227,8 @@
     fn open(plan: &Plan) -> Result<Process, Box<dyn Error>> {
         let (clock, mut watch) = (Clock::new(), Watch::new()?);
         let now = clock.now();
-        let places: Vec<RelayPlace> = (plan.relays.iter())
-            .map(|r| RelayPlace { relay: MemberId::of(&r.name), place: r.place.clone() })
+        let places: Vec<RelayLocation> = (plan.relays.iter())
+            .map(|r| RelayLocation { relay: MemberId::of(&r.name), location: r.location.clone() })
             .collect();
         let addresses: BTreeMap<MemberId, SocketAddr> =
             plan.relays.iter().map(|r| (MemberId::of(&r.name), r.address)).collect();
@@ -235,11 +239,16 @@
             let service = format!("s{}", n % plan.services.max(1));
             let place = plan.zones[n % plan.zones.len()].0.clone();
             let life = Incarnation { number: (now * 1e6) as u64, nonce: nonce ^ n as u64 };
-            let identity = Identity { own: MemberId::of(&name), life, topic: Topic::of(&service), place };
-            let mut leaf = Leaf::new(now, identity, places.clone(), Timing::default()).named(&name);
+            let identity = Identity {
+                id: MemberId::of(&name),
+                incarnation: life,
+                topic: Topic::of(&service),
+                location: place,
+            };
+            let mut leaf = Leaf::new(now, identity, places.clone(), Timing::default()).with_name(&name);
             for server in 0..plan.servers {
                 let key = ServerKey::of(&format!("{service}/{server}"));
-                leaf.server(now, key, Some(ServerFact { started_ms: 0, place: ServerPlace::Ready }));
+                leaf.set_server(now, key, Some(ServerFact { started_ms: 0, place: ServerPlace::Ready }));
             }
             let mut links = Links::open(None, max_leaf_links(), &mut watch)?;
             links.reconfigure(now, max_leaf_links(), addresses.clone(), &mut leaf, &watch);
@@ -254,33 +263,33 @@
         for one in self.all.iter_mut().filter(|one| one.next_at <= now) {
             one.leaf.tick(now);
             one.links.maintain(now, &mut one.leaf, &mut self.watch);
-            if let Some(offered) = one.leaf.offered() {
-                let version = offered.mark().version;
+            if let Some(offered) = one.leaf.take_new_settings() {
+                let version = offered.revision().version;
                 let verdict = if one.refuses { Err(REFUSAL.to_string()) } else { Ok(()) };
-                one.leaf.verdict(version, verdict);
+                one.leaf.record_settings_result(version, verdict);
                 if !one.refuses {
-                    self.took.push(Took { leaf: one.name.clone(), version, at: now });
+                    self.took.push(SettingsTaken { leaf: one.name.clone(), version, at: now });
                 }
             }
             one.links.apply_node_actions(now, &mut one.leaf, &mut self.watch);
-            for event in one.leaf.events() {
+            for event in one.leaf.take_events() {
                 let (relay, after) = match event {
                     Event::Attached(relay, after) => (relay, after),
                     Event::Returned(relay) => (relay, None),
                     _ => continue,
                 };
                 let relay = self.names.get(&relay).cloned().unwrap_or_default();
-                self.moved.push(Moved { leaf: one.name.clone(), relay, after, at: now });
+                self.moved.push(Attachment { leaf: one.name.clone(), relay, after, at: now });
             }
-            one.next_at = one.leaf.next_at();
+            one.next_at = one.leaf.next_tick_at();
         }
     }
 
     fn report(&mut self, now: f64) -> Report {
         let mut report = Report {
             at: now,
-            took: std::mem::take(&mut self.took),
-            moved: std::mem::take(&mut self.moved),
+            settings_taken: std::mem::take(&mut self.took),
+            attachments: std::mem::take(&mut self.moved),
             ..Report::default()
         };
         for one in &self.all {
@@ -292,7 +301,7 @@
             for (peer, fact) in one.leaf.peers() {
                 let held = match fact.presence {
                     Presence::Here => None,
-                    Presence::Silent | Presence::Closed => Some(&mut report.doubted),
+                    Presence::Silent | Presence::Closed => Some(&mut report.suspected),
                     Presence::Left | Presence::Gone => Some(&mut report.gone),
                 };
                 if let Some(held) = held {
@@ -306,8 +315,8 @@
                 report.messages[way] += messages[way];
                 report.bytes[way] += bytes[way];
             }
-            let headers = (counts.sent + counts.received) * HEADERS as u64;
-            report.each.push(counts.bytes_sent + counts.bytes_received + headers);
+            let headers = (counts.sent + counts.received) * PACKET_HEADER_BYTES as u64;
+            report.bytes_by_leaf.push(counts.bytes_sent + counts.bytes_received + headers);
         }
         report
     }
--- a/crates/hollow/src/process.rs
+++ b/crates/hollow/src/process.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{sync_channel, Receiver};
 use std::time::{Duration, Instant};
 
-use crate::leaves::{Moved, Plan, Report, Took};
+use crate::leaves::{Attachment, Plan, Report, SettingsTaken};
 
 /// How long an answer is waited for.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -20,11 +20,11 @@
     pub child: Child,
     reports: Receiver<Report>,
     /// The last report that was read.
-    pub last: Report,
+    pub last_report: Report,
     /// Settings that its leaves took, of all reports read so far.
-    pub took: Vec<Took>,
+    pub settings_taken: Vec<SettingsTaken>,
     /// The same, attachments.
-    pub moved: Vec<Moved>,
+    pub attachments: Vec<Attachment>,
 }
 
 impl Plan {
@@ -60,24 +60,31 @@
             }
         });
         let (took, moved) = (Vec::new(), Vec::new());
-        Ok(Process { plan, child, reports, last: Report::default(), took, moved })
+        Ok(Process {
+            plan,
+            child,
+            reports,
+            last_report: Report::default(),
+            settings_taken: took,
+            attachments: moved,
+        })
     }
 
     fn take(&mut self, mut report: Report) {
-        self.took.append(&mut report.took);
-        self.moved.append(&mut report.moved);
-        self.last = report;
+        self.settings_taken.append(&mut report.settings_taken);
+        self.attachments.append(&mut report.attachments);
+        self.last_report = report;
     }
 
     /// Reads what it has reported since.
-    pub fn look(&mut self) {
+    pub fn read_reports(&mut self) {
         while let Ok(report) = self.reports.try_recv() {
             self.take(report);
         }
     }
 
     /// Asks for a report and waits for one that was made since.
-    pub fn ask(&mut self) -> io::Result<&Report> {
+    pub fn request_report(&mut self) -> io::Result<&Report> {
         let since = hollypaddle_standin::program::unix_time();
         let input = self.child.stdin.as_mut().ok_or_else(|| io::Error::other("no standard input"))?;
         input.write_all(b"?\n")?;
@@ -90,7 +97,7 @@
             let new = report.at >= since;
             self.take(report);
             if new {
-                return Ok(&self.last);
+                return Ok(&self.last_report);
             }
         }
     }
--- a/crates/hollow/src/test_bed.rs
+++ b/crates/hollow/src/test_bed.rs
@@ -9,15 +9,15 @@
 
 use hollypaddle::ctl;
 use hollypaddle::node::control::Question;
-use hollypaddle_relay::budget::HEADERS;
-use hollypaddle_relay::placement::Place;
+use hollypaddle_relay::budget::PACKET_HEADER_BYTES;
+use hollypaddle_relay::placement::NodeLocation;
 use hollypaddle_standin::free_addresses;
 use hollypaddle_standin::program::{unix_time, Program};
 use hollypaddle_standin::proxy::{FaultProxy, Way};
 use hollypaddle_standin::world::{classes, Plan as WorldPlan, World, DISTRICTS};
 use serde_json::Value;
 
-use crate::leaves::{id, Plan, RelayArg, ZoneArg};
+use crate::leaves::{leaf_id, Plan, RelayArg, ZoneArg};
 use crate::process::Process;
 
 /// The zones: the platform's districts, and two more that only a tier has.
@@ -41,18 +41,18 @@
 /// A start waits so long for all at most.
 const PATIENCE: f64 = 30.0;
 
-/// Bytes of each leaf of a process, and when that was said, in Unix seconds.
-pub type Bytes = (f64, Vec<u64>);
+/// LeafBytes of each leaf of a process, and when that was said, in Unix seconds.
+pub type LeafBytes = (f64, Vec<u64>);
 
 /// Makes the command of a process of hollow leaves.
-pub type Starts = Box<dyn Fn(&Plan) -> Command>;
+pub type HollowCommand = Box<dyn Fn(&Plan) -> Command>;
 
 /// What is started.
 pub struct Setup {
     /// The program of relays and gatekeepers.
     pub program: PathBuf,
     /// How a process of hollow leaves is started.
-    pub hollow: Starts,
+    pub hollow: HollowCommand,
     /// Relays, one in each zone by turns.
     pub relays: usize,
     /// Zones that are in use.
@@ -70,7 +70,7 @@
 }
 
 /// All processes.
-pub struct Stage {
+pub struct TestBed {
     /// What was started.
     pub setup: Setup,
     folder: tempfile::TempDir,
@@ -90,24 +90,24 @@
 
 /// What a process has used and said since its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Used {
+pub struct ResourceUse {
     /// When this was read, in Unix seconds.
     pub at: f64,
     /// Processor time, in seconds.
-    pub cpu: f64,
-    /// Bytes on its links, both ways, with the headers of packets.
+    pub cpu_s: f64,
+    /// LeafBytes on its links, both ways, with the headers of packets.
     pub bytes: f64,
     /// Resident memory, in MB.
-    pub memory: f64,
+    pub memory_mb: f64,
 }
 
-fn place(zone: usize) -> Place {
-    Place { zone: ZONES[zone].into(), region: REGIONS[zone].into() }
+fn place(zone: usize) -> NodeLocation {
+    NodeLocation { zone: ZONES[zone].into(), region: REGIONS[zone].into() }
 }
 
-impl Stage {
-    /// Starts all, and waits until all leaves are attached.
-    pub fn start(setup: Setup) -> Result<Stage, Box<dyn Error>> {
+impl TestBed {
+    /// HollowCommand all, and waits until all leaves are attached.
+    pub fn start(setup: Setup) -> Result<TestBed, Box<dyn Error>> {
         let count = setup.gatekeepers + setup.plain + setup.relays;
         let servers = (0..REAL_SERVERS).map(|n| (n, CARRIES)).collect();
         let mut all = classes();
@@ -124,7 +124,7 @@
                 proxies.insert((a, b), FaultProxy::open(address, addresses[b])?);
             }
         }
-        let mut stage = Stage {
+        let mut stage = TestBed {
             folder: tempfile::tempdir()?,
             world,
             programs: (0..count).map(|_| None).collect(),
@@ -138,7 +138,7 @@
         stage.write_settings()?;
         // Relays that have just started take no leaves yet, and one that was sent elsewhere comes home late.
         let mut listen = vec![None; count];
-        let relays = stage.relays();
+        let relays = stage.relay_indices();
         for n in relays.clone() {
             stage.start_program(n)?;
         }
@@ -147,35 +147,35 @@
             stage.program(n)?.event("fleet-caught-up")?;
         }
         (0..stage.setup.processes).try_for_each(|n| stage.start_hollow(n))?;
-        for n in 0..stage.relay(0) {
+        for n in 0..stage.relay_index(0) {
             stage.start_program(n)?;
         }
-        for (n, listen) in listen.iter_mut().enumerate().take(stage.relay(0)) {
+        for (n, listen) in listen.iter_mut().enumerate().take(stage.relay_index(0)) {
             *listen = Some(stage.program(n)?.serving()?);
         }
         let listen: Vec<SocketAddr> = listen.into_iter().flatten().collect();
         stage.world.connect(&listen);
-        stage.until("all leaves to be attached", PATIENCE, Stage::all_attached)?;
+        stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?;
         Ok(stage)
     }
 
     /// The number of a relay among the programs.
-    pub fn relay(&self, relay: usize) -> usize {
+    pub fn relay_index(&self, relay: usize) -> usize {
         self.setup.gatekeepers + self.setup.plain + relay
     }
 
     /// All of them.
-    pub fn relays(&self) -> std::ops::Range<usize> {
-        self.relay(0)..self.relay(self.setup.relays)
+    pub fn relay_indices(&self) -> std::ops::Range<usize> {
+        self.relay_index(0)..self.relay_index(self.setup.relays)
     }
 
     /// The zone of a program.
-    pub fn zone(&self, n: usize) -> usize {
-        n.checked_sub(self.relay(0)).unwrap_or(n) % self.setup.zones
+    pub fn zone_of(&self, n: usize) -> usize {
+        n.checked_sub(self.relay_index(0)).unwrap_or(n) % self.setup.zones
     }
 
     fn name(&self, n: usize) -> String {
-        n.checked_sub(self.relay(0)).map_or_else(|| format!("n{n}"), |relay| format!("r{relay}"))
+        n.checked_sub(self.relay_index(0)).map_or_else(|| format!("n{n}"), |relay| format!("r{relay}"))
     }
 
     fn socket(&self, n: usize) -> PathBuf {
@@ -184,15 +184,15 @@
 
     /// The block `fleet` of a program's own file.
     fn fleet(&self, n: usize) -> String {
-        let from = n.checked_sub(self.relay(0));
+        let from = n.checked_sub(self.relay_index(0));
         let line = |relay: usize| {
             let proxy = from.and_then(|from| self.proxies.get(&(from, relay)));
             let address = proxy.map_or(self.addresses[relay], FaultProxy::address);
-            let Place { zone, region } = place(relay % self.setup.zones);
+            let NodeLocation { zone, region } = place(relay % self.setup.zones);
             format!(" relay r{relay} {address} zone {zone} region {region}\n")
         };
         let relays: String = (0..self.setup.relays).map(line).collect();
-        let Place { zone, region } = place(self.zone(n));
+        let NodeLocation { zone, region } = place(self.zone_of(n));
         let own = match from {
             Some(_) => " settings shared\n".to_string(),
             None => format!(" service s{}\n zone {zone}\n region {region}\n", n % SERVICES),
@@ -201,16 +201,16 @@
         format!("fleet {{\n{relays}{own}{most}}}\n")
     }
 
-    /// Starts a gatekeeper or a relay, anew where it has ended.
+    /// HollowCommand a gatekeeper or a relay, anew where it has ended.
     pub fn start_program(&mut self, n: usize) -> Result<(), Box<dyn Error>> {
         let mut platform: Value = serde_json::from_str(&self.world.config(n)?)?;
         platform["name"] = self.name(n).into();
         platform["settings"]["zones"] = serde_json::json!(ZONES);
-        platform["settings"]["zone"] = self.zone(n).into();
-        if n >= self.relay(0) {
+        platform["settings"]["zone"] = self.zone_of(n).into();
+        if n >= self.relay_index(0) {
             platform["limits"]["sockets"] = RELAY_SOCKETS.into();
         }
-        let is_plain = (self.setup.gatekeepers..self.relay(0)).contains(&n);
+        let is_plain = (self.setup.gatekeepers..self.relay_index(0)).contains(&n);
         let fleet = if is_plain { String::new() } else { self.fleet(n) };
         let conf = format!("control {}\n{fleet}", self.socket(n).display());
         let (folder, program) = (self.folder.path(), self.setup.program.as_path());
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// Starts a process of hollow leaves, anew where it has ended.
+    /// HollowCommand a process of hollow leaves, anew where it has ended.
     pub fn start_hollow(&mut self, n: usize) -> Result<(), Box<dyn Error>> {
         let (leaves, processes) = (self.setup.leaves, self.setup.processes);
         let (first, next) = (n * leaves / processes, (n + 1) * leaves / processes);
@@ -231,7 +231,7 @@
         let relay = |(n, address): (usize, &SocketAddr)| RelayArg {
             name: format!("r{n}"),
             address: *address,
-            place: place(n % self.setup.zones),
+            location: place(n % self.setup.zones),
         };
         let plan = Plan {
             relays: self.addresses.iter().enumerate().map(relay).collect(),
@@ -261,37 +261,37 @@
     // ---- Time
 
     /// Lets the stand-ins take a turn, and reads what processes tell.
-    pub fn turn(&mut self) {
+    pub fn poll(&mut self) {
         let now = unix_time();
         if self.rate > 0.0 {
-            for n in 0..self.relay(0) {
+            for n in 0..self.relay_index(0) {
                 self.world.traffic(now, n, self.rate, |a, _| (a * REAL_SERVERS as f64) as u32);
             }
         }
         self.world.turn(now);
         self.programs.iter_mut().flatten().for_each(Program::take_lines);
-        self.hollow.iter_mut().flatten().for_each(Process::look);
+        self.hollow.iter_mut().flatten().for_each(Process::read_reports);
         std::thread::sleep(Duration::from_millis(1));
     }
 
     /// Lets so many seconds pass.
-    pub fn pass(&mut self, seconds: f64) {
+    pub fn run_for(&mut self, seconds: f64) {
         let begun = Instant::now();
         while begun.elapsed().as_secs_f64() < seconds {
-            self.turn();
+            self.poll();
         }
     }
 
     /// Waits until something holds; returns after how many seconds.
-    pub fn until(
+    pub fn wait_until(
         &mut self,
         what: &str,
         most: f64,
-        mut holds: impl FnMut(&mut Stage) -> Result<bool, Box<dyn Error>>,
+        mut holds: impl FnMut(&mut TestBed) -> Result<bool, Box<dyn Error>>,
     ) -> Result<f64, Box<dyn Error>> {
         let (begun, mut looked) = (Instant::now(), None::<Instant>);
         loop {
-            self.turn();
+            self.poll();
             if looked.is_none_or(|at| at.elapsed() > LOOK) {
                 if holds(self)? {
                     return Ok(begun.elapsed().as_secs_f64());
@@ -307,7 +307,7 @@
     // ---- What is seen
 
     /// What `ctl members` tells; nothing where it is not reached.
-    pub fn members(&self, n: usize) -> Value {
+    pub fn members_report(&self, n: usize) -> Value {
         match self.programs[n] {
             Some(_) => ctl::ask(&self.socket(n), &Question::Members {}).unwrap_or(Value::Null),
             None => Value::Null,
@@ -316,25 +316,25 @@
 
     fn seen(&mut self) -> String {
         let of_relay = |n: usize| {
-            let told = self.members(n);
+            let told = self.members_report(n);
             let heard = &told["heard"];
             format!("{}: attached {} of {}, hears {heard}", self.name(n), told["attached"], told["limit"])
         };
-        let relays: Vec<String> = self.relays().map(of_relay).collect();
-        let attached = self.attached().map(|attached| format!("{attached:?}")).unwrap_or_default();
+        let relays: Vec<String> = self.relay_indices().map(of_relay).collect();
+        let attached = self.leaves_by_relay().map(|attached| format!("{attached:?}")).unwrap_or_default();
         format!("leaves by relay {attached}; {}", relays.join("; "))
     }
 
     /// Leaves, hollow and real ones that run, by the relay that they are attached to; the empty name is none.
-    pub fn attached(&mut self) -> Result<BTreeMap<String, usize>, Box<dyn Error>> {
+    pub fn leaves_by_relay(&mut self) -> Result<BTreeMap<String, usize>, Box<dyn Error>> {
         let mut all: BTreeMap<String, usize> = BTreeMap::new();
         for process in self.hollow.iter_mut().flatten() {
-            for (relay, count) in &process.ask()?.attached {
+            for (relay, count) in &process.request_report()?.attached {
                 *all.entry(relay.clone()).or_default() += count;
             }
         }
         for n in (0..self.setup.gatekeepers).filter(|n| self.programs[*n].is_some()) {
-            let relay = self.members(n)["relay"].as_str().unwrap_or_default().to_string();
+            let relay = self.members_report(n)["relay"].as_str().unwrap_or_default().to_string();
             *all.entry(relay).or_default() += 1;
         }
         Ok(all)
@@ -343,14 +343,14 @@
     /// Whether all leaves that run are attached to a relay that runs.
     pub fn all_attached(&mut self) -> Result<bool, Box<dyn Error>> {
         let running: Vec<String> =
-            self.relays().filter(|n| self.programs[*n].is_some()).map(|n| self.name(n)).collect();
-        Ok(self.attached()?.keys().all(|relay| running.contains(relay)))
+            self.relay_indices().filter(|n| self.programs[*n].is_some()).map(|n| self.name(n)).collect();
+        Ok(self.leaves_by_relay()?.keys().all(|relay| running.contains(relay)))
     }
 
     /// The same, with one relay left out as if it did not run: one that is paused.
-    pub fn all_attached_but_at(&mut self, relay: usize) -> Result<bool, Box<dyn Error>> {
-        let name = self.name(self.relay(relay));
-        Ok(self.all_attached()? && !self.attached()?.contains_key(&name))
+    pub fn all_attached_except_at(&mut self, relay: usize) -> Result<bool, Box<dyn Error>> {
+        let name = self.name(self.relay_index(relay));
+        Ok(self.all_attached()? && !self.leaves_by_relay()?.contains_key(&name))
     }
 
     /// Leaves that some hollow leaf holds to be gone for good, or to have left, though they run.
@@ -359,32 +359,34 @@
         let mut live: Vec<String> = Vec::new();
         for process in self.hollow.iter_mut().flatten() {
             let plan = &process.plan;
-            live.extend((plan.first..plan.first + plan.leaves).map(|n| id(&format!("h{n}"))));
-            for (leaf, holders) in &process.ask()?.gone {
+            live.extend((plan.first..plan.first + plan.leaves).map(|n| leaf_id(&format!("h{n}"))));
+            for (leaf, holders) in &process.request_report()?.gone {
                 *gone.entry(leaf.clone()).or_default() += holders;
             }
         }
         let runs = (0..self.setup.gatekeepers).filter(|n| self.programs[*n].is_some());
-        live.extend(runs.map(|n| id(&format!("n{n}"))));
+        live.extend(runs.map(|n| leaf_id(&format!("n{n}"))));
         Ok(gone.iter().filter(|(leaf, _)| live.contains(leaf)).map(|(_, holders)| holders).sum())
     }
 
     /// What a program has used and said on the tier's links.
-    pub fn used(&self, n: usize) -> Result<Used, Box<dyn Error>> {
-        let links = &self.members(n)["links"];
+    pub fn resource_use(&self, n: usize) -> Result<ResourceUse, Box<dyn Error>> {
+        let links = &self.members_report(n)["links"];
         let count = |name: &str| links[name].as_f64().unwrap_or(0.0);
-        let bytes = count("bytes") + count("bytes_heard") + HEADERS as f64 * (count("said") + count("heard"));
+        let bytes = count("bytes")
+            + count("bytes_heard")
+            + PACKET_HEADER_BYTES as f64 * (count("said") + count("heard"));
         let program = self.programs[n].as_ref().ok_or("a program does not run")?;
         let (cpu, memory) = of_process(program.child.id())?;
-        Ok(Used { at: unix_time(), cpu, bytes, memory })
+        Ok(ResourceUse { at: unix_time(), cpu_s: cpu, bytes, memory_mb: memory })
     }
 
-    /// Bytes of each hollow leaf since its start, with the headers of packets, and when each process said so.
-    pub fn hollow_bytes(&mut self) -> Result<Vec<Bytes>, Box<dyn Error>> {
+    /// LeafBytes of each hollow leaf since its start, with the headers of packets, and when each process said so.
+    pub fn hollow_bytes(&mut self) -> Result<Vec<LeafBytes>, Box<dyn Error>> {
         let mut all = Vec::new();
         for process in self.hollow.iter_mut().flatten() {
-            let report = process.ask()?;
-            all.push((report.at, report.each.clone()));
+            let report = process.request_report()?;
+            all.push((report.at, report.bytes_by_leaf.clone()));
         }
         Ok(all)
     }
@@ -400,41 +402,41 @@
     }
 
     /// Changes the settings' file and tells a relay to read it.
-    pub fn propose(&mut self, relay: usize) -> Result<(), Box<dyn Error>> {
+    pub fn propose_change(&mut self, relay: usize) -> Result<(), Box<dyn Error>> {
         self.write_settings()?;
-        let n = self.relay(relay);
+        let n = self.relay_index(relay);
         Ok(self.program(n)?.signal("-HUP")?)
     }
 
     /// Versions that the writer has proposed, and when, in the order of its log.
-    pub fn proposed(&self) -> Vec<(u64, f64)> {
+    pub fn proposals(&self) -> Vec<(u64, f64)> {
         let of = |line: &Value| Some((line["version"].as_u64()?, line["time"].as_f64()?));
-        self.logged(self.relay(0), "fleet-settings-proposed").iter().filter_map(|l| of(l)).collect()
+        self.log_lines(self.relay_index(0), "fleet-settings-proposed").iter().filter_map(|l| of(l)).collect()
     }
 
     /// Lines of a program's log with an event.
-    pub fn logged(&self, n: usize, event: &str) -> Vec<&Value> {
+    pub fn log_lines(&self, n: usize, event: &str) -> Vec<&Value> {
         let log = self.programs[n].iter().flat_map(|program| &program.log);
         log.filter(|line| line["event"] == event).collect()
     }
 
     /// Proposes a change and waits until the writer has taken it; returns its version and when that was.
-    pub fn change(&mut self) -> Result<(u64, f64), Box<dyn Error>> {
-        let before = self.proposed().len();
-        self.propose(0)?;
-        self.until("the change to be proposed", PATIENCE, |s| Ok(s.proposed().len() > before))?;
-        self.proposed().last().copied().ok_or_else(|| "nothing was proposed".into())
+    pub fn change_settings(&mut self) -> Result<(u64, f64), Box<dyn Error>> {
+        let before = self.proposals().len();
+        self.propose_change(0)?;
+        self.wait_until("the change to be proposed", PATIENCE, |s| Ok(s.proposals().len() > before))?;
+        self.proposals().last().copied().ok_or_else(|| "nothing was proposed".into())
     }
 
     /// Whether all leaves that run have settings of this version, or a later one, in force.
-    pub fn all_have(&mut self, version: u64) -> Result<bool, Box<dyn Error>> {
+    pub fn all_have_version(&mut self, version: u64) -> Result<bool, Box<dyn Error>> {
         for process in self.hollow.iter_mut().flatten() {
-            if process.ask()?.in_force.keys().any(|held| *held < version) {
+            if process.request_report()?.in_force.keys().any(|held| *held < version) {
                 return Ok(false);
             }
         }
         for n in (0..self.setup.gatekeepers).filter(|n| self.programs[*n].is_some()) {
-            if self.members(n)["settings"]["in_force"].as_u64() < Some(version) {
+            if self.members_report(n)["settings"]["in_force"].as_u64() < Some(version) {
                 return Ok(false);
             }
         }
@@ -442,7 +444,7 @@
     }
 
     /// For each leaf that runs, when it first had a version or a later one in force, in Unix seconds; none where it has not.
-    pub fn took(&self, version: u64) -> Vec<Option<f64>> {
+    pub fn settings_times(&self, version: u64) -> Vec<Option<f64>> {
         let mut first: BTreeMap<String, Option<f64>> = BTreeMap::new();
         let mut note = |leaf: String, held: u64, at: f64| {
             let entry = first.entry(leaf).or_default();
@@ -453,11 +455,11 @@
         for process in self.hollow.iter().flatten() {
             let plan = &process.plan;
             (plan.first..plan.first + plan.leaves).for_each(|n| note(format!("h{n}"), 0, 0.0));
-            process.took.iter().for_each(|took| note(took.leaf.clone(), took.version, took.at));
+            process.settings_taken.iter().for_each(|took| note(took.leaf.clone(), took.version, took.at));
         }
         for n in (0..self.setup.gatekeepers).filter(|n| self.programs[*n].is_some()) {
             note(format!("n{n}"), 0, 0.0);
-            for line in self.logged(n, "fleet-settings-taken") {
+            for line in self.log_lines(n, "fleet-settings-taken") {
                 let (held, at) = (line["version"].as_u64(), line["time"].as_f64());
                 note(format!("n{n}"), held.unwrap_or(0), at.unwrap_or(f64::INFINITY));
             }
@@ -466,9 +468,9 @@
     }
 
     /// When leaves were attached after a time, in Unix seconds, by their own word.
-    pub fn attachments(&self, since: f64) -> Vec<f64> {
-        let hollow = self.hollow.iter().flatten().flat_map(|p| p.moved.iter().map(|m| m.at));
-        let real = (0..self.setup.gatekeepers).flat_map(|n| self.logged(n, "relay-attached"));
+    pub fn attachment_times(&self, since: f64) -> Vec<f64> {
+        let hollow = self.hollow.iter().flatten().flat_map(|p| p.attachments.iter().map(|m| m.at));
+        let real = (0..self.setup.gatekeepers).flat_map(|n| self.log_lines(n, "relay-attached"));
         let real = real.filter_map(|line| line["time"].as_f64());
         hollow.chain(real).filter(|at| *at >= since).collect()
     }
@@ -486,7 +488,7 @@
     }
 
     /// Cuts all links of one relay to others both ways, or lets them go on.
-    pub fn cut_off(&self, relay: usize, cut: bool) {
+    pub fn cut_relay(&self, relay: usize, cut: bool) {
         for ((from, to), proxy) in &self.proxies {
             if *from == relay || *to == relay {
                 [Way::There, Way::Back].into_iter().for_each(|way| proxy.cut(way, cut));
--- a/crates/measure/src/size/hollow.rs
+++ b/crates/measure/src/size/hollow.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 use clap::ValueEnum;
-use hollypaddle_hollow::test_bed::{Bytes, Setup, Stage, Used};
+use hollypaddle_hollow::test_bed::{LeafBytes, ResourceUse, Setup, TestBed};
 use hollypaddle_standin::program::unix_time;
 use minijinja::{context, Environment};
 use serde::{Deserialize, Serialize};
@@ -217,20 +217,20 @@
 
 /// All that is read of the processes at one time.
 struct Reading {
-    hollow: Vec<Bytes>,
-    gatekeepers: Vec<Used>,
-    plain: Vec<Used>,
-    relays: Vec<Option<Used>>,
+    hollow: Vec<LeafBytes>,
+    gatekeepers: Vec<ResourceUse>,
+    plain: Vec<ResourceUse>,
+    relays: Vec<Option<ResourceUse>>,
 }
 
-fn read(stage: &mut Stage) -> Result<Reading, Box<dyn Error>> {
+fn read(stage: &mut TestBed) -> Result<Reading, Box<dyn Error>> {
     let real = stage.setup.gatekeepers;
-    let relays = stage.relays();
+    let relays = stage.relay_indices();
     Ok(Reading {
         hollow: stage.hollow_bytes()?,
-        gatekeepers: (0..real).map(|n| stage.used(n)).collect::<Result<_, _>>()?,
-        plain: (real..stage.relay(0)).map(|n| stage.used(n)).collect::<Result<_, _>>()?,
-        relays: relays.map(|n| stage.used(n).ok()).collect(),
+        gatekeepers: (0..real).map(|n| stage.resource_use(n)).collect::<Result<_, _>>()?,
+        plain: (real..stage.relay_index(0)).map(|n| stage.resource_use(n)).collect::<Result<_, _>>()?,
+        relays: relays.map(|n| stage.resource_use(n).ok()).collect(),
     })
 }
 
@@ -239,45 +239,45 @@
     for ((since, old), (at, new)) in before.hollow.iter().zip(&after.hollow) {
         hollow.extend(new.iter().zip(old).map(|(new, old)| new.saturating_sub(*old) as f64 / (at - since)));
     }
-    let over = |old: &[Used], new: &[Used], of: fn(&Used) -> f64| {
+    let over = |old: &[ResourceUse], new: &[ResourceUse], of: fn(&ResourceUse) -> f64| {
         Over::of(old.iter().zip(new).map(|(a, b)| (of(b) - of(a)) / (b.at - a.at)).collect())
     };
-    let memory = |all: &[Used]| Over::of(all.iter().map(|used| used.memory).collect());
+    let memory = |all: &[ResourceUse]| Over::of(all.iter().map(|used| used.memory_mb).collect());
     // One that is paused or was killed between is in neither.
-    let lived = |(a, b): (&Option<Used>, &Option<Used>)| Some(((*a)?, (*b)?));
-    let relays: Vec<(Used, Used)> = before
+    let lived = |(a, b): (&Option<ResourceUse>, &Option<ResourceUse>)| Some(((*a)?, (*b)?));
+    let relays: Vec<(ResourceUse, ResourceUse)> = before
         .relays
         .iter()
         .zip(&after.relays)
         .filter_map(lived)
         .filter(|(a, b)| b.bytes > a.bytes)
         .collect();
-    let (old, new): (Vec<Used>, Vec<Used>) = relays.into_iter().unzip();
+    let (old, new): (Vec<ResourceUse>, Vec<ResourceUse>) = relays.into_iter().unzip();
     let (gatekeepers, plain) = (&after.gatekeepers, &after.plain);
     Cost {
         hollow: Over::of(hollow),
         gatekeeper: over(&before.gatekeepers, gatekeepers, |used| used.bytes),
-        core: over(&before.gatekeepers, gatekeepers, |used| used.cpu),
-        plain_core: over(&before.plain, plain, |used| used.cpu),
+        core: over(&before.gatekeepers, gatekeepers, |used| used.cpu_s),
+        plain_core: over(&before.plain, plain, |used| used.cpu_s),
         memory: memory(gatekeepers),
         plain_memory: memory(plain),
         relay: over(&old, &new, |used| used.bytes),
-        relay_core: over(&old, &new, |used| used.cpu),
+        relay_core: over(&old, &new, |used| used.cpu_s),
         relay_memory: memory(&new),
     }
 }
 
 /// Most leaves at a relay, and the least limit that a relay which runs tells.
-fn fullest(stage: &mut Stage) -> Result<(usize, usize), Box<dyn Error>> {
-    let most = stage.attached()?.iter().filter(|(relay, _)| !relay.is_empty()).map(|(_, n)| *n).max();
-    let limits = stage.relays().filter_map(|n| stage.members(n)["limit"].as_u64());
+fn fullest(stage: &mut TestBed) -> Result<(usize, usize), Box<dyn Error>> {
+    let most = stage.leaves_by_relay()?.iter().filter(|(relay, _)| !relay.is_empty()).map(|(_, n)| *n).max();
+    let limits = stage.relay_indices().filter_map(|n| stage.members_report(n)["limit"].as_u64());
     Ok((most.unwrap_or(0), limits.min().unwrap_or(0) as usize))
 }
 
-fn start(wanted: &Wanted, leaves: usize, proxies: bool) -> Result<Stage, Box<dyn Error>> {
+fn start(wanted: &Wanted, leaves: usize, proxies: bool) -> Result<TestBed, Box<dyn Error>> {
     let gatekeepers = (leaves / ONE_IN).min(REAL);
     let hollow = wanted.hollow.clone();
-    let mut stage = Stage::start(Setup {
+    let mut stage = TestBed::start(Setup {
         program: wanted.program.clone(),
         hollow: Box::new(move |plan| {
             let mut command = Command::new(&hollow);
@@ -292,15 +292,15 @@
         processes: PROCESSES,
         proxies,
     })?;
-    stage.pass(SETTLES);
+    stage.run_for(SETTLES);
     Ok(stage)
 }
 
 /// Seconds from the proposal of a change until leaves had it in force.
-fn delays(stage: &mut Stage, version: u64, proposed: f64) -> Result<Vec<f64>, Box<dyn Error>> {
+fn delays(stage: &mut TestBed, version: u64, proposed: f64) -> Result<Vec<f64>, Box<dyn Error>> {
     // What a process tells is there before its log is read.
-    stage.pass(READ);
-    let took = stage.took(version).into_iter();
+    stage.run_for(READ);
+    let took = stage.settings_times(version).into_iter();
     let all: Option<Vec<f64>> = took.map(|at| Some(at? - proposed)).collect();
     all.ok_or_else(|| format!("a leaf says that version {version} is in force, and not since when").into())
 }
@@ -308,29 +308,29 @@
 fn rest(wanted: &Wanted, leaves: usize) -> Result<Rest, Box<dyn Error>> {
     let mut stage = start(wanted, leaves, false)?;
     let (begun, before) = (unix_time(), read(&mut stage)?);
-    stage.pass(REST);
+    stage.run_for(REST);
     let cost_at_rest = cost(&before, &read(&mut stage)?);
-    let moved = stage.attachments(begun).len();
+    let moved = stage.attachment_times(begun).len();
     let (most, limit) = fullest(&mut stage)?;
     let mut single = Vec::new();
     for _ in 0..SINGLE {
-        let (version, at) = stage.change()?;
-        stage.until("a change to be in force at all", PATIENCE, |s| s.all_have(version))?;
+        let (version, at) = stage.change_settings()?;
+        stage.wait_until("a change to be in force at all", PATIENCE, |s| s.all_have_version(version))?;
         single.extend(delays(&mut stage, version, at)?);
-        stage.pass(0.5);
+        stage.run_for(0.5);
     }
-    let (known, before) = (stage.proposed().len(), read(&mut stage)?);
+    let (known, before) = (stage.proposals().len(), read(&mut stage)?);
     for _ in 0..BURST {
-        stage.propose(0)?;
-        stage.pass(GAP);
+        stage.propose_change(0)?;
+        stage.run_for(GAP);
     }
     // What is proposed in one moment is one change.
-    stage.pass(1.0);
-    let proposed = stage.proposed()[known..].to_vec();
+    stage.run_for(1.0);
+    let proposed = stage.proposals()[known..].to_vec();
     let (last, _) = *proposed.last().ok_or("no change of the burst was proposed")?;
-    stage.until("the last of a burst to be in force at all", PATIENCE, |s| s.all_have(last))?;
+    stage.wait_until("the last of a burst to be in force at all", PATIENCE, |s| s.all_have_version(last))?;
     let left = (STRETCH - BURST as f64 * GAP - 1.0).max(0.0);
-    stage.pass(left);
+    stage.run_for(left);
     let burst_cost = cost(&before, &read(&mut stage)?);
     let mut burst = Vec::new();
     for (version, at) in &proposed {
@@ -359,50 +359,50 @@
     let mut attached = match scene {
         Scene::Rest => return Err("no fault".into()),
         Scene::RelayKilled => {
-            let n = stage.relay(one);
+            let n = stage.relay_index(one);
             stage.kill(n);
-            stage.until("all leaves to be attached", PATIENCE, Stage::all_attached)?
+            stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?
         }
         Scene::RelayPaused => {
-            let n = stage.relay(one);
+            let n = stage.relay_index(one);
             stage.program(n)?.signal("-STOP")?;
-            stage.until("all leaves to be attached", PATIENCE, |s| s.all_attached_but_at(one))?
+            stage.wait_until("all leaves to be attached", PATIENCE, |s| s.all_attached_except_at(one))?
         }
         Scene::TwoRelays => {
-            let pair = [stage.relay(RELAYS - 2), stage.relay(RELAYS - 1)];
+            let pair = [stage.relay_index(RELAYS - 2), stage.relay_index(RELAYS - 1)];
             pair.into_iter().for_each(|n| stage.kill(n));
-            stage.until("all leaves to be attached", PATIENCE, Stage::all_attached)?
+            stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?
         }
         Scene::AllRelays => {
-            stage.relays().for_each(|n| stage.kill(n));
-            stage.pass(AWAY);
-            let alone = stage.attached()?;
+            stage.relay_indices().for_each(|n| stage.kill(n));
+            stage.run_for(AWAY);
+            let alone = stage.leaves_by_relay()?;
             notes.push(format!("with no relay for {AWAY} s leaves by relay were {alone:?}"));
             let wrong = stage.false_deaths()?;
             notes.push(format!("{wrong} live leaves held gone then"));
             begun = unix_time();
-            stage.relays().try_for_each(|n| stage.start_program(n))?;
-            stage.until("all leaves to be attached", PATIENCE, Stage::all_attached)?
+            stage.relay_indices().try_for_each(|n| stage.start_program(n))?;
+            stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?
         }
         Scene::Zone => {
             stage.hollow[0] = None;
-            let real: Vec<usize> = (0..stage.setup.gatekeepers).filter(|n| stage.zone(*n) == 0).collect();
+            let real: Vec<usize> = (0..stage.setup.gatekeepers).filter(|n| stage.zone_of(*n) == 0).collect();
             real.iter().for_each(|n| stage.kill(*n));
             begun = unix_time();
             stage.start_hollow(0)?;
             real.iter().try_for_each(|n| stage.start_program(*n))?;
             let count = real.len() + stage.hollow[0].as_ref().map_or(0, |p| p.plan.leaves);
             notes.push(format!("{count} leaves were killed and started"));
-            stage.until("all leaves to be attached", PATIENCE, Stage::all_attached)?
+            stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?
         }
         Scene::Regions => {
             stage.cut_regions(true);
-            stage.pass(CUT);
-            stage.until("all leaves to be attached", PATIENCE, Stage::all_attached)?
+            stage.run_for(CUT);
+            stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?
         }
     };
-    stage.pass(READ);
-    let moves: Vec<f64> = stage.attachments(begun).into_iter().map(|at| at - begun).collect();
+    stage.run_for(READ);
+    let moves: Vec<f64> = stage.attachment_times(begun).into_iter().map(|at| at - begun).collect();
     if scene != Scene::Regions {
         // By the leaves' own word, where that is exact: a look at all takes its time.
         attached = moves.iter().copied().fold(0.0, f64::max).min(attached);
@@ -412,7 +412,7 @@
     if !matches!(scene, Scene::Zone | Scene::AllRelays) {
         let mut last = before;
         for stretch in 0..STRETCHES {
-            stage.pass((STRETCH * (stretch + 1) as f64 - (unix_time() - begun)).max(0.0));
+            stage.run_for((STRETCH * (stretch + 1) as f64 - (unix_time() - begun)).max(0.0));
             let next = read(&mut stage)?;
             costs.push(cost(&last, &next));
             last = next;
@@ -420,23 +420,23 @@
     } else {
         // Those that were started count from then on.
         let first = read(&mut stage)?;
-        stage.pass(STRETCH);
+        stage.run_for(STRETCH);
         costs.push(cost(&first, &read(&mut stage)?));
     }
     let worst = costs.iter().max_by(|a, b| a.hollow.most.total_cmp(&b.hollow.most)).copied();
     let change = match scene {
         Scene::Regions => regions(&mut stage, &mut notes)?,
         _ => {
-            let (version, at) = stage.change()?;
-            stage.until("a change to be in force at all", PATIENCE, |s| s.all_have(version))?;
+            let (version, at) = stage.change_settings()?;
+            stage.wait_until("a change to be in force at all", PATIENCE, |s| s.all_have_version(version))?;
             Over::of(delays(&mut stage, version, at)?).most
         }
     };
     if scene == Scene::RelayPaused {
-        let n = stage.relay(one);
+        let n = stage.relay_index(one);
         stage.program(n)?.signal("-CONT")?;
-        stage.pass(3.0);
-        let all = stage.attached()?;
+        stage.run_for(3.0);
+        let all = stage.leaves_by_relay()?;
         notes.push(format!("3 s after it went on leaves by relay were {all:?}"));
     }
     let false_deaths = stage.false_deaths()?;
@@ -457,37 +457,39 @@
 
 /// While regions are cut: a change on the side with the majority, a refusal on the other; then the healing. Returns how long
 /// that took until all had the newest.
-fn regions(stage: &mut Stage, notes: &mut Vec<String>) -> Result<f64, Box<dyn Error>> {
-    let (version, _) = stage.change()?;
-    stage.pass(2.0);
-    let reached = stage.took(version).iter().flatten().count();
+fn regions(stage: &mut TestBed, notes: &mut Vec<String>) -> Result<f64, Box<dyn Error>> {
+    let (version, _) = stage.change_settings()?;
+    stage.run_for(2.0);
+    let reached = stage.settings_times(version).iter().flatten().count();
     notes.push(format!("while they were cut a change reached {reached} leaves, those of the writer's side"));
     let minority = RELAYS - 1;
-    stage.propose(minority)?;
-    let n = stage.relay(minority);
-    stage.until("the refusal", PATIENCE, |s| Ok(!s.logged(n, "fleet-settings-refused").is_empty()))?;
-    let reason = stage.logged(n, "fleet-settings-refused").last().map(|line| line["reason"].to_string());
+    stage.propose_change(minority)?;
+    let n = stage.relay_index(minority);
+    stage
+        .wait_until("the refusal", PATIENCE, |s| Ok(!s.log_lines(n, "fleet-settings-refused").is_empty()))?;
+    let reason = stage.log_lines(n, "fleet-settings-refused").last().map(|line| line["reason"].to_string());
     notes.push(format!("a relay of the other side refused one: {}", reason.unwrap_or_default()));
     for _ in 0..20 {
-        stage.change()?;
-        stage.pass(0.2);
+        stage.change_settings()?;
+        stage.run_for(0.2);
     }
-    let newest = stage.proposed().last().map_or(0, |(version, _)| *version);
+    let newest = stage.proposals().last().map_or(0, |(version, _)| *version);
     stage.cut_regions(false);
     let healed = unix_time();
-    stage.until("all to have the newest settings", PATIENCE, |s| s.all_have(newest))?;
+    stage.wait_until("all to have the newest settings", PATIENCE, |s| s.all_have_version(newest))?;
     let equal = Over::of(delays(stage, newest, healed)?).most.max(0.0);
     // The writer on the side without a majority.
-    stage.cut_off(0, true);
-    let writer = stage.relay(0);
-    let alone = |s: &mut Stage| Ok(s.members(writer)["heard"] == 1);
-    stage.until("the writer to be alone", PATIENCE, alone)?;
-    stage.propose(0)?;
-    let refused = |s: &mut Stage| Ok(!s.logged(writer, "fleet-settings-refused").is_empty());
-    stage.until("the writer's refusal", PATIENCE, refused)?;
-    let reason = stage.logged(writer, "fleet-settings-refused").last().map(|line| line["reason"].to_string());
+    stage.cut_relay(0, true);
+    let writer = stage.relay_index(0);
+    let alone = |s: &mut TestBed| Ok(s.members_report(writer)["heard"] == 1);
+    stage.wait_until("the writer to be alone", PATIENCE, alone)?;
+    stage.propose_change(0)?;
+    let refused = |s: &mut TestBed| Ok(!s.log_lines(writer, "fleet-settings-refused").is_empty());
+    stage.wait_until("the writer's refusal", PATIENCE, refused)?;
+    let reason =
+        stage.log_lines(writer, "fleet-settings-refused").last().map(|line| line["reason"].to_string());
     notes.push(format!("the writer, cut off from all others, refused one: {}", reason.unwrap_or_default()));
-    stage.cut_off(0, false);
+    stage.cut_relay(0, false);
     Ok(equal)
 }
 
@@ -654,7 +656,7 @@
     env.add_template("page", PAGE)?;
     Ok(env.get_template("page")?.render(context! {
         machine => super::machine(), real => REAL, plain => PLAIN, processes => PROCESSES,
-        headers => hollypaddle_relay::budget::HEADERS, settles => SETTLES, rest => REST, all => kept.rest, single => SINGLE,
+        headers => hollypaddle_relay::budget::PACKET_HEADER_BYTES, settles => SETTLES, rest => REST, all => kept.rest, single => SINGLE,
         burst => BURST, burst_s => BURST as f64 * GAP, stretch => STRETCH, faults => kept.faults, slopes => slopes(kept),
         held => held,
     })?)
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -2,22 +2,22 @@
 
 /// What a message costs beside its own bytes: the headers of the packet that carries it and of the one that acknowledges it,
 /// IPv4 and TCP with time stamps, 52 bytes each. A message that shares a packet with others costs less than it is charged.
-pub const HEADERS: usize = 104;
+pub const PACKET_HEADER_BYTES: usize = 104;
 
 /// A rate of bytes with a burst. It may go into debt by one message, which is paid back before the next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct ByteBudget {
     rate: f64,
     most: f64,
     left: f64,
     at: f64,
 }
 
-impl Budget {
+impl ByteBudget {
     /// Full, with a burst of so many seconds of the rate.
-    pub fn new(now: f64, rate: f64, burst: f64) -> Budget {
+    pub fn new(now: f64, rate: f64, burst: f64) -> ByteBudget {
         let most = rate * burst;
-        Budget { rate, most, left: most, at: now }
+        ByteBudget { rate, most, left: most, at: now }
     }
 
     fn fill(&mut self, now: f64) {
@@ -27,7 +27,7 @@
     }
 
     /// Whether something may be said now, of any length.
-    pub fn open(&mut self, now: f64) -> bool {
+    pub fn can_send(&mut self, now: f64) -> bool {
         self.fill(now);
         self.left > 0.0
     }
@@ -35,11 +35,11 @@
     /// Something of so many bytes was said. What must be said at once, such as an answer to a ping, is charged as well.
     pub fn spend(&mut self, now: f64, bytes: usize) {
         self.fill(now);
-        self.left -= (bytes + HEADERS) as f64;
+        self.left -= (bytes + PACKET_HEADER_BYTES) as f64;
     }
 
     /// When something may be said again.
-    pub fn open_at(&self) -> f64 {
+    pub fn can_send_at(&self) -> f64 {
         self.at + (-self.left).max(0.0) / self.rate + 1e-6
     }
 }
--- a/crates/relay/src/leaf.rs
+++ b/crates/relay/src/leaf.rs
@@ -1,7 +1,7 @@
 //! A leaf: a gatekeeper that is attached to one relay, with a warm link to a second.
 //!
 //! Links go to the two best placed relays that can be reached. The better one becomes the leaf's own; when its link closes,
-//! or it answers nothing for [`Timing::silent`], the leaf attaches to the other after a short chance delay. A better placed
+//! or it answers nothing for [`Timing::silent_after_s`], the leaf attaches to the other after a short chance delay. A better placed
 //! relay that has been there for a while gets its leaves back slowly. Without any relay all that is held stays, with its
 //! age, and the silence of a relay says nothing of the other leaves.
 
@@ -15,13 +15,14 @@
 use hollypaddle_replica::store::Said;
 use hollypaddle_replica::stream::Stream;
 
-use crate::budget::Budget;
+use crate::budget::ByteBudget;
 use crate::message::{
-    cut, Attach, Digest, Feed, Hello, Message, Refusal, NAME, PROTOCOL, PROTOCOL_LEAST, REASON,
+    truncate, Attach, Digest, Feed, Hello, Message, Refusal, MAX_NAME_BYTES, MAX_REASON_BYTES,
+    MIN_PROTOCOL_VERSION, PROTOCOL_VERSION,
 };
-use crate::placement::{chance, order, Place, RelayPlace};
-use crate::settings::{Incoming, Mark, Outgoing, PartError, Set};
-use crate::stream_copy::{Copy, Cursor, NotTaken};
+use crate::placement::{preferred_relays, stable_fraction, NodeLocation, RelayLocation};
+use crate::settings::{IncomingSet, OutgoingSet, PartError, Revision, SettingsSet};
+use crate::stream_copy::{Cursor, PieceError, StreamCopy};
 use crate::{LinkError, LinkId, Node, Timing};
 
 /// Own turns further apart than this: this process was paused, and the silence of others tells nothing.
@@ -45,13 +46,13 @@
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Which gatekeeper.
-    pub own: MemberId,
+    pub id: MemberId,
     /// In which life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Its service.
     pub topic: Topic,
     /// Where it stands.
-    pub place: Place,
+    pub location: NodeLocation,
 }
 
 /// What is to be told to the staff.
@@ -66,11 +67,11 @@
     /// A relay refused, and for how many seconds.
     Refused(MemberId, Refusal, f64),
     /// Settings of this version came whole.
-    Settings(Mark),
+    SettingsReceived(Revision),
     /// A stream or the settings were found to differ, and are told anew.
-    Resync(Feed),
+    ResyncRequested(Feed),
     /// The relays know of a later life of this leaf that has ended, as its clock was set back: it goes on in this one.
-    Raised(Incarnation),
+    IncarnationRaised(Incarnation),
 }
 
 /// How a relay was lost.
@@ -133,13 +134,13 @@
     /// The relay that it is attached to.
     pub relay: Option<MemberId>,
     /// Its second choice, where the link to it is up.
-    pub second: Option<MemberId>,
+    pub second_choice: Option<MemberId>,
     /// Seconds since the own relay was heard, or since the last one was.
-    pub age: f64,
+    pub last_heard_s: f64,
     /// Its count of attachments.
     pub moves: u32,
     /// The settings held, the version served by, and why a later one was turned down.
-    pub settings: Mark,
+    pub settings: Revision,
     /// The version served by.
     pub in_force: u64,
     /// Which version was turned down last, and why.
@@ -155,7 +156,7 @@
     identity: Identity,
     name: String,
     timing: Timing,
-    relays: Vec<RelayPlace>,
+    relays: Vec<RelayLocation>,
     order: Vec<MemberId>,
     started: f64,
     ticked: Option<f64>,
@@ -174,13 +175,13 @@
     told: Cursor,
     /// What the relay's last digest said of the own stream.
     digested: Option<u64>,
-    servers: Copy,
-    leaves: Copy,
+    servers: StreamCopy,
+    leaves: StreamCopy,
     asked: BTreeMap<Feed, f64>,
-    settings: Arc<Set>,
-    incoming: Option<Incoming>,
+    settings: Arc<SettingsSet>,
+    incoming: Option<IncomingSet>,
     /// Settings that the relay lacks.
-    outgoing: Option<Outgoing>,
+    outgoing: Option<OutgoingSet>,
     lacks_at: f64,
     /// Whether the settings held were not offered to the front yet.
     fresh: bool,
@@ -188,17 +189,17 @@
     turned_down: Option<(u64, String)>,
     /// The version of which the relay has to be told what came of it.
     verdict: Option<u64>,
-    budget: Budget,
+    budget: ByteBudget,
     closes: Vec<LinkId>,
     events: Vec<Event>,
 }
 
 impl Leaf {
     /// A leaf that has just started.
-    pub fn new(now: f64, identity: Identity, relays: Vec<RelayPlace>, timing: Timing) -> Leaf {
-        let order = order(identity.own, &identity.place, &relays);
+    pub fn new(now: f64, identity: Identity, relays: Vec<RelayLocation>, timing: Timing) -> Leaf {
+        let order = preferred_relays(identity.id, &identity.location, &relays);
         Leaf {
-            budget: Budget::new(now, timing.report_rate, timing.burst),
+            budget: ByteBudget::new(now, timing.report_bytes_per_s, timing.burst_s),
             identity,
             name: String::new(),
             timing,
@@ -216,10 +217,10 @@
             lost: None,
             heard_at: now,
             own: Stream::default(),
-            told: Cursor::whole(),
+            told: Cursor::from_start(),
             digested: None,
-            servers: Copy::default(),
-            leaves: Copy::default(),
+            servers: StreamCopy::default(),
+            leaves: StreamCopy::default(),
             asked: BTreeMap::new(),
             settings: Arc::default(),
             incoming: None,
@@ -235,15 +236,15 @@
     }
 
     /// The same, with a name for operators.
-    pub fn named(self, name: &str) -> Leaf {
-        Leaf { name: cut(name, NAME), ..self }
+    pub fn with_name(self, name: &str) -> Leaf {
+        Leaf { name: truncate(name, MAX_NAME_BYTES), ..self }
     }
 
     /// Takes relays and times read anew; links to those that are none any more are closed.
-    pub fn change(&mut self, now: f64, relays: Vec<RelayPlace>, timing: Timing) {
-        self.order = order(self.identity.own, &self.identity.place, &relays);
+    pub fn reconfigure(&mut self, now: f64, relays: Vec<RelayLocation>, timing: Timing) {
+        self.order = preferred_relays(self.identity.id, &self.identity.location, &relays);
         (self.relays, self.timing) = (relays, timing);
-        self.budget = Budget::new(now, timing.report_rate, timing.burst);
+        self.budget = ByteBudget::new(now, timing.report_bytes_per_s, timing.burst_s);
         let none: Vec<LinkId> =
             self.links.iter().filter(|(_, l)| !self.order.contains(&l.relay)).map(|(id, _)| *id).collect();
         none.into_iter().for_each(|link| self.close(now, link, Loss::Left));
@@ -256,12 +257,12 @@
     }
 
     /// The relays that are configured.
-    pub fn relays(&self) -> &[RelayPlace] {
+    pub fn relays(&self) -> &[RelayLocation] {
         &self.relays
     }
 
     /// What is to be told to the staff since this was last asked.
-    pub fn events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
@@ -274,12 +275,12 @@
     // ---- What is known here
 
     /// What the own list says of a server, as of then; none where it is no longer told of.
-    pub fn server(&mut self, at: f64, server: ServerKey, fact: Option<ServerFact>) {
+    pub fn set_server(&mut self, at: f64, server: ServerKey, fact: Option<ServerFact>) {
         self.write(at, Key::Server(server), fact.map(Value::Server));
     }
 
     /// A server of that start is silent since then, or it is not.
-    pub fn silent(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
+    pub fn set_silent(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
         let value = since.map(|_| Value::Silent(started_ms));
         self.write(since.unwrap_or(now), Key::Silent(server), value);
     }
@@ -293,9 +294,9 @@
 
     /// What the leaves of the own topic say of the servers, the own word among it, as the relays joined it. Silences count
     /// only while a relay is there, or was a moment ago.
-    pub fn hearsay(&self, now: f64) -> BTreeMap<ServerKey, Said> {
+    pub fn peer_observations(&self, now: f64) -> BTreeMap<ServerKey, Said> {
         let fresh = now - self.heard_at <= HEARSAY;
-        let from = self.servers.copied().map_or(self.identity.own, |c| c.origin.member);
+        let from = self.servers.state().map_or(self.identity.id, |c| c.origin.member);
         let mut all: BTreeMap<ServerKey, Said> = BTreeMap::new();
         for (key, at, value) in self.servers.stream().range(..) {
             let (server, said) = match (key, value) {
@@ -318,7 +319,7 @@
     /// moves, or it ended together with its relay. Nothing but a presence of gone or left tells of an end.
     pub fn peers(&self) -> impl Iterator<Item = (MemberId, LeafFact)> + '_ {
         self.leaves.stream().range(..).filter_map(|(key, _, value)| match (key, value) {
-            (Key::Leaf(_, member), Value::Leaf(fact)) if member != self.identity.own => Some((member, fact)),
+            (Key::Leaf(_, member), Value::Leaf(fact)) if member != self.identity.id => Some((member, fact)),
             _ => None,
         })
     }
@@ -329,10 +330,10 @@
         let second = self.links.iter().find(|(id, l)| Some(**id) != self.primary && l.greeted.is_some());
         Status {
             relay,
-            second: second.map(|(_, l)| l.relay),
-            age: (now - self.heard_at).max(0.0),
+            second_choice: second.map(|(_, l)| l.relay),
+            last_heard_s: (now - self.heard_at).max(0.0),
             moves: self.moves,
-            settings: self.settings.mark(),
+            settings: self.settings.revision(),
             in_force: self.in_force,
             turned_down: self.turned_down.clone(),
             servers: self.servers.stream().len(),
@@ -346,8 +347,9 @@
     }
 
     /// Whether it has the feeds of its relay, so that a start knows what the others know.
-    pub fn level(&self) -> bool {
-        let of_relay = |copy: &Copy| copy.copied().is_some_and(|c| Some(c.origin.member) == self.relay());
+    pub fn has_current_feeds(&self) -> bool {
+        let of_relay =
+            |copy: &StreamCopy| copy.state().is_some_and(|c| Some(c.origin.member) == self.relay());
         self.primary.is_some() && of_relay(&self.servers) && of_relay(&self.leaves)
     }
 
@@ -358,16 +360,16 @@
 
     // ---- Settings
 
-    /// Settings that came whole and were not offered before: to be checked, and answered by [`Leaf::verdict`].
-    pub fn offered(&mut self) -> Option<Arc<Set>> {
+    /// Settings that came whole and were not offered before: to be checked, and answered by [`Leaf::record_settings_result`].
+    pub fn take_new_settings(&mut self) -> Option<Arc<SettingsSet>> {
         std::mem::take(&mut self.fresh).then(|| Arc::clone(&self.settings))
     }
 
     /// Settings of this version are in force here, or why they are not.
-    pub fn verdict(&mut self, version: u64, verdict: Result<(), String>) {
+    pub fn record_settings_result(&mut self, version: u64, verdict: Result<(), String>) {
         match verdict {
             Ok(()) => (self.in_force, self.turned_down) = (version, None),
-            Err(reason) => self.turned_down = Some((version, cut(&reason, REASON))),
+            Err(reason) => self.turned_down = Some((version, truncate(&reason, MAX_REASON_BYTES))),
         }
         self.verdict = Some(version);
     }
@@ -383,10 +385,10 @@
     }
 
     fn wait(&mut self, now: f64, relay: MemberId) {
-        let (first, most) = (self.timing.dial, self.timing.dial_most);
+        let (first, most) = (self.timing.min_dial_backoff_s, self.timing.max_dial_backoff_s);
         let dial = self.dials.entry(relay).or_insert(Dial { next: now, pause: first, barred: now });
         // By half to one and a half of the pause, so that not all come back in one moment.
-        dial.next = now + dial.pause * (0.5 + chance(self.identity.own, relay.0 ^ self.next_link));
+        dial.next = now + dial.pause * (0.5 + stable_fraction(self.identity.id, relay.0 ^ self.next_link));
         dial.pause = (dial.pause * 2.0).min(most);
     }
 
@@ -400,12 +402,12 @@
         if self.primary == Some(id) {
             self.primary = None;
             self.lost.get_or_insert(now);
-            let spread = self.timing.spread
-                * chance(self.identity.own, u64::from(self.moves) ^ self.identity.life.nonce);
+            let spread = self.timing.max_reattach_delay_s
+                * stable_fraction(self.identity.id, u64::from(self.moves) ^ self.identity.incarnation.nonce);
             self.attach_at = now + spread;
             // The second was asked seldom until now: what it owes is an answer from here on.
             for other in self.links.values_mut() {
-                other.heard_at = other.heard_at.max(now - self.timing.suspect);
+                other.heard_at = other.heard_at.max(now - self.timing.answer_overdue_s);
             }
             self.tell(Event::Lost(link.relay, loss));
         }
@@ -442,7 +444,8 @@
         let may = match self.primary.and_then(|p| self.links.get(&p)) {
             None => now >= self.attach_at && (rank == 0 || self.lost.is_some() || now - self.started >= BEST),
             Some(own) => {
-                let home = self.timing.home * (1.0 + chance(self.identity.own, !link.relay.0));
+                let home =
+                    self.timing.return_delay_s * (1.0 + stable_fraction(self.identity.id, !link.relay.0));
                 rank < self.rank(own.relay) && link.greeted.is_some_and(|since| now - since >= home)
             }
         };
@@ -457,9 +460,9 @@
         (attaching.said_at, attaching.tries) = (now, attaching.tries + 1);
         Some(Message::Attach(Attach {
             moves: self.moves,
-            servers: self.servers.copied(),
-            leaves: self.leaves.copied(),
-            settings: self.settings.mark(),
+            servers: self.servers.state(),
+            leaves: self.leaves.state(),
+            settings: self.settings.revision(),
             in_force: self.in_force,
         }))
     }
@@ -481,11 +484,11 @@
             _ => {}
         }
         let origin = self.origin();
-        self.told = Cursor::whole();
+        self.told = Cursor::from_start();
         if held > 0 && held <= self.own.version() && held >= self.own.horizon() {
             let hash = if held == self.own.version() { self.own.hash() } else { 0 };
-            let copied = crate::message::Copied { origin, version: held, hash };
-            self.told = Cursor::at(origin, &self.own, Some(copied));
+            let copied = crate::message::CopyState { origin, version: held, hash };
+            self.told = Cursor::resume(origin, &self.own, Some(copied));
         }
         (self.digested, self.incoming, self.outgoing) = (None, None, None);
         self.verdict = (self.in_force > 0 || self.turned_down.is_some()).then_some(self.in_force);
@@ -496,7 +499,7 @@
     }
 
     fn origin(&self) -> Origin {
-        Origin { member: self.identity.own, life: self.identity.life }
+        Origin { member: self.identity.id, life: self.identity.incarnation }
     }
 
     fn queue(&mut self, id: LinkId, message: Message) {
@@ -514,15 +517,15 @@
         }
         self.asked.insert(feed, now);
         let copy = if feed == Feed::Servers { &self.servers } else { &self.leaves };
-        let held = copy.copied();
+        let held = copy.state();
         self.queue(id, Message::Resync(feed, held));
-        self.tell(Event::Resync(feed));
+        self.tell(Event::ResyncRequested(feed));
     }
 
     fn lacks(&mut self, now: f64, id: LinkId) {
         if now - self.lacks_at >= AGAIN {
             self.lacks_at = now;
-            self.queue(id, Message::Lacks(self.settings.mark()));
+            self.queue(id, Message::Lacks(self.settings.revision()));
         }
     }
 
@@ -539,42 +542,42 @@
             Feed::Leaves => &mut self.leaves,
             Feed::Own => return Err(LinkError::OutOfPlace),
         };
-        match copy.take(now, lag, piece) {
+        match copy.apply(now, lag, piece) {
             Ok(_) => self.raise(now),
-            Err(NotTaken::Gap) => self.resync(now, id, feed),
-            Err(NotTaken::Malformed) => return Err(LinkError::Malformed("records that make no sense")),
+            Err(PieceError::Gap) => self.resync(now, id, feed),
+            Err(PieceError::Malformed) => return Err(LinkError::Malformed("records that make no sense")),
         }
         Ok(())
     }
 
     /// Takes a later life than one that the relays know to have ended; all links are made anew, so that each hears of it.
     fn raise(&mut self, now: f64) {
-        let key = Key::Leaf(self.identity.topic, self.identity.own);
+        let key = Key::Leaf(self.identity.topic, self.identity.id);
         let Some((_, Value::Leaf(fact))) = self.leaves.stream().get(&key) else { return };
         let ended = matches!(fact.presence, Presence::Gone | Presence::Left | Presence::Closed);
-        if fact.life <= self.identity.life || !ended {
+        if fact.life <= self.identity.incarnation || !ended {
             return;
         }
-        self.identity.life.number = fact.life.number.saturating_add(1);
-        self.tell(Event::Raised(self.identity.life));
+        self.identity.incarnation.number = fact.life.number.saturating_add(1);
+        self.tell(Event::IncarnationRaised(self.identity.incarnation));
         let all: Vec<LinkId> = self.links.keys().copied().collect();
         all.into_iter().for_each(|link| self.close(now, link, Loss::Left));
         self.dials.values_mut().for_each(|dial| dial.next = now);
-        (self.moves, self.told, self.digested) = (0, Cursor::whole(), None);
+        (self.moves, self.told, self.digested) = (0, Cursor::from_start(), None);
     }
 
     fn digest(&mut self, now: f64, id: LinkId, digest: &Digest) {
-        if self.servers.copied() != Some(digest.servers) {
+        if self.servers.state() != Some(digest.servers) {
             self.resync(now, id, Feed::Servers);
         }
-        if self.leaves.copied() != Some(digest.leaves) {
+        if self.leaves.state() != Some(digest.leaves) {
             self.resync(now, id, Feed::Leaves);
         }
-        if digest.settings > self.settings.mark() {
+        if digest.settings > self.settings.revision() {
             self.lacks(now, id);
         }
         // A whole stream that is still being told is not held before its last piece.
-        if self.told.behind(&self.own) {
+        if self.told.is_behind(&self.own) {
             self.digested = None;
             return;
         }
@@ -582,8 +585,8 @@
         let level = version == self.own.version() && hash == self.own.hash();
         // What is on its way was said since; what is still missing one digest later was lost.
         if !level && self.digested == Some(version) {
-            let held = crate::message::Copied { origin: self.origin(), version, hash };
-            self.told = Cursor::at(self.origin(), &self.own, Some(held));
+            let held = crate::message::CopyState { origin: self.origin(), version, hash };
+            self.told = Cursor::resume(self.origin(), &self.own, Some(held));
             self.digested = None;
         } else {
             self.digested = (!level).then_some(version);
@@ -592,21 +595,21 @@
 
     fn part(&mut self, now: f64, id: LinkId, part: &crate::settings::Part) -> Result<(), LinkError> {
         // Nothing older wins, whoever tells it.
-        if part.upto <= self.settings.mark() {
+        if part.upto <= self.settings.revision() {
             return Ok(());
         }
-        match Incoming::take(&self.settings, &mut self.incoming, part) {
+        match IncomingSet::accept_part(&self.settings, &mut self.incoming, part) {
             Ok(None) => {}
             Ok(Some(set)) => {
-                self.tell(Event::Settings(set.mark()));
+                self.tell(Event::SettingsReceived(set.revision()));
                 (self.settings, self.fresh) = (Arc::new(set), true);
             }
             Err(PartError::Gap) => self.lacks(now, id),
-            Err(PartError::Differs) => {
+            Err(PartError::HashMismatch) => {
                 // Whatever it builds on is not what was told: the whole is asked for.
-                self.queue(id, Message::Lacks(Mark::default()));
+                self.queue(id, Message::Lacks(Revision::default()));
             }
-            Err(PartError::TooMuch) => {
+            Err(PartError::TooLarge) => {
                 return Err(LinkError::Malformed("settings of more entries than may be"))
             }
         }
@@ -614,45 +617,47 @@
     }
 
     /// The next message on a link, before it is charged.
-    fn next_message(&mut self, now: f64, id: LinkId) -> Option<Message> {
+    fn choose_message(&mut self, now: f64, id: LinkId) -> Option<Message> {
         let timing = self.timing;
         let (primary, attaching) = (self.primary == Some(id), self.attaching);
         let alone = self.primary.is_none();
         // While the own relay does not answer it counts whether the second does.
-        let doubted =
-            self.primary.and_then(|p| self.links.get(&p)).is_some_and(|l| now - l.heard_at >= timing.suspect);
+        let doubted = self
+            .primary
+            .and_then(|p| self.links.get(&p))
+            .is_some_and(|l| now - l.heard_at >= timing.answer_overdue_s);
         let link = self.links.get_mut(&id).filter(|l| l.up)?;
         if let Some(message) = link.waiting.pop_front() {
             return Some(message);
         }
-        let attach = attaching.is_some_and(|a| a.link == id && now - a.said_at >= timing.answer);
+        let attach = attaching.is_some_and(|a| a.link == id && now - a.said_at >= timing.attach_timeout_s);
         if attach {
             return self.attach(now);
         }
         if now >= link.next_ping {
-            let missing = now - link.heard_at >= timing.suspect;
+            let missing = now - link.heard_at >= timing.answer_overdue_s;
             let pause = match () {
-                () if missing && (primary || alone || doubted) => timing.ping_suspect,
-                () if primary || alone || doubted => timing.ping,
-                () => timing.ping_second,
+                () if missing && (primary || alone || doubted) => timing.suspect_ping_interval_s,
+                () if primary || alone || doubted => timing.ping_interval_s,
+                () => timing.second_ping_interval_s,
             };
             link.next_ping = now + pause;
             link.pinged = (link.pinged.0.wrapping_add(1), now);
             return Some(Message::Ping(link.pinged.0));
         }
-        if !primary || !self.budget.open(now) {
+        if !primary || !self.budget.can_send(now) {
             return None;
         }
         if self.verdict.take().is_some() {
             let said = |(version, reason): &(u64, String)| (*version, Some(reason.clone()));
             let (version, refused) = self.turned_down.as_ref().map_or((self.in_force, None), said);
-            return Some(Message::Verdict { version, refused });
+            return Some(Message::Verdict { version, refusal: refused });
         }
-        if self.told.behind(&self.own) {
+        if self.told.is_behind(&self.own) {
             let origin = self.origin();
-            return Some(Message::Records(Feed::Own, self.told.piece(now, origin, &self.own)));
+            return Some(Message::Records(Feed::Own, self.told.next_piece(now, origin, &self.own)));
         }
-        let part = self.outgoing.as_mut()?.part();
+        let part = self.outgoing.as_mut()?.next_part();
         if part.last {
             self.outgoing = None;
         }
@@ -661,12 +666,12 @@
 
     /// Whether something waits that is said as the budget allows.
     fn tells(&self) -> bool {
-        self.told.behind(&self.own) || self.verdict.is_some() || self.outgoing.is_some()
+        self.told.is_behind(&self.own) || self.verdict.is_some() || self.outgoing.is_some()
     }
 }
 
 impl Node for Leaf {
-    fn dials(&mut self, now: f64) -> Vec<(LinkId, MemberId)> {
+    fn links_to_open(&mut self, now: f64) -> Vec<(LinkId, MemberId)> {
         // Beside the own relay, however it is placed, one more; without one the two best that can be reached.
         let own = self.relay();
         let wanted = if own.is_some() { 1 } else { 2 };
@@ -704,32 +709,32 @@
         made
     }
 
-    fn accepted(&mut self, _: f64) -> LinkId {
+    fn accept_link(&mut self, _: f64) -> LinkId {
         // Nobody makes links to a leaf; the front has no listener for one.
         self.next_link += 1;
         LinkId(self.next_link - 1)
     }
 
-    fn up(&mut self, now: f64, id: LinkId) {
+    fn link_up(&mut self, now: f64, id: LinkId) {
         let identity = &self.identity;
         if let Some(link) = self.links.get_mut(&id) {
             (link.up, link.since, link.heard_at) = (true, now, now);
             link.waiting.push_back(Message::Hello(Hello {
-                protocol: (PROTOCOL_LEAST, PROTOCOL),
-                from: identity.own,
+                protocol: (MIN_PROTOCOL_VERSION, PROTOCOL_VERSION),
+                from: identity.id,
                 to: link.relay,
-                life: identity.life,
+                incarnation: identity.incarnation,
                 topic: identity.topic,
                 name: self.name.clone(),
             }));
         }
     }
 
-    fn down(&mut self, now: f64, id: LinkId, _refused: bool) {
+    fn link_down(&mut self, now: f64, id: LinkId, _refused: bool) {
         self.gone(now, id, Loss::Closed);
     }
 
-    fn hear(&mut self, now: f64, id: LinkId, message: &Message) -> Result<(), LinkError> {
+    fn receive(&mut self, now: f64, id: LinkId, message: &Message) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&id) else { return Ok(()) };
         // What else it says comes also where it does not hear this leaf: the way there may be cut.
         if matches!(
@@ -750,7 +755,7 @@
                 link.greeted = Some(now);
                 link.next_ping = now;
                 if let Some(dial) = self.dials.get_mut(relay) {
-                    dial.pause = self.timing.dial;
+                    dial.pause = self.timing.min_dial_backoff_s;
                 }
                 self.trim(now);
             }
@@ -766,7 +771,7 @@
                 let (relay, seconds) = (link.relay, f64::from(*retry_ms) / 1000.0);
                 // One that wanted to go home waits as long as before the first try.
                 link.greeted = Some(now);
-                let first = self.timing.dial;
+                let first = self.timing.min_dial_backoff_s;
                 let dial = self.dials.entry(relay).or_insert(Dial { next: now, pause: first, barred: now });
                 dial.barred = now + seconds;
                 if self.attaching.is_some_and(|a| a.link == id) {
@@ -777,8 +782,9 @@
                     // It sheds this leaf: the link stays for a while, as that of a relay that is barred.
                     self.primary = None;
                     self.lost.get_or_insert(now);
-                    self.attach_at =
-                        now + self.timing.spread * chance(self.identity.own, u64::from(self.moves));
+                    self.attach_at = now
+                        + self.timing.max_reattach_delay_s
+                            * stable_fraction(self.identity.id, u64::from(self.moves));
                     self.tell(Event::Lost(relay, Loss::Left));
                 }
             }
@@ -788,11 +794,11 @@
             Message::Digest(digest) if primary => self.digest(now, id, digest),
             Message::Settings { proposed: false, part } if primary => self.part(now, id, part)?,
             Message::Resync(Feed::Own, held) if primary => {
-                self.told = Cursor::at(self.origin(), &self.own, *held);
+                self.told = Cursor::resume(self.origin(), &self.own, *held);
             }
             // All relays were gone, and this one has not stored what is in force.
             Message::Lacks(held) if primary => {
-                self.outgoing = Some(Outgoing::new(Arc::clone(&self.settings), *held));
+                self.outgoing = Some(OutgoingSet::new(Arc::clone(&self.settings), *held));
             }
             Message::Digest(_) if self.attaching.is_none_or(|a| a.link != id) => {
                 // It was not heard that another relay is the own one now.
@@ -809,27 +815,28 @@
         Ok(())
     }
 
-    fn due(&mut self, now: f64) -> Vec<LinkId> {
-        let open = self.budget.open(now);
+    fn links_to_serve(&mut self, now: f64) -> Vec<LinkId> {
+        let open = self.budget.can_send(now);
         let tells = open && self.tells();
         let due = |(id, link): (&LinkId, &Link)| {
-            let attach =
-                self.attaching.is_some_and(|a| a.link == *id && now - a.said_at >= self.timing.answer);
+            let attach = self
+                .attaching
+                .is_some_and(|a| a.link == *id && now - a.said_at >= self.timing.attach_timeout_s);
             let primary = self.primary == Some(*id) && tells;
             link.up && (!link.waiting.is_empty() || now >= link.next_ping || attach || primary)
         };
         self.links.iter().filter(|entry| due(*entry)).map(|(id, _)| *id).collect()
     }
 
-    fn say(&mut self, now: f64, id: LinkId) -> Option<Message> {
-        let message = self.next_message(now, id)?;
+    fn next_message(&mut self, now: f64, id: LinkId) -> Option<Message> {
+        let message = self.choose_message(now, id)?;
         self.budget.spend(now, message.encode(&mut Vec::new()));
         Some(message)
     }
 
-    fn writable(&mut self, _: f64, _: LinkId) {}
+    fn link_writable(&mut self, _: f64, _: LinkId) {}
 
-    fn closes(&mut self) -> Vec<LinkId> {
+    fn links_to_close(&mut self) -> Vec<LinkId> {
         std::mem::take(&mut self.closes)
     }
 
@@ -846,54 +853,60 @@
         }
         let timing = self.timing;
         // The second is asked as the own one is once that does not answer.
-        let doubted =
-            self.primary.and_then(|p| self.links.get(&p)).is_some_and(|l| now - l.heard_at >= timing.suspect);
+        let doubted = self
+            .primary
+            .and_then(|p| self.links.get(&p))
+            .is_some_and(|l| now - l.heard_at >= timing.answer_overdue_s);
         if doubted || self.primary.is_none() {
             for link in self.links.values_mut().filter(|l| l.greeted.is_some()) {
-                link.next_ping = link.next_ping.min(link.pinged.1 + timing.ping);
+                link.next_ping = link.next_ping.min(link.pinged.1 + timing.ping_interval_s);
             }
         }
         if let Some(own) = self.primary.and_then(|p| self.links.get_mut(&p)) {
             // The next ping comes sooner once an answer is missing.
-            if now - own.heard_at >= timing.suspect {
-                own.next_ping = own.next_ping.min(own.pinged.1 + timing.ping_suspect);
+            if now - own.heard_at >= timing.answer_overdue_s {
+                own.next_ping = own.next_ping.min(own.pinged.1 + timing.suspect_ping_interval_s);
             }
         }
         let lost = |(id, link): (&LinkId, &Link)| {
             let silent = now - link.heard_at;
             match link.greeted {
-                None => now - link.since >= timing.greeting,
-                Some(_) if self.primary == Some(*id) || self.primary.is_none() => silent >= timing.silent,
-                Some(_) => silent >= 2.0 * timing.ping_second + timing.silent,
+                None => now - link.since >= timing.handshake_timeout_s,
+                Some(_) if self.primary == Some(*id) || self.primary.is_none() => {
+                    silent >= timing.silent_after_s
+                }
+                Some(_) => silent >= 2.0 * timing.second_ping_interval_s + timing.silent_after_s,
             }
         };
         let lost: Vec<LinkId> = self.links.iter().filter(|e| lost(*e)).map(|(id, _)| *id).collect();
         lost.into_iter().for_each(|id| self.close(now, id, Loss::Silent));
-        if let Some(a) = self.attaching.filter(|a| a.tries >= TRIES && now - a.said_at >= timing.answer) {
+        if let Some(a) =
+            self.attaching.filter(|a| a.tries >= TRIES && now - a.said_at >= timing.attach_timeout_s)
+        {
             self.close(now, a.link, Loss::Silent);
         }
         self.choose(now);
         self.trim(now);
     }
 
-    fn next_at(&self) -> f64 {
+    fn next_tick_at(&self) -> f64 {
         let t = &self.timing;
         let mut next = f64::INFINITY;
         for (id, link) in &self.links {
             let silent = match link.greeted {
-                None => link.since + t.greeting,
+                None => link.since + t.handshake_timeout_s,
                 Some(_) if self.primary == Some(*id) => {
-                    (link.heard_at + t.suspect).min(link.heard_at + t.silent)
+                    (link.heard_at + t.answer_overdue_s).min(link.heard_at + t.silent_after_s)
                 }
-                Some(_) if self.primary.is_none() => link.heard_at + t.silent,
-                Some(_) => link.heard_at + 2.0 * t.ping_second + t.silent,
+                Some(_) if self.primary.is_none() => link.heard_at + t.silent_after_s,
+                Some(_) => link.heard_at + 2.0 * t.second_ping_interval_s + t.silent_after_s,
             };
             // Once an answer is missing the pings come at their own pace.
             let silent = if self.ticked.is_some_and(|at| at >= silent) { link.next_ping } else { silent };
             next = next.min(silent).min(link.next_ping);
         }
         if let Some(a) = self.attaching {
-            next = next.min(a.said_at + t.answer);
+            next = next.min(a.said_at + t.attach_timeout_s);
         } else if self.primary.is_none() {
             let at = self.attach_at.max(if self.lost.is_none() { self.started + BEST } else { 0.0 });
             if self.ticked.is_none_or(|ticked| ticked < at) {
@@ -907,8 +920,8 @@
             next = waits.fold(next, f64::min);
         }
         if self.primary.is_some() && self.tells() {
-            next = next.min(self.budget.open_at());
+            next = next.min(self.budget.can_send_at());
         }
-        next.min(self.ticked.unwrap_or(self.started) + t.ping)
+        next.min(self.ticked.unwrap_or(self.started) + t.ping_interval_s)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -50,15 +50,15 @@
 pub enum LinkError {
     /// The other one speaks a version of the protocol that is not understood here.
     #[error(
-        "versions {least} to {most} of the relays' protocol, expected {}: bring relays and leaves to versions of the program \
+        "versions {oldest} to {newest} of the relays' protocol, expected {}: bring relays and leaves to versions of the program \
          that overlap, relays first",
-        message::PROTOCOL
+        message::PROTOCOL_VERSION
     )]
     Protocol {
         /// The oldest that it speaks.
-        least: u16,
+        oldest: u16,
         /// The newest.
-        most: u16,
+        newest: u16,
     },
     /// It was meant for another relay, or came from one that was not looked for there.
     #[error(
@@ -107,118 +107,118 @@
 /// A relay or a leaf, as the front that has its sockets sees it.
 pub trait Node {
     /// Links that are to be made now, and to whom.
-    fn dials(&mut self, now: f64) -> Vec<(LinkId, MemberId)>;
+    fn links_to_open(&mut self, now: f64) -> Vec<(LinkId, MemberId)>;
 
     /// A link was taken from somebody who has not said who it is.
-    fn accepted(&mut self, now: f64) -> LinkId;
+    fn accept_link(&mut self, now: f64) -> LinkId;
 
     /// A link that was to be made is up.
-    fn up(&mut self, now: f64, link: LinkId);
+    fn link_up(&mut self, now: f64, link: LinkId);
 
-    /// A link is down, or could not be made; whether its address refused it. Not called for those that [`Node::closes`]
+    /// A link is down, or could not be made; whether its address refused it. Not called for those that [`Node::links_to_close`]
     /// names.
-    fn down(&mut self, now: f64, link: LinkId, refused: bool);
+    fn link_down(&mut self, now: f64, link: LinkId, refused: bool);
 
-    /// Takes a message; after an error the front closes the link and calls [`Node::down`].
-    fn hear(&mut self, now: f64, link: LinkId, message: &Message) -> Result<(), LinkError>;
+    /// Takes a message; after an error the front closes the link and calls [`Node::link_down`].
+    fn receive(&mut self, now: f64, link: LinkId, message: &Message) -> Result<(), LinkError>;
 
-    /// Links on which something may be said now. Called in every turn; each is asked by [`Node::say`] until it has nothing
+    /// Links on which something may be said now. Called in every turn; each is asked by [`Node::next_message`] until it has nothing
     /// more, or the link has no room.
-    fn due(&mut self, now: f64) -> Vec<LinkId>;
+    fn links_to_serve(&mut self, now: f64) -> Vec<LinkId>;
 
     /// The next message for a link that has room.
-    fn say(&mut self, now: f64, link: LinkId) -> Option<Message>;
+    fn next_message(&mut self, now: f64, link: LinkId) -> Option<Message>;
 
     /// A link that had no room has some again.
-    fn writable(&mut self, now: f64, link: LinkId);
+    fn link_writable(&mut self, now: f64, link: LinkId);
 
     /// Links that are to be closed, once what was said on them is written.
-    fn closes(&mut self) -> Vec<LinkId>;
+    fn links_to_close(&mut self) -> Vec<LinkId>;
 
-    /// What time brings. Called before anything that came is taken, and when [`Node::next_at`] says.
+    /// What time brings. Called before anything that came is taken, and when [`Node::next_tick_at`] says.
     fn tick(&mut self, now: f64);
 
     /// When the next turn is wanted at the latest.
-    fn next_at(&self) -> f64;
+    fn next_tick_at(&self) -> f64;
 }
 
 /// Times and bounds, in seconds and bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
     /// Between two pings of a leaf to its relay.
-    pub ping: f64,
+    pub ping_interval_s: f64,
     /// The same while its answers are missing: that it is gone is to be certain soon.
-    pub ping_suspect: f64,
+    pub suspect_ping_interval_s: f64,
     /// Answers count as missing after this.
-    pub suspect: f64,
+    pub answer_overdue_s: f64,
     /// Between two pings to the second choice.
-    pub ping_second: f64,
+    pub second_ping_interval_s: f64,
     /// A relay that answers nothing for so long is left.
-    pub silent: f64,
+    pub silent_after_s: f64,
     /// A leaf attaches elsewhere by chance so much later, so that not all of a relay's come in one moment.
-    pub spread: f64,
+    pub max_reattach_delay_s: f64,
     /// A link that does not come up, or on which nobody says who it is, for so long is closed.
-    pub greeting: f64,
+    pub handshake_timeout_s: f64,
     /// An attachment that is not answered for so long is tried anew.
-    pub answer: f64,
+    pub attach_timeout_s: f64,
     /// Between two tries of a link, the first and the longest.
-    pub dial: f64,
+    pub min_dial_backoff_s: f64,
     /// The longest.
-    pub dial_most: f64,
+    pub max_dial_backoff_s: f64,
     /// A better placed relay must have been there for so long before a leaf goes back to it, and by chance up to twice as
     /// long: what comes back does not get all its leaves at once.
-    pub home: f64,
+    pub return_delay_s: f64,
     /// Between two digests to a leaf.
-    pub digest: f64,
+    pub digest_interval_s: f64,
     /// A leaf of which nothing is heard for so long is gone.
-    pub gone: f64,
+    pub gone_after_silence_s: f64,
     /// A leaf whose link was closed and that is attached nowhere after so long is gone.
-    pub closed: f64,
+    pub gone_after_close_s: f64,
     /// A leaf that is gone is told of for so long, so that those who were away hear of it.
-    pub forget: f64,
+    pub forget_after_s: f64,
     /// Bytes a second that a relay says to a leaf, packet headers counted, and in one burst.
-    pub leaf_rate: f64,
+    pub leaf_bytes_per_s: f64,
     /// The same, of a leaf to its relay.
-    pub report_rate: f64,
+    pub report_bytes_per_s: f64,
     /// What may be said at once after a pause, in seconds of the rate.
-    pub burst: f64,
+    pub burst_s: f64,
     /// Most leaves of a relay.
-    pub leaves: usize,
+    pub max_leaves: usize,
     /// A relay takes at most this many times what an even spread would give it.
-    pub bound: f64,
+    pub max_load_ratio: f64,
     /// What a leaf that is refused is told to wait before it asks the same relay again.
-    pub retry: f64,
+    pub refused_retry_s: f64,
     /// A change of the settings that no majority has stored after so long is told as undecided.
-    pub undecided: f64,
+    pub undecided_after_s: f64,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            ping: 0.4,
-            ping_suspect: 0.08,
-            suspect: 0.55,
-            ping_second: 2.0,
-            silent: 1.4,
-            spread: 0.3,
-            greeting: 1.0,
-            answer: 0.5,
-            dial: 0.1,
-            dial_most: 2.0,
-            home: 30.0,
-            digest: 2.0,
-            gone: 5.0,
-            closed: 3.0,
-            forget: 120.0,
+            ping_interval_s: 0.4,
+            suspect_ping_interval_s: 0.08,
+            answer_overdue_s: 0.55,
+            second_ping_interval_s: 2.0,
+            silent_after_s: 1.4,
+            max_reattach_delay_s: 0.3,
+            handshake_timeout_s: 1.0,
+            attach_timeout_s: 0.5,
+            min_dial_backoff_s: 0.1,
+            max_dial_backoff_s: 2.0,
+            return_delay_s: 30.0,
+            digest_interval_s: 2.0,
+            gone_after_silence_s: 5.0,
+            gone_after_close_s: 3.0,
+            forget_after_s: 120.0,
             // Over any 10 s both come to 7,070 bytes a second with their bursts, of 8,000 that a gatekeeper may spend: the
             // rest is for pings to a second choice and for a new burst after a move.
-            leaf_rate: 5120.0,
-            report_rate: 1300.0,
-            burst: 1.0,
-            leaves: 400,
-            bound: 1.25,
-            retry: 5.0,
-            undecided: 3.0,
+            leaf_bytes_per_s: 5120.0,
+            report_bytes_per_s: 1300.0,
+            burst_s: 1.0,
+            max_leaves: 400,
+            max_load_ratio: 1.25,
+            refused_retry_s: 5.0,
+            undecided_after_s: 3.0,
         }
     }
 }
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -10,19 +10,19 @@
 use hollypaddle_replica::Word;
 use serde::{Deserialize, Serialize};
 
-use crate::settings::{Mark, Part};
+use crate::settings::{Part, Revision};
 
 /// The version of what is said; and the oldest that is understood.
-pub const PROTOCOL: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 /// The oldest.
-pub const PROTOCOL_LEAST: u16 = 1;
+pub const MIN_PROTOCOL_VERSION: u16 = 1;
 /// Longest frame, with its length.
-pub const MOST: usize = 64 * 1024;
-const LENGTH: usize = 4;
+pub const MAX_FRAME_BYTES: usize = 64 * 1024;
+const LENGTH_BYTES: usize = 4;
 /// Bytes of a leaf's name at most.
-pub const NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a reason at most.
-pub const REASON: usize = 400;
+pub const MAX_REASON_BYTES: usize = 400;
 
 /// A leaf's first words on a link to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,10 +34,10 @@
     /// To which relay.
     pub to: MemberId,
     /// In which life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Which records it needs.
     pub topic: Topic,
-    /// Its name, for operators; the relays need none. Bytes beyond [`NAME`] are cut.
+    /// Its name, for operators; the relays need none. Bytes beyond [`MAX_NAME_BYTES`] are cut.
     pub name: String,
 }
 
@@ -54,7 +54,7 @@
 
 /// What a copy of a stream has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Copied {
+pub struct CopyState {
     /// Whose stream, in which life.
     pub origin: Origin,
     /// Up to which version.
@@ -69,11 +69,11 @@
     /// The leaf's count of its attachments in this life.
     pub moves: u32,
     /// What it has of the feeds.
-    pub servers: Option<Copied>,
+    pub servers: Option<CopyState>,
     /// The same, of leaves.
-    pub leaves: Option<Copied>,
+    pub leaves: Option<CopyState>,
     /// The settings that it holds.
-    pub settings: Mark,
+    pub settings: Revision,
     /// The settings that it serves by, where those are others.
     pub in_force: u64,
 }
@@ -93,13 +93,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The feed of servers.
-    pub servers: Copied,
+    pub servers: CopyState,
     /// The feed of leaves.
-    pub leaves: Copied,
+    pub leaves: CopyState,
     /// The leaf's own stream, as the relay has it: version and hash.
     pub own: (u64, u64),
     /// The settings of the fleet.
-    pub settings: Mark,
+    pub settings: Revision,
 }
 
 /// A message.
@@ -112,7 +112,7 @@
         /// Who.
         relay: MemberId,
         /// In which life.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// A leaf asks whether the relay is there.
     Ping(u32),
@@ -129,7 +129,7 @@
     /// What changed in a stream: of the relay's feeds to a leaf, or of a leaf's own to its relay.
     Records(Feed, Piece),
     /// A stream has to be told anew from this version on; of which origin the receiver's copy is.
-    Resync(Feed, Option<Copied>),
+    Resync(Feed, Option<CopyState>),
     /// What the relay has.
     Digest(Digest),
     /// A part of the settings in force, or, among relays, of a change that is proposed.
@@ -140,13 +140,13 @@
         part: Part,
     },
     /// The settings that the speaker holds, for one to tell it what it lacks.
-    Lacks(Mark),
+    Lacks(Revision),
     /// A leaf takes settings of this version, or says why not.
     Verdict {
         /// Which version.
         version: u64,
         /// Why it does not.
-        refused: Option<String>,
+        refusal: Option<String>,
     },
     /// The speaker ends.
     Leave,
@@ -155,16 +155,16 @@
     /// Between relays: which settings are in force as far as the speaker knows, and which it has stored as proposed.
     Holds {
         /// In force.
-        in_force: Mark,
+        in_force: Revision,
         /// Proposed.
-        proposed: Mark,
+        proposed: Revision,
     },
     /// Between relays: the change of this version is to be told to the speaker; whether one that is only proposed.
     Want {
         /// Whether the proposed one.
         proposed: bool,
         /// What it holds.
-        held: Mark,
+        held: Revision,
     },
     /// Between relays, to the writer: a leaf turned a change down.
     TurnedDown {
@@ -185,7 +185,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// Longer than may be.
-    #[error("a frame of {0} bytes, of which {MOST} may be")]
+    #[error("a frame of {0} bytes, of which {MAX_FRAME_BYTES} may be")]
     TooLong(usize),
     /// Without a kind.
     #[error("an empty frame")]
@@ -207,7 +207,7 @@
 }
 
 /// A text of so many bytes at most.
-pub fn cut(text: &str, most: usize) -> String {
+pub fn truncate(text: &str, most: usize) -> String {
     let end = (0..=most.min(text.len())).rev().find(|n| text.is_char_boundary(*n)).unwrap_or(0);
     text[..end].to_string()
 }
@@ -267,7 +267,7 @@
         use postcard::to_allocvec as bytes;
         match self {
             Message::Hello(hello) => bytes(hello),
-            Message::Welcome { relay, life } => bytes(&(relay, life)),
+            Message::Welcome { relay, incarnation } => bytes(&(relay, incarnation)),
             Message::Ping(number) | Message::Pong(number) => bytes(number),
             Message::Attach(attach) => bytes(attach),
             Message::Attached(version) => bytes(version),
@@ -277,7 +277,7 @@
             Message::Digest(digest) => bytes(digest),
             Message::Settings { proposed, part } => bytes(&(proposed, part)),
             Message::Lacks(mark) => bytes(mark),
-            Message::Verdict { version, refused } => bytes(&(version, refused)),
+            Message::Verdict { version, refusal } => bytes(&(version, refusal)),
             Message::Mesh(word) => bytes(word),
             Message::Holds { in_force, proposed } => bytes(&(in_force, proposed)),
             Message::Want { proposed, held } => bytes(&(proposed, held)),
@@ -289,8 +289,8 @@
     /// Appends its frame; returns its bytes, 0 where it has no form that could be told, which nothing here makes.
     pub fn encode(&self, out: &mut Vec<u8>) -> usize {
         let Ok(body) = self.body() else { return 0 };
-        let whole = LENGTH + 1 + body.len();
-        if whole > MOST {
+        let whole = LENGTH_BYTES + 1 + body.len();
+        if whole > MAX_FRAME_BYTES {
             return 0;
         }
         out.extend((body.len() as u32 + 1).to_be_bytes());
@@ -301,21 +301,21 @@
 
     /// Reads one from the start of the bytes, with its length; none while it is not whole.
     pub fn decode(data: &[u8]) -> Result<Option<(Message, usize)>, FrameError> {
-        let Some(length) = data.first_chunk::<LENGTH>() else { return Ok(None) };
-        let whole = LENGTH.saturating_add(u32::from_be_bytes(*length) as usize);
-        if whole > MOST {
+        let Some(length) = data.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+        let whole = LENGTH_BYTES.saturating_add(u32::from_be_bytes(*length) as usize);
+        if whole > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(whole));
         }
-        if whole == LENGTH {
+        if whole == LENGTH_BYTES {
             return Err(FrameError::Empty);
         }
-        let Some(frame) = data.get(LENGTH..whole) else { return Ok(None) };
+        let Some(frame) = data.get(LENGTH_BYTES..whole) else { return Ok(None) };
         let (kind, body) = (frame[0], &frame[1..]);
         let message = match kind {
             1 => Message::Hello(read(kind, body)?),
             2 => {
-                let (relay, life) = read(kind, body)?;
-                Message::Welcome { relay, life }
+                let (relay, incarnation) = read(kind, body)?;
+                Message::Welcome { relay, incarnation }
             }
             3 => Message::Ping(read(kind, body)?),
             4 => Message::Pong(read(kind, body)?),
@@ -341,8 +341,8 @@
             }
             13 => Message::Lacks(read(kind, body)?),
             14 => {
-                let (version, refused) = read(kind, body)?;
-                Message::Verdict { version, refused }
+                let (version, refusal) = read(kind, body)?;
+                Message::Verdict { version, refusal }
             }
             15 => Message::Leave,
             16 => Message::Mesh(read(kind, body)?),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -26,14 +26,15 @@
 use hollypaddle_replica::stream::Stream;
 use hollypaddle_replica::{Settings as MeshSettings, Word};
 
-use crate::budget::Budget;
-use crate::leaf_limit::Share;
+use crate::budget::ByteBudget;
+use crate::leaf_limit::LeafLimit;
 use crate::message::{
-    cut, Attach, Copied, Digest, Feed, Hello, Message, Refusal, NAME, PROTOCOL, PROTOCOL_LEAST, REASON,
+    truncate, Attach, CopyState, Digest, Feed, Hello, Message, Refusal, MAX_NAME_BYTES, MAX_REASON_BYTES,
+    MIN_PROTOCOL_VERSION, PROTOCOL_VERSION,
 };
-use crate::placement::{chance, limit, RelayPlace};
-use crate::settings::{Incoming, Mark, Outgoing, PartError, Set, SetError};
-use crate::stream_copy::{Copy, Cursor, NotTaken};
+use crate::placement::{leaf_limit, stable_fraction, RelayLocation};
+use crate::settings::{IncomingSet, OutgoingSet, PartError, Revision, SetError, SettingsSet};
+use crate::stream_copy::{Cursor, PieceError, StreamCopy};
 use crate::{LinkError, LinkId, Node, Timing};
 
 /// Own turns further apart than this: this process was paused, and the silence of others tells nothing.
@@ -73,11 +74,11 @@
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Which.
-    pub own: MemberId,
+    pub id: MemberId,
     /// In which life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// All relays, the own one among them.
-    pub relays: Vec<RelayPlace>,
+    pub relays: Vec<RelayLocation>,
     /// The one that changes the settings of the fleet.
     pub writer: MemberId,
 }
@@ -88,15 +89,15 @@
     /// Of the other relays.
     Mesh(member::Event),
     /// A leaf is found otherwise than before.
-    Leaf(MemberId, Presence),
+    LeafPresence(MemberId, Presence),
     /// A leaf was refused.
     Refused(MemberId, Refusal),
     /// A change of the settings is proposed.
-    Proposed(Mark),
+    Proposed(Revision),
     /// A change is in force: a majority of relays has stored it.
-    InForce(Mark),
+    InForce(Revision),
     /// A change has not been stored by a majority in time: it comes in force when one has, or a later one does.
-    Undecided(Mark),
+    Undecided(Revision),
     /// A leaf turned a change down.
     TurnedDown {
         /// Which leaf.
@@ -123,14 +124,14 @@
     CatchingUp,
     /// A majority of relays is not heard.
     #[error(
-        "{heard} of {all} relays are heard here, the own one counted, and a change needs a majority: nothing was changed; mend \
+        "{reachable} of {total} relays are heard here, the own one counted, and a change needs a majority: nothing was changed; mend \
          the links between relays or regions, then send SIGHUP again"
     )]
     NoMajority {
         /// Relays that are heard, the own one counted.
-        heard: usize,
+        reachable: usize,
         /// All.
-        all: usize,
+        total: usize,
     },
     /// The set itself.
     #[error(transparent)]
@@ -168,11 +169,11 @@
     /// When it is looked at next, in microseconds, if it is.
     wake: Option<u64>,
     // Of one that a leaf is attached by.
-    budget: Budget,
+    budget: ByteBudget,
     servers: Cursor,
     leaves: Cursor,
-    settings: Mark,
-    outgoing: Option<Outgoing>,
+    settings: Revision,
+    outgoing: Option<OutgoingSet>,
     next_digest: f64,
     /// What comes until then may have been on its way for so long.
     late: (f64, f64),
@@ -192,7 +193,7 @@
     /// What it said counts no more: it has not been heard for long, and no majority of relays is there to say that it is
     /// gone.
     stale: bool,
-    copy: Copy,
+    copy: StreamCopy,
     in_force: u64,
     turned_down: Option<(u64, String)>,
 }
@@ -212,12 +213,12 @@
     next_dial: f64,
     pause: f64,
     /// What it said on this link that it holds: in force, proposed.
-    holds: Option<(Mark, Mark)>,
+    holds: Option<(Revision, Revision)>,
     /// What it was told that is held here, and when.
-    told: Option<((Mark, Mark), f64)>,
-    outgoing: Option<(bool, Outgoing)>,
-    pushed: Option<(Mark, f64)>,
-    incoming: [Option<Incoming>; 2],
+    told: Option<((Revision, Revision), f64)>,
+    outgoing: Option<(bool, OutgoingSet)>,
+    pushed: Option<(Revision, f64)>,
+    incoming: [Option<IncomingSet>; 2],
     want_at: f64,
     turned_down: VecDeque<(MemberId, u64, String)>,
 }
@@ -227,7 +228,7 @@
         Peer {
             link: None,
             next_dial: now,
-            pause: timing.dial,
+            pause: timing.min_dial_backoff_s,
             holds: None,
             told: None,
             outgoing: None,
@@ -270,7 +271,7 @@
     /// How it is found here.
     pub presence: Presence,
     /// Since when, in seconds ago.
-    pub since: f64,
+    pub since_s: f64,
     /// Its count of attachments.
     pub moves: u32,
     /// The version of the settings that it serves by.
@@ -293,7 +294,7 @@
     wakes: BTreeSet<(u64, LinkId)>,
     leaves: BTreeMap<MemberId, Attached>,
     /// How many of them there may be.
-    share: Share,
+    share: LeafLimit,
     /// Their names, and those of leaves that turned a change down elsewhere, for operators.
     names: BTreeMap<MemberId, String>,
     topics: BTreeMap<Topic, TopicFeeds>,
@@ -302,12 +303,12 @@
     peers: BTreeMap<MemberId, Peer>,
     /// Up to which version, and with which hash, each stream's changes are in the feeds.
     absorbed: BTreeMap<Origin, (u64, u64)>,
-    in_force: Arc<Set>,
-    proposed: Option<(Arc<Set>, f64, bool)>,
+    in_force: Arc<SettingsSet>,
+    proposed: Option<(Arc<SettingsSet>, f64, bool)>,
     /// The entries that were proposed here last: what the writer of the fleet's settings wants them to be.
     wanted: Option<Vec<(String, String)>>,
     /// A leaf that holds later settings than any relay that is heard here, as all relays were gone: since when it is asked.
-    recovery: Option<(LinkId, f64, Option<Incoming>)>,
+    recovery: Option<(LinkId, f64, Option<IncomingSet>)>,
     /// Since when a majority of relays is heard.
     quorum: Option<f64>,
     next_look: f64,
@@ -326,10 +327,10 @@
     /// A relay that has just started.
     pub fn new(now: f64, identity: Identity, mesh: MeshSettings, timing: Timing) -> Relay {
         let others: Vec<MemberId> = identity.relays.iter().map(|r| r.relay).collect();
-        let member = Member::new(now, identity.own, identity.life, mesh, others.iter().copied());
-        let peers = others.into_iter().filter(|r| *r != identity.own).map(|r| (r, Peer::new(now, &timing)));
+        let member = Member::new(now, identity.id, identity.incarnation, mesh, others.iter().copied());
+        let peers = others.into_iter().filter(|r| *r != identity.id).map(|r| (r, Peer::new(now, &timing)));
         Relay {
-            feed: Origin { member: identity.own, life: identity.life },
+            feed: Origin { member: identity.id, life: identity.incarnation },
             peers: peers.collect(),
             identity,
             timing,
@@ -340,7 +341,7 @@
             next_link: 1,
             wakes: BTreeSet::new(),
             leaves: BTreeMap::new(),
-            share: Share::new(now, limit(0, 1, timing.bound, timing.leaves)),
+            share: LeafLimit::new(now, leaf_limit(0, 1, timing.max_load_ratio, timing.max_leaves)),
             names: BTreeMap::new(),
             topics: BTreeMap::new(),
             floor: 0,
@@ -359,19 +360,19 @@
     }
 
     /// Takes relays, writer and times read anew.
-    pub fn change(&mut self, now: f64, identity: Identity, mesh: MeshSettings, timing: Timing) {
+    pub fn reconfigure(&mut self, now: f64, identity: Identity, mesh: MeshSettings, timing: Timing) {
         let all: Vec<MemberId> = identity.relays.iter().map(|r| r.relay).collect();
         self.member.change(mesh, &all);
         let none: Vec<LinkId> =
             (self.peers.iter()).filter(|(r, _)| !all.contains(r)).filter_map(|(_, p)| p.link).collect();
         none.into_iter().for_each(|link| self.close(now, link));
         self.peers.retain(|r, _| all.contains(r));
-        for relay in all.into_iter().filter(|r| *r != self.identity.own) {
+        for relay in all.into_iter().filter(|r| *r != self.identity.id) {
             self.peers.entry(relay).or_insert_with(|| Peer::new(now, &timing));
         }
         (self.timing, self.identity.relays, self.identity.writer) =
             (timing, identity.relays, identity.writer);
-        if self.identity.writer != self.identity.own {
+        if self.identity.writer != self.identity.id {
             self.wanted = None;
         }
     }
@@ -382,7 +383,7 @@
     }
 
     /// The other relays, as a member of a small fleet knows them.
-    pub fn mesh(&self) -> &Member {
+    pub fn member(&self) -> &Member {
         &self.member
     }
 
@@ -392,7 +393,7 @@
     }
 
     /// What is to be told to the staff since this was last asked.
-    pub fn events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
@@ -403,12 +404,12 @@
     }
 
     /// The leaves that are, or were a moment ago, attached here.
-    pub fn rows(&self, now: f64) -> Vec<LeafRow> {
+    pub fn leaf_rows(&self, now: f64) -> Vec<LeafRow> {
         let row = |(leaf, a): (&MemberId, &Attached)| LeafRow {
             leaf: *leaf,
             topic: a.topic,
             presence: a.presence,
-            since: now - a.since,
+            since_s: now - a.since,
             moves: a.moves,
             in_force: a.in_force,
             turned_down: a.turned_down.clone(),
@@ -422,22 +423,22 @@
     }
 
     fn learn_name(&mut self, leaf: MemberId, name: &str) {
-        if self.names.len() >= 2 * self.timing.leaves + STRANGERS {
+        if self.names.len() >= 2 * self.timing.max_leaves + STRANGERS {
             let (leaves, links) = (&self.leaves, &self.links);
             let linked =
                 |m: &MemberId| links.values().any(|l| matches!(l.who, Who::Leaf(of, ..) if of == *m));
             self.names.retain(|m, _| leaves.contains_key(m) || linked(m));
         }
-        self.names.insert(leaf, cut(name, NAME));
+        self.names.insert(leaf, truncate(name, MAX_NAME_BYTES));
     }
 
     /// Leaves that are attached.
-    pub fn attached(&self) -> usize {
+    pub fn attached_count(&self) -> usize {
         self.leaves.values().filter(|a| a.link.is_some()).count()
     }
 
     /// What is known of a leaf of a topic over all relays.
-    pub fn leaf(&self, topic: Topic, leaf: MemberId) -> Option<LeafFact> {
+    pub fn leaf_fact(&self, topic: Topic, leaf: MemberId) -> Option<LeafFact> {
         self.join_leaf(topic, leaf).map(|(_, fact)| fact)
     }
 
@@ -448,14 +449,14 @@
 }
 
 impl Node for Relay {
-    fn dials(&mut self, now: f64) -> Vec<(LinkId, MemberId)> {
+    fn links_to_open(&mut self, now: f64) -> Vec<(LinkId, MemberId)> {
         if self.ending || self.member.view().superseded() {
             return Vec::new();
         }
         if self.peers.values().all(|p| p.link.is_some()) {
             return Vec::new();
         }
-        let own = self.identity.own;
+        let own = self.identity.id;
         let pending: BTreeSet<MemberId> = self
             .links
             .values()
@@ -478,7 +479,7 @@
         made
     }
 
-    fn accepted(&mut self, now: f64) -> LinkId {
+    fn accept_link(&mut self, now: f64) -> LinkId {
         let strangers = self.links.iter().filter(|(_, l)| l.who == Who::Stranger);
         let oldest = strangers.clone().map(|(id, _)| *id).next();
         if let Some(oldest) = oldest.filter(|_| strangers.count() >= STRANGERS) {
@@ -487,7 +488,7 @@
         self.new_link(now, Who::Stranger, false)
     }
 
-    fn up(&mut self, now: f64, id: LinkId) {
+    fn link_up(&mut self, now: f64, id: LinkId) {
         let Some(link) = self.links.get_mut(&id) else { return };
         (link.up, link.since, link.heard_at) = (true, now, now);
         if let Who::Relay(relay, _) = link.who {
@@ -496,15 +497,15 @@
         }
     }
 
-    fn down(&mut self, now: f64, id: LinkId, refused: bool) {
+    fn link_down(&mut self, now: f64, id: LinkId, refused: bool) {
         self.gone(now, id, refused);
         self.settle(now);
     }
 
-    fn hear(&mut self, now: f64, id: LinkId, message: &Message) -> Result<(), LinkError> {
+    fn receive(&mut self, now: f64, id: LinkId, message: &Message) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&id) else { return Ok(()) };
         let gap = now - std::mem::replace(&mut link.heard_at, now);
-        if gap >= self.timing.suspect && link.servers != Cursor::whole() {
+        if gap >= self.timing.answer_overdue_s && link.servers != Cursor::from_start() {
             link.late = (now + TOGETHER, gap);
         }
         if let Message::Unknown(_) = message {
@@ -520,7 +521,7 @@
         }
     }
 
-    fn due(&mut self, now: f64) -> Vec<LinkId> {
+    fn links_to_serve(&mut self, now: f64) -> Vec<LinkId> {
         let upto = micros(now);
         let mut due = Vec::new();
         while let Some((at, id)) = self.wakes.first().copied().filter(|(at, _)| *at <= upto) {
@@ -535,7 +536,7 @@
         due
     }
 
-    fn say(&mut self, now: f64, id: LinkId) -> Option<Message> {
+    fn next_message(&mut self, now: f64, id: LinkId) -> Option<Message> {
         let link = self.links.get_mut(&id).filter(|l| l.up)?;
         let waiting = link.waiting.pop_front();
         let who = link.who.clone();
@@ -557,7 +558,8 @@
                 Who::Relay(_, true) => self.wake(id, now + MESH),
                 Who::Leaf(leaf, ..) if self.leaves.get(&leaf).is_some_and(|a| a.link == Some(id)) => {
                     let link = self.links.get_mut(&id)?;
-                    let at = if link.budget.open(now) { link.next_digest } else { link.budget.open_at() };
+                    let at =
+                        if link.budget.can_send(now) { link.next_digest } else { link.budget.can_send_at() };
                     self.wake(id, at.max(now + 1e-3));
                 }
                 _ => {}
@@ -573,11 +575,11 @@
         Some(message)
     }
 
-    fn writable(&mut self, now: f64, id: LinkId) {
+    fn link_writable(&mut self, now: f64, id: LinkId) {
         self.wake(id, now);
     }
 
-    fn closes(&mut self) -> Vec<LinkId> {
+    fn links_to_close(&mut self) -> Vec<LinkId> {
         std::mem::take(&mut self.closes)
     }
 
@@ -602,7 +604,7 @@
         }
     }
 
-    fn next_at(&self) -> f64 {
+    fn next_tick_at(&self) -> f64 {
         let wake = self.wakes.first().map_or(f64::INFINITY, |(at, _)| *at as f64 / 1e6 + 1e-6);
         let dials = self.peers.values().filter(|p| p.link.is_none()).map(|p| p.next_dial);
         let dial = dials.fold(f64::INFINITY, f64::min).max(self.ticked.unwrap_or(0.0) + 0.01);
--- a/crates/relay/src/relay/feeds.rs
+++ b/crates/relay/src/relay/feeds.rs
@@ -5,7 +5,7 @@
 impl Relay {
     /// Whether what a stream says counts: it is of its relay's present life, and that is not gone.
     pub(super) fn counted(&self, origin: &Origin) -> bool {
-        if origin.member == self.identity.own {
+        if origin.member == self.identity.id {
             return *origin == self.member.store().own();
         }
         let view = self.member.view();
--- a/crates/relay/src/relay/leaf_messages.rs
+++ b/crates/relay/src/relay/leaf_messages.rs
@@ -7,35 +7,35 @@
         let (feed, in_force) = (self.feed, Arc::clone(&self.in_force));
         let feeds = self.topics.get(&topic)?;
         let link = self.links.get_mut(&id)?;
-        if !link.budget.open(now) {
+        if !link.budget.can_send(now) {
             return None;
         }
-        if link.servers.behind(&feeds.servers) {
-            return Some(Message::Records(Feed::Servers, link.servers.piece(now, feed, &feeds.servers)));
+        if link.servers.is_behind(&feeds.servers) {
+            return Some(Message::Records(Feed::Servers, link.servers.next_piece(now, feed, &feeds.servers)));
         }
-        if link.outgoing.is_none() && link.settings < in_force.mark() {
-            link.outgoing = Some(Outgoing::new(in_force, link.settings));
+        if link.outgoing.is_none() && link.settings < in_force.revision() {
+            link.outgoing = Some(OutgoingSet::new(in_force, link.settings));
         }
         if let Some(outgoing) = &mut link.outgoing {
-            let part = outgoing.part();
+            let part = outgoing.next_part();
             if part.last {
-                (link.settings, link.outgoing) = (outgoing.mark(), None);
+                (link.settings, link.outgoing) = (outgoing.revision(), None);
             }
             return Some(Message::Settings { proposed: false, part });
         }
-        if link.leaves.behind(&feeds.leaves) {
-            return Some(Message::Records(Feed::Leaves, link.leaves.piece(now, feed, &feeds.leaves)));
+        if link.leaves.is_behind(&feeds.leaves) {
+            return Some(Message::Records(Feed::Leaves, link.leaves.next_piece(now, feed, &feeds.leaves)));
         }
         if now < link.next_digest {
             return None;
         }
-        link.next_digest = now + self.timing.digest;
-        let copied = |s: &Stream| Copied { origin: feed, version: s.version(), hash: s.hash() };
+        link.next_digest = now + self.timing.digest_interval_s;
+        let copied = |s: &Stream| CopyState { origin: feed, version: s.version(), hash: s.hash() };
         let Who::Leaf(leaf, ..) = link.who else { return None };
         let own =
             self.leaves.get(&leaf).map_or((0, 0), |a| (a.copy.stream().version(), a.copy.stream().hash()));
         let (servers, leaves) = (copied(&feeds.servers), copied(&feeds.leaves));
-        Some(Message::Digest(Digest { servers, leaves, own, settings: self.in_force.mark() }))
+        Some(Message::Digest(Digest { servers, leaves, own, settings: self.in_force.revision() }))
     }
 
     pub(super) fn hear_leaf(
@@ -74,13 +74,13 @@
                 if piece.origin != (Origin { member: leaf, life }) {
                     return Err(LinkError::Malformed("records of another origin"));
                 }
-                match a.copy.take(now, lag, piece) {
+                match a.copy.apply(now, lag, piece) {
                     Ok(keys) => self.aggregate(now, topic, &keys),
-                    Err(NotTaken::Malformed) => {
+                    Err(PieceError::Malformed) => {
                         return Err(LinkError::Malformed("records that make no sense"))
                     }
-                    Err(NotTaken::Gap) => {
-                        let held = a.copy.copied();
+                    Err(PieceError::Gap) => {
+                        let held = a.copy.state();
                         self.counts.resyncs += 1;
                         self.queue(now, id, Message::Resync(Feed::Own, held));
                     }
@@ -93,8 +93,8 @@
                     return Ok(());
                 };
                 match feed {
-                    Feed::Servers => link.servers = Cursor::at(own, &feeds.servers, *held),
-                    Feed::Leaves => link.leaves = Cursor::at(own, &feeds.leaves, *held),
+                    Feed::Servers => link.servers = Cursor::resume(own, &feeds.servers, *held),
+                    Feed::Leaves => link.leaves = Cursor::resume(own, &feeds.leaves, *held),
                     Feed::Own => return Err(LinkError::OutOfPlace),
                 }
                 self.wake(id, now);
@@ -107,9 +107,9 @@
                 self.wake(id, now);
             }
             Message::Settings { proposed: false, part } => self.recovered(now, id, part),
-            Message::Verdict { version, refused } => {
+            Message::Verdict { version, refusal: refused } => {
                 let Some(a) = self.leaves.get_mut(&leaf) else { return Ok(()) };
-                let reason = refused.as_ref().map(|reason| cut(reason, REASON));
+                let reason = refused.as_ref().map(|reason| truncate(reason, MAX_REASON_BYTES));
                 match reason {
                     None => (a.in_force, a.turned_down) = (*version, None),
                     Some(reason) => {
--- a/crates/relay/src/relay/leaves.rs
+++ b/crates/relay/src/relay/leaves.rs
@@ -6,17 +6,17 @@
 impl Relay {
     pub(super) fn hello(&mut self, now: f64, id: LinkId, hello: &Hello) -> Result<(), LinkError> {
         let (least, most) = hello.protocol;
-        if least > PROTOCOL || most < PROTOCOL_LEAST {
-            return Err(LinkError::Protocol { least, most });
+        if least > PROTOCOL_VERSION || most < MIN_PROTOCOL_VERSION {
+            return Err(LinkError::Protocol { oldest: least, newest: most });
         }
-        if hello.to != self.identity.own {
+        if hello.to != self.identity.id {
             return Err(LinkError::NotForUs);
         }
         let leaf = hello.from;
         if self.identity.relays.iter().any(|r| r.relay == leaf) {
             return Err(LinkError::OutOfPlace);
         }
-        let later = |life: &Incarnation| *life > hello.life;
+        let later = |life: &Incarnation| *life > hello.incarnation;
         let linked = |l: &Link| matches!(&l.who, Who::Leaf(m, life, _) if *m == leaf && later(life));
         // One whose clock was set back comes with an earlier life than its last, which nobody lives any more.
         if self.links.values().any(linked) {
@@ -24,28 +24,28 @@
         }
         let leaves = self.links.values().filter(|l| matches!(l.who, Who::Leaf(..))).count();
         // Each leaf has one link here, its own relay's or its second choice's.
-        if leaves >= 2 * self.timing.leaves + STRANGERS {
+        if leaves >= 2 * self.timing.max_leaves + STRANGERS {
             return Err(LinkError::Full);
         }
         let of = |l: &Link| matches!(l.who, Who::Leaf(m, ..) if m == leaf);
         let old: Vec<LinkId> = self.links.iter().filter(|(_, l)| of(l)).map(|(id, _)| *id).collect();
         old.into_iter().for_each(|old| self.close(now, old));
         if let Some(link) = self.links.get_mut(&id) {
-            link.who = Who::Leaf(leaf, hello.life, hello.topic);
+            link.who = Who::Leaf(leaf, hello.incarnation, hello.topic);
         }
         self.learn_name(leaf, &hello.name);
-        let welcome = Message::Welcome { relay: self.identity.own, life: self.identity.life };
+        let welcome = Message::Welcome { relay: self.identity.id, incarnation: self.identity.incarnation };
         self.queue(now, id, welcome);
         Ok(())
     }
 
     /// How many leaves this relay may have now.
-    pub fn limit(&self) -> usize {
-        self.share.limit().min(self.timing.leaves)
+    pub fn leaf_limit(&self) -> usize {
+        self.share.limit().min(self.timing.max_leaves)
     }
 
     /// Up to how many leaves this relay takes further ones now: what it may have as soon as leaves had time to go home.
-    pub fn takes(&self) -> usize {
+    pub fn accept_limit(&self) -> usize {
         let all = Key::Leaf(Topic(0), MemberId(0))..=Key::Leaf(Topic(u32::MAX), MemberId(u64::MAX));
         let streams = self.member.store().streams().filter(|(origin, _)| self.counted(origin));
         let said = streams.flat_map(|(_, stream)| stream.range(all.clone()));
@@ -61,7 +61,7 @@
         let all = there.len();
         let alive = |m: &MemberId| matches!(self.member.view().state(*m), State::Alive);
         let relays = 1 + self.peers.keys().filter(|m| alive(m)).count();
-        limit(all, relays, self.timing.bound, self.timing.leaves)
+        leaf_limit(all, relays, self.timing.max_load_ratio, self.timing.max_leaves)
     }
 
     pub(super) fn refuse(&mut self, now: f64, id: LinkId, leaf: MemberId, why: Refusal, seconds: f64) {
@@ -83,20 +83,21 @@
         let again = known.is_some_and(|a| a.link == Some(id) && a.life == life && a.moves == attach.moves);
         if !again {
             if self.ending {
-                return self.refuse(now, id, leaf, Refusal::Shedding, self.timing.retry);
+                return self.refuse(now, id, leaf, Refusal::Shedding, self.timing.refused_retry_s);
             }
             if !self.member.ready() {
                 return self.refuse(now, id, leaf, Refusal::CatchingUp, CATCHING_UP);
             }
             let here = known.is_some_and(|a| a.link.is_some());
             let topics = !self.topics.contains_key(&topic) && self.topics.len() >= TOPICS;
-            let takes = self.takes();
-            self.share.rise(takes);
-            if !here && self.attached() >= takes || topics {
+            let takes = self.accept_limit();
+            self.share.raise_to(takes);
+            if !here && self.attached_count() >= takes || topics {
                 // Where its share is reached, another relay has room, or this one does once it hears of more leaves.
-                let most = self.attached() >= self.timing.leaves || topics;
-                let retry = if most { self.timing.retry } else { self.timing.retry.min(SHARED) };
-                let retry = retry * (0.5 + chance(leaf, u64::from(attach.moves)));
+                let most = self.attached_count() >= self.timing.max_leaves || topics;
+                let retry =
+                    if most { self.timing.refused_retry_s } else { self.timing.refused_retry_s.min(SHARED) };
+                let retry = retry * (0.5 + stable_fraction(leaf, u64::from(attach.moves)));
                 return self.refuse(now, id, leaf, Refusal::Full, retry);
             }
             if known.is_some_and(|a| a.topic != topic) {
@@ -105,7 +106,7 @@
         }
         let old = self.leaves.remove(&leaf).filter(|a| a.life == life);
         let copy = old.map(|a| a.copy).unwrap_or_default();
-        let held = copy.copied().map_or(0, |c| c.version);
+        let held = copy.state().map_or(0, |c| c.version);
         let (presence, in_force) = (Presence::Here, attach.in_force);
         self.leaves.insert(
             leaf,
@@ -129,11 +130,12 @@
         if let Some(feeds) = self.topics.get_mut(&topic) {
             feeds.members.insert(leaf);
             if let Some(link) = self.links.get_mut(&id) {
-                link.servers = Cursor::at(feed, &feeds.servers, attach.servers);
-                link.leaves = Cursor::at(feed, &feeds.leaves, attach.leaves);
+                link.servers = Cursor::resume(feed, &feeds.servers, attach.servers);
+                link.leaves = Cursor::resume(feed, &feeds.leaves, attach.leaves);
                 (link.settings, link.outgoing) = (attach.settings, None);
                 // Spread over the time between two.
-                link.next_digest = now + self.timing.digest * (0.5 + 0.5 * chance(leaf, id.0));
+                link.next_digest =
+                    now + self.timing.digest_interval_s * (0.5 + 0.5 * stable_fraction(leaf, id.0));
             }
         }
         self.publish(now, leaf);
@@ -188,7 +190,7 @@
         if matches!(presence, Presence::Gone | Presence::Left) {
             self.recount(now, leaf);
         }
-        self.tell(Event::Leaf(leaf, presence));
+        self.tell(Event::LeafPresence(leaf, presence));
     }
 
     /// A leaf is no longer this relay's to speak of.
--- a/crates/relay/src/relay/links.rs
+++ b/crates/relay/src/relay/links.rs
@@ -14,10 +14,10 @@
             heard_at: now,
             waiting: VecDeque::new(),
             wake: None,
-            budget: Budget::new(now, self.timing.leaf_rate, self.timing.burst),
-            servers: Cursor::whole(),
-            leaves: Cursor::whole(),
-            settings: Mark::default(),
+            budget: ByteBudget::new(now, self.timing.leaf_bytes_per_s, self.timing.burst_s),
+            servers: Cursor::from_start(),
+            leaves: Cursor::from_start(),
+            settings: Revision::default(),
             outgoing: None,
             next_digest: now,
             late: (f64::NEG_INFINITY, 0.0),
@@ -75,9 +75,9 @@
                 if peer.link == Some(id) || peer.link.is_none() {
                     // That an address refuses links is to be known soon; anything else is tried more and more seldom.
                     peer.pause = if refused || link.up {
-                        timing.dial
+                        timing.min_dial_backoff_s
                     } else {
-                        (peer.pause * 2.0).min(timing.dial_most / 2.0)
+                        (peer.pause * 2.0).min(timing.max_dial_backoff_s / 2.0)
                     };
                     peer.next_dial = now + peer.pause;
                 }
@@ -99,7 +99,7 @@
 
     /// Ends: every leaf and relay is told, so that leaves go elsewhere at once. What is said after this is the end of each
     /// link.
-    pub fn end(&mut self, now: f64) {
+    pub fn begin_shutdown(&mut self, now: f64) {
         self.ending = true;
         let all: Vec<(LinkId, bool)> =
             self.links.iter().map(|(id, l)| (*id, matches!(l.who, Who::Relay(_, true)))).collect();
