--- a/crates/relay/src/relay/mesh.rs
+++ b/crates/relay/src/relay/mesh.rs
@@ -6,7 +6,7 @@
     pub(super) fn greet(&mut self, now: f64, id: LinkId, word: &Word) -> Result<(), LinkError> {
         let Word::Hello { from, .. } = word else { return Err(LinkError::OutOfPlace) };
         let from = *from;
-        let own = self.identity.own;
+        let own = self.identity.id;
         // Both may have made a link in one moment: the one of the lower id's stays, at both ends.
         let by_lower = |dialed: bool| dialed == (own < from);
         let older = self.peers.get(&from).and_then(|p| self.links.get(&p.link?));
@@ -41,7 +41,7 @@
             link.who = Who::Relay(from, true);
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            (peer.link, peer.pause) = (Some(id), self.timing.dial);
+            (peer.link, peer.pause) = (Some(id), self.timing.min_dial_backoff_s);
             (peer.holds, peer.told, peer.outgoing, peer.pushed) = (None, None, None, None);
             peer.incoming = [None, None];
         }
@@ -57,7 +57,7 @@
             return Some(Message::Holds { in_force: marks.0, proposed: marks.1 });
         }
         if let Some((proposed, outgoing)) = &mut peer.outgoing {
-            let (proposed, part) = (*proposed, outgoing.part());
+            let (proposed, part) = (*proposed, outgoing.next_part());
             if part.last {
                 peer.outgoing = None;
             }
@@ -100,7 +100,7 @@
                     false => Some(Arc::clone(&self.in_force)),
                 };
                 if let (Some(set), Some(peer)) = (set, self.peers.get_mut(&relay)) {
-                    peer.outgoing = Some((*proposed, Outgoing::new(set, *held)));
+                    peer.outgoing = Some((*proposed, OutgoingSet::new(set, *held)));
                     if let Some(link) = peer.link {
                         self.wake(link, now);
                     }
@@ -108,7 +108,7 @@
             }
             Message::Settings { proposed, part } => self.part(now, relay, *proposed, part)?,
             Message::TurnedDown { leaf, name, version, reason } => {
-                let (leaf, version, reason) = (*leaf, *version, cut(reason, REASON));
+                let (leaf, version, reason) = (*leaf, *version, truncate(reason, MAX_REASON_BYTES));
                 self.learn_name(leaf, name);
                 self.tell(Event::TurnedDown { leaf, version, reason });
             }
--- a/crates/relay/src/relay/timers.rs
+++ b/crates/relay/src/relay/timers.rs
@@ -29,7 +29,8 @@
     /// Whether a leaf of this relay's is attached to another one by now.
     pub(super) fn moved(&self, leaf: MemberId) -> bool {
         let Some(a) = self.leaves.get(&leaf) else { return false };
-        a.moved || self.leaf(a.topic, leaf).is_some_and(|fact| (fact.life, fact.moves) > (a.life, a.moves))
+        a.moved
+            || self.leaf_fact(a.topic, leaf).is_some_and(|fact| (fact.life, fact.moves) > (a.life, a.moves))
     }
 
     pub(super) fn look(&mut self, now: f64) {
@@ -37,16 +38,17 @@
         // A relay that hears no majority does not know who is attached elsewhere, and one that hears it again is told soon.
         let quorum = 2 * (1 + self.mutual(now).len()) > self.peers.len() + 1;
         self.quorum = quorum.then(|| self.quorum.unwrap_or(now));
-        let certain = self.quorum.is_some_and(|since| now - since >= t.closed) && self.member.ready();
+        let certain =
+            self.quorum.is_some_and(|since| now - since >= t.gone_after_close_s) && self.member.ready();
         let mut over = Vec::new();
         for (id, link) in &self.links {
             let silent = now - link.heard_at;
             let late = match &link.who {
-                Who::Stranger | Who::Relay(_, false) => now - link.since >= t.greeting,
+                Who::Stranger | Who::Relay(_, false) => now - link.since >= t.handshake_timeout_s,
                 Who::Relay(..) => false,
                 Who::Leaf(leaf, ..) => {
                     let attached = self.leaves.get(leaf).is_some_and(|a| a.link == Some(*id));
-                    silent >= if attached { t.gone } else { 3.0 * t.ping_second }
+                    silent >= if attached { t.gone_after_silence_s } else { 3.0 * t.second_ping_interval_s }
                 }
             };
             if late {
@@ -67,9 +69,9 @@
         for (leaf, a) in &self.leaves {
             let silent = a.link.and_then(|l| self.links.get(&l)).map(|l| now - l.heard_at);
             let next = match (a.presence, silent) {
-                (Presence::Here, Some(silent)) if silent >= t.silent => Presence::Silent,
-                (Presence::Silent, Some(silent)) if silent < t.silent => Presence::Here,
-                (Presence::Closed, None) if now - a.since >= t.closed => Presence::Gone,
+                (Presence::Here, Some(silent)) if silent >= t.silent_after_s => Presence::Silent,
+                (Presence::Silent, Some(silent)) if silent < t.silent_after_s => Presence::Here,
+                (Presence::Closed, None) if now - a.since >= t.gone_after_close_s => Presence::Gone,
                 _ => continue,
             };
             finds.push((*leaf, next));
@@ -86,27 +88,28 @@
                 next => self.found(now, leaf, next),
             }
         }
-        let over =
-            |a: &Attached| matches!(a.presence, Presence::Gone | Presence::Left) && now - a.since >= t.forget;
+        let over = |a: &Attached| {
+            matches!(a.presence, Presence::Gone | Presence::Left) && now - a.since >= t.forget_after_s
+        };
         let old: Vec<MemberId> = self.leaves.iter().filter(|(_, a)| over(a)).map(|(m, _)| *m).collect();
         old.into_iter().for_each(|leaf| self.forget(now, leaf));
-        self.share.fall(now, self.takes(), 2.0 * t.home, 2.0 * LOOK);
+        self.share.step_towards(now, self.accept_limit(), 2.0 * t.return_delay_s, 2.0 * LOOK);
         let shed = self.beyond_share();
         for (leaf, link) in shed {
-            self.refuse(now, link, leaf, Refusal::Shedding, t.retry);
+            self.refuse(now, link, leaf, Refusal::Shedding, t.refused_retry_s);
             if let Some(a) = self.leaves.get_mut(&leaf) {
                 (a.link, a.moved) = (None, true);
                 self.found(now, leaf, Presence::Closed);
             }
         }
         self.recover(now);
-        (self.counts.leaves, self.counts.topics) = (self.attached() as u64, self.topics.len() as u64);
+        (self.counts.leaves, self.counts.topics) = (self.attached_count() as u64, self.topics.len() as u64);
     }
 
     /// Leaves beyond the share, since that fell, or beyond what the file allows, since it was changed: the last to come, who
     /// are the least likely to be at home here, and not many at once.
     pub(super) fn beyond_share(&self) -> Vec<(MemberId, LinkId)> {
-        let excess = self.attached().saturating_sub(self.limit()).min(SHED);
+        let excess = self.attached_count().saturating_sub(self.leaf_limit()).min(SHED);
         if excess == 0 {
             return Vec::new();
         }
--- a/crates/relay/src/stream_copy.rs
+++ b/crates/relay/src/stream_copy.rs
@@ -7,12 +7,12 @@
 use hollypaddle_replica::record::{Key, Origin};
 use hollypaddle_replica::stream::Stream;
 
-use crate::message::Copied;
+use crate::message::CopyState;
 
 /// Records in a message at most: about 1 KiB, so that what is more urgent waits for one packet at most.
-pub const RECORDS: usize = 24;
+pub const MAX_PIECE_RECORDS: usize = 24;
 /// Records and tombstones of a copy at most.
-pub const MOST: usize = 8192;
+pub const MAX_COPY_RECORDS: usize = 8192;
 
 /// Up to which version a stream was told on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,37 +24,37 @@
 
 impl Cursor {
     /// Behind what the other end holds; the whole where that is of another origin, or of what this one cannot go on from.
-    pub fn at(origin: Origin, stream: &Stream, held: Option<Copied>) -> Cursor {
+    pub fn resume(origin: Origin, stream: &Stream, held: Option<CopyState>) -> Cursor {
         let same = held.filter(|h| h.origin == origin && h.version <= stream.version());
         match same {
-            Some(h) if h.version == stream.version() && h.hash != stream.hash() => Cursor::whole(),
+            Some(h) if h.version == stream.version() && h.hash != stream.hash() => Cursor::from_start(),
             Some(h) if h.version > 0 && h.version >= stream.horizon() => {
                 Cursor { after: h.version, base: None }
             }
-            _ => Cursor::whole(),
+            _ => Cursor::from_start(),
         }
     }
 
     /// Before its first record.
-    pub fn whole() -> Cursor {
+    pub fn from_start() -> Cursor {
         Cursor { after: 0, base: Some(u64::MAX) }
     }
 
     /// Whether there is more to be told.
-    pub fn behind(&self, stream: &Stream) -> bool {
+    pub fn is_behind(&self, stream: &Stream) -> bool {
         self.base.is_some() || self.after < stream.version()
     }
 
     /// What comes next.
-    pub fn piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Piece {
+    pub fn next_piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Piece {
         // What was dropped since was not told.
         if self.after < stream.horizon() && self.base.is_none_or(|base| base < stream.horizon()) {
-            *self = Cursor::whole();
+            *self = Cursor::from_start();
         }
         if self.base == Some(u64::MAX) {
             self.base = Some(stream.version());
         }
-        let (records, upto, last) = stream.piece_of(now, self.after, RECORDS);
+        let (records, upto, last) = stream.piece_of(now, self.after, MAX_PIECE_RECORDS);
         let piece = Piece {
             origin,
             from: self.after,
@@ -74,7 +74,7 @@
 
 /// Why a piece was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum PieceError {
     /// Something before it is missing.
     Gap,
     /// It contradicts itself, or is too long.
@@ -83,29 +83,29 @@
 
 /// A copy of a stream.
 #[derive(Clone, Debug, Default)]
-pub struct Copy {
+pub struct StreamCopy {
     origin: Option<Origin>,
     stream: Stream,
     /// Another one, or the same one told anew, that is not whole yet.
     incoming: Option<(Origin, Stream)>,
 }
 
-impl Copy {
+impl StreamCopy {
     /// What is held.
     pub fn stream(&self) -> &Stream {
         &self.stream
     }
 
     /// Of which origin, and how far.
-    pub fn copied(&self) -> Option<Copied> {
+    pub fn state(&self) -> Option<CopyState> {
         let (version, hash) = (self.stream.version(), self.stream.hash());
-        self.origin.map(|origin| Copied { origin, version, hash })
+        self.origin.map(|origin| CopyState { origin, version, hash })
     }
 
     /// Takes a piece that was at most `lag` seconds on its way; returns the keys of what may have changed.
-    pub fn take(&mut self, now: f64, lag: f64, piece: &Piece) -> Result<Vec<Key>, NotTaken> {
+    pub fn apply(&mut self, now: f64, lag: f64, piece: &Piece) -> Result<Vec<Key>, PieceError> {
         if piece.check().is_err() {
-            return Err(NotTaken::Malformed);
+            return Err(PieceError::Malformed);
         }
         let whole = piece.base.is_some();
         if whole && piece.from == 0 {
@@ -114,11 +114,11 @@
         let stream = match &mut self.incoming {
             Some((origin, stream)) if whole && *origin == piece.origin => stream,
             _ if !whole && self.origin == Some(piece.origin) => &mut self.stream,
-            _ => return Err(NotTaken::Gap),
+            _ => return Err(PieceError::Gap),
         };
         if stream.version() != piece.from {
             self.incoming = None;
-            return Err(NotTaken::Gap);
+            return Err(PieceError::Gap);
         }
         let mut keys = Vec::new();
         for record in &piece.records {
@@ -127,9 +127,9 @@
             keys.push(record.key);
         }
         stream.reaches(piece.upto, piece.horizon);
-        if stream.held() > MOST {
+        if stream.held() > MAX_COPY_RECORDS {
             self.incoming = None;
-            return Err(NotTaken::Malformed);
+            return Err(PieceError::Malformed);
         }
         if !whole {
             return Ok(keys);
--- a/crates/relay/tests/frames.rs
+++ b/crates/relay/tests/frames.rs
@@ -1,29 +1,29 @@
 //! Frames: what is said is read again; kinds that are not known, garbage and cut frames do no harm. The byte budget over time.
 
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_relay::budget::{Budget, HEADERS};
-use hollypaddle_relay::message::{cut, FrameError, Hello, Message, Refusal, MOST};
-use hollypaddle_relay::placement::{limit, order, Place, RelayPlace};
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::budget::{ByteBudget, PACKET_HEADER_BYTES};
+use hollypaddle_relay::message::{truncate, FrameError, Hello, Message, Refusal, MAX_FRAME_BYTES};
+use hollypaddle_relay::placement::{leaf_limit, preferred_relays, NodeLocation, RelayLocation};
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_replica::record::Topic;
 use proptest::prelude::*;
 
 fn samples() -> Vec<Message> {
     let life = Incarnation { number: 3, nonce: 4 };
     let (from, to, topic) = (MemberId(1), MemberId(2), Topic(7));
-    let mark = Mark { version: 5, hash: 6 };
+    let mark = Revision { version: 5, hash: 6 };
     vec![
-        Message::Hello(Hello { protocol: (1, 1), from, to, life, topic, name: "g-1".into() }),
-        Message::Welcome { relay: to, life },
+        Message::Hello(Hello { protocol: (1, 1), from, to, incarnation: life, topic, name: "g-1".into() }),
+        Message::Welcome { relay: to, incarnation: life },
         Message::Ping(7),
         Message::Pong(8),
         Message::Attached(9),
         Message::Refused(Refusal::Full, 1500),
         Message::Detach,
         Message::Lacks(mark),
-        Message::Verdict { version: 5, refused: Some("no".into()) },
+        Message::Verdict { version: 5, refusal: Some("no".into()) },
         Message::Leave,
-        Message::Holds { in_force: mark, proposed: Mark::default() },
+        Message::Holds { in_force: mark, proposed: Revision::default() },
         Message::Want { proposed: true, held: mark },
         Message::TurnedDown { leaf: from, name: "g-1".into(), version: 5, reason: "no".into() },
     ]
@@ -62,13 +62,13 @@
         frame.push(kind);
         frame.extend(&bytes);
         if let Ok(Some((_, whole))) = Message::decode(&frame) {
-            prop_assert!(whole <= MOST && whole == frame.len());
+            prop_assert!(whole <= MAX_FRAME_BYTES && whole == frame.len());
         }
     }
 
     #[test]
     fn a_text_is_cut_between_letters(text in "\\PC{0,40}", most in 0usize..60) {
-        let short = cut(&text, most);
+        let short = truncate(&text, most);
         prop_assert!(short.len() <= most && text.starts_with(&short));
         prop_assert!(text.len() > most || short == text);
     }
@@ -78,14 +78,14 @@
     fn a_budget_holds_over_any_stretch(
         sends in proptest::collection::vec((0.0f64..0.3, 1usize..1200), 1..200), rate in 500.0f64..6000.0
     ) {
-        let (mut now, mut budget, mut said) = (100.0, Budget::new(100.0, rate, 1.0), Vec::new());
+        let (mut now, mut budget, mut said) = (100.0, ByteBudget::new(100.0, rate, 1.0), Vec::new());
         for (gap, bytes) in sends {
             now += gap;
-            if budget.open(now) {
+            if budget.can_send(now) {
                 budget.spend(now, bytes);
-                said.push((now, (bytes + HEADERS) as f64));
+                said.push((now, (bytes + PACKET_HEADER_BYTES) as f64));
             } else {
-                prop_assert!(budget.open_at() > now);
+                prop_assert!(budget.can_send_at() > now);
             }
         }
         for from in 0..said.len() {
@@ -98,18 +98,18 @@
     }
 }
 
-fn relays() -> Vec<RelayPlace> {
-    let place = |n: u64| Place { zone: format!("z{n}"), region: format!("r{}", n / 3) };
-    (0..5).map(|n| RelayPlace { relay: MemberId(100 + n), place: place(n) }).collect()
+fn relays() -> Vec<RelayLocation> {
+    let place = |n: u64| NodeLocation { zone: format!("z{n}"), region: format!("r{}", n / 3) };
+    (0..5).map(|n| RelayLocation { relay: MemberId(100 + n), location: place(n) }).collect()
 }
 
 #[test]
 fn own_zone_first_then_region_and_those_of_one_that_goes_spread() {
     let relays = relays();
-    let here = Place { zone: "z1".into(), region: "r0".into() };
+    let here = NodeLocation { zone: "z1".into(), region: "r0".into() };
     let mut seconds = [0; 5];
     for leaf in 0..600 {
-        let order = order(MemberId(leaf * 7919), &here, &relays);
+        let order = preferred_relays(MemberId(leaf * 7919), &here, &relays);
         assert_eq!(order[0], MemberId(101));
         assert!(order[1..3].iter().all(|r| r.0 == 100 || r.0 == 102), "own region next");
         seconds[(order[1].0 - 100) as usize] += 1;
@@ -119,8 +119,8 @@
 
 #[test]
 fn without_places_all_relays_get_an_even_part_and_few_move() {
-    let (relays, nowhere) = (relays(), Place::default());
-    let first = |leaf: u64, of: &[RelayPlace]| order(MemberId(leaf * 7919), &nowhere, of)[0];
+    let (relays, nowhere) = (relays(), NodeLocation::default());
+    let first = |leaf: u64, of: &[RelayLocation]| preferred_relays(MemberId(leaf * 7919), &nowhere, of)[0];
     let mut counts = [0; 5];
     (0..1000).for_each(|leaf| counts[(first(leaf, &relays).0 - 100) as usize] += 1);
     assert!(counts.iter().all(|n| (150..=250).contains(n)), "{counts:?}");
@@ -132,11 +132,11 @@
 
 #[test]
 fn a_share_is_a_quarter_above_even_and_never_above_the_bound() {
-    assert_eq!(limit(749, 5, 1.25, 400), 188);
-    assert_eq!(limit(749, 3, 1.25, 400), 313);
-    assert_eq!(limit(1499, 3, 1.25, 400), 400);
-    assert_eq!(limit(3, 5, 1.25, 400), 32);
-    assert_eq!(limit(100, 0, 1.25, 400), 127);
+    assert_eq!(leaf_limit(749, 5, 1.25, 400), 188);
+    assert_eq!(leaf_limit(749, 3, 1.25, 400), 313);
+    assert_eq!(leaf_limit(1499, 3, 1.25, 400), 400);
+    assert_eq!(leaf_limit(3, 5, 1.25, 400), 32);
+    assert_eq!(leaf_limit(100, 0, 1.25, 400), 127);
 }
 
 /// Over any 10 s both directions together, with their bursts and a message of debt each, leave room for what is said to a
@@ -144,9 +144,9 @@
 #[test]
 fn the_rates_keep_within_what_a_gatekeeper_may_spend() {
     let t = hollypaddle_relay::Timing::default();
-    let rates = t.leaf_rate + t.report_rate;
-    let most = rates * (10.0 + t.burst) + 2.0 * 1400.0;
+    let rates = t.leaf_bytes_per_s + t.report_bytes_per_s;
+    let most = rates * (10.0 + t.burst_s) + 2.0 * 1400.0;
     assert!(most <= 80_000.0, "{most}");
-    let pings = 2.0 * 2.0 * 111.0 * 10.0 / t.ping_second;
-    assert!(rates * 10.0 + pings + 2.0 * t.leaf_rate * t.burst <= 80_000.0);
+    let pings = 2.0 * 2.0 * 111.0 * 10.0 / t.second_ping_interval_s;
+    assert!(rates * 10.0 + pings + 2.0 * t.leaf_bytes_per_s * t.burst_s <= 80_000.0);
 }
--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use hollypaddle_relay::settings::{Incoming, Mark, Outgoing, Set, SetError, MOST_ENTRY};
+use hollypaddle_relay::settings::{
+    IncomingSet, OutgoingSet, Revision, SetError, SettingsSet, MAX_ENTRY_BYTES,
+};
 use proptest::prelude::*;
 
 type Wanted = Vec<(String, String)>;
@@ -11,11 +13,11 @@
     proptest::collection::btree_map("[a-f]{1,2}", "[a-z]{0,300}", 0..30).prop_map(|m| m.into_iter().collect())
 }
 
-fn told(from: &Set, to: &Arc<Set>) -> Option<Set> {
-    let (mut outgoing, mut incoming) = (Outgoing::new(Arc::clone(to), from.mark()), None);
+fn told(from: &SettingsSet, to: &Arc<SettingsSet>) -> Option<SettingsSet> {
+    let (mut outgoing, mut incoming) = (OutgoingSet::new(Arc::clone(to), from.revision()), None);
     loop {
-        let part = outgoing.part();
-        match Incoming::take(from, &mut incoming, &part) {
+        let part = outgoing.next_part();
+        match IncomingSet::accept_part(from, &mut incoming, &part) {
             Ok(None) => assert!(!part.last),
             Ok(Some(set)) => return Some(set),
             Err(_) => return None,
@@ -23,7 +25,7 @@
     }
 }
 
-fn entries(set: &Set) -> Wanted {
+fn entries(set: &SettingsSet) -> Wanted {
     set.entries().map(|(n, t)| (n.into(), t.into())).collect()
 }
 
@@ -33,9 +35,9 @@
     /// From any earlier set to any later one, by differences or whole.
     #[test]
     fn who_is_behind_comes_to_the_same_set(steps in proptest::collection::vec(wanted(), 1..12)) {
-        let mut sets = vec![Set::default()];
+        let mut sets = vec![SettingsSet::default()];
         for wanted in &steps {
-            let next = sets[sets.len() - 1].changed(0, wanted).unwrap();
+            let next = sets[sets.len() - 1].with_entries(0, wanted).unwrap();
             prop_assert_eq!(&entries(&next), wanted);
             sets.push(next);
         }
@@ -44,7 +46,7 @@
             let set = told(held, &last);
             prop_assert!(set.is_some());
             let set = set.unwrap_or_default();
-            prop_assert_eq!(set.mark(), last.mark());
+            prop_assert_eq!(set.revision(), last.revision());
             prop_assert_eq!(entries(&set), entries(&last));
         }
     }
@@ -54,21 +56,21 @@
     fn lost_and_overtaken_parts_make_no_wrong_set(
         a in wanted(), b in wanted(), order in proptest::collection::vec(0usize..12, 1..40)
     ) {
-        let old = Set::default().changed(0, &a).unwrap();
-        let new = Arc::new(old.changed(0, &b).unwrap());
+        let old = SettingsSet::default().with_entries(0, &a).unwrap();
+        let new = Arc::new(old.with_entries(0, &b).unwrap());
         let mut parts = Vec::new();
-        for held in [Mark::default(), old.mark()] {
-            let mut outgoing = Outgoing::new(Arc::clone(&new), held);
+        for held in [Revision::default(), old.revision()] {
+            let mut outgoing = OutgoingSet::new(Arc::clone(&new), held);
             loop {
-                let part = outgoing.part();
+                let part = outgoing.next_part();
                 parts.push(part.clone());
                 if part.last { break }
             }
         }
         let mut incoming = None;
         for at in order {
-            if let Ok(Some(set)) = Incoming::take(&old, &mut incoming, &parts[at % parts.len()]) {
-                prop_assert_eq!(set.mark(), new.mark());
+            if let Ok(Some(set)) = IncomingSet::accept_part(&old, &mut incoming, &parts[at % parts.len()]) {
+                prop_assert_eq!(set.revision(), new.revision());
                 prop_assert_eq!(entries(&set), entries(&new));
             }
         }
@@ -77,9 +79,9 @@
     /// Two lives of a writer may make two sets of one version: who holds the one is told the whole of the other.
     #[test]
     fn another_set_of_the_same_version_is_told_whole(a in wanted(), b in wanted()) {
-        let (x, y) = (Set::default().changed(4, &a).unwrap(), Arc::new(Set::default().changed(4, &b).unwrap()));
-        prop_assume!(x.mark().version == y.mark().version && x.mark() != y.mark());
-        prop_assert_eq!(y.from(x.mark()), 0);
+        let (x, y) = (SettingsSet::default().with_entries(4, &a).unwrap(), Arc::new(SettingsSet::default().with_entries(4, &b).unwrap()));
+        prop_assume!(x.revision().version == y.revision().version && x.revision() != y.revision());
+        prop_assert_eq!(y.diff_base(x.revision()), 0);
         let set = told(&x, &y);
         prop_assert_eq!(set.map(|s| entries(&s)), Some(entries(&y)));
     }
@@ -88,12 +90,12 @@
 #[test]
 fn removed_entries_beyond_the_memory_need_the_whole() {
     let all = |n: usize| (0..n).map(|k| (format!("entry {k}"), "text".to_string())).collect::<Wanted>();
-    let mut set = Set::default().changed(0, &all(600)).unwrap();
+    let mut set = SettingsSet::default().with_entries(0, &all(600)).unwrap();
     let old = set.clone();
     for left in (0..600).rev().step_by(50) {
-        set = set.changed(0, &all(left)).unwrap();
+        set = set.with_entries(0, &all(left)).unwrap();
     }
-    assert_eq!(set.from(old.mark()), 0, "600 were removed, 256 are remembered");
+    assert_eq!(set.diff_base(old.revision()), 0, "600 were removed, 256 are remembered");
     let set = Arc::new(set);
     assert_eq!(told(&old, &set).map(|s| entries(&s)), Some(entries(&set)));
 }
@@ -101,14 +103,14 @@
 #[test]
 fn a_set_that_is_too_large_says_why() {
     let one = |name: &str, bytes: usize| (name.to_string(), "x".repeat(bytes));
-    let set = Set::default();
+    let set = SettingsSet::default();
     assert_eq!(
-        set.changed(0, &[one("a", MOST_ENTRY)]),
-        Err(SetError::Entry { name: "a".into(), bytes: MOST_ENTRY + 1 })
+        set.with_entries(0, &[one("a", MAX_ENTRY_BYTES)]),
+        Err(SetError::EntryTooLong { name: "a".into(), bytes: MAX_ENTRY_BYTES + 1 })
     );
-    assert_eq!(set.changed(0, &[one("a", 1), one("a", 2)]), Err(SetError::Twice("a".into())));
+    assert_eq!(set.with_entries(0, &[one("a", 1), one("a", 2)]), Err(SetError::DuplicateName("a".into())));
     let many: Wanted = (0..20).map(|n| one(&format!("e{n}"), 4000)).collect();
-    assert!(matches!(set.changed(0, &many), Err(SetError::Bytes(_))));
+    assert!(matches!(set.with_entries(0, &many), Err(SetError::TooLong(_))));
     let many: Wanted = (0..4097).map(|n| one(&format!("e{n}"), 1)).collect();
-    assert_eq!(set.changed(0, &many), Err(SetError::Entries(4097)));
+    assert_eq!(set.with_entries(0, &many), Err(SetError::TooManyEntries(4097)));
 }
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,7 +1,7 @@
 //! Streams told on a link as differences, against the stream itself: lost and doubled pieces, tombstones beyond the horizon.
 
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_relay::stream_copy::{Copy, Cursor, RECORDS};
+use hollypaddle_relay::stream_copy::{Cursor, StreamCopy, MAX_PIECE_RECORDS};
 use hollypaddle_replica::record::{Key, Origin, Place, ServerFact, ServerKey, Value};
 use hollypaddle_replica::stream::{Stream, TOMBSTONES};
 use proptest::prelude::*;
@@ -13,22 +13,22 @@
     stream.write(1.0, Key::Server(ServerKey(server)), value);
 }
 
-fn equal(copy: &Copy, stream: &Stream) -> bool {
+fn equal(copy: &StreamCopy, stream: &Stream) -> bool {
     let all = |s: &Stream| s.range(..).map(|(key, _, value)| (key, value)).collect::<Vec<_>>();
-    copy.copied().is_some_and(|c| c.hash == stream.hash() && c.version == stream.version())
+    copy.state().is_some_and(|c| c.hash == stream.hash() && c.version == stream.version())
         && all(copy.stream()) == all(stream)
 }
 
 /// Tells until the copy is level, without loss.
-fn tell(cursor: &mut Cursor, stream: &Stream, copy: &mut Copy) {
+fn tell(cursor: &mut Cursor, stream: &Stream, copy: &mut StreamCopy) {
     for _ in 0..10_000 {
-        if !cursor.behind(stream) {
+        if !cursor.is_behind(stream) {
             return;
         }
-        let piece = cursor.piece(1.0, ORIGIN, stream);
-        assert!(piece.records.len() <= RECORDS);
-        if copy.take(1.0, 0.0, &piece).is_err() {
-            *cursor = Cursor::at(ORIGIN, stream, copy.copied());
+        let piece = cursor.next_piece(1.0, ORIGIN, stream);
+        assert!(piece.records.len() <= MAX_PIECE_RECORDS);
+        if copy.apply(1.0, 0.0, &piece).is_err() {
+            *cursor = Cursor::resume(ORIGIN, stream, copy.state());
         }
     }
     panic!("never level");
@@ -42,22 +42,22 @@
     fn a_copy_is_level_in_the_end(
         steps in proptest::collection::vec((0u64..60, proptest::option::of(0u64..4), 0u8..6), 1..300)
     ) {
-        let (mut stream, mut copy, mut cursor) = (Stream::default(), Copy::default(), Cursor::whole());
+        let (mut stream, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
         for (server, value, what) in steps {
             write(&mut stream, server, value);
             // 0: the piece is lost; 1, 2: nothing is said; else it is told.
             match what {
-                0 => { if cursor.behind(&stream) { cursor.piece(1.0, ORIGIN, &stream); } }
+                0 => { if cursor.is_behind(&stream) { cursor.next_piece(1.0, ORIGIN, &stream); } }
                 1 | 2 => {}
-                _ => if cursor.behind(&stream) {
-                    let piece = cursor.piece(1.0, ORIGIN, &stream);
-                    if copy.take(1.0, 0.0, &piece).is_err() {
-                        cursor = Cursor::at(ORIGIN, &stream, copy.copied());
+                _ => if cursor.is_behind(&stream) {
+                    let piece = cursor.next_piece(1.0, ORIGIN, &stream);
+                    if copy.apply(1.0, 0.0, &piece).is_err() {
+                        cursor = Cursor::resume(ORIGIN, &stream, copy.state());
                     }
                     // Doubled: it is refused or changes nothing.
-                    let before = copy.copied();
-                    if !piece.records.is_empty() && piece.base.is_none() && copy.take(1.0, 0.0, &piece).is_ok() {
-                        prop_assert_eq!(before, copy.copied());
+                    let before = copy.state();
+                    if !piece.records.is_empty() && piece.base.is_none() && copy.apply(1.0, 0.0, &piece).is_ok() {
+                        prop_assert_eq!(before, copy.state());
                     }
                 }
             }
@@ -65,7 +65,7 @@
         tell(&mut cursor, &stream, &mut copy);
         if !equal(&copy, &stream) {
             // The last pieces were lost: a digest shows it.
-            cursor = Cursor::at(ORIGIN, &stream, copy.copied());
+            cursor = Cursor::resume(ORIGIN, &stream, copy.state());
             tell(&mut cursor, &stream, &mut copy);
         }
         prop_assert!(equal(&copy, &stream));
@@ -74,7 +74,7 @@
 
 #[test]
 fn who_is_behind_dropped_tombstones_is_told_the_whole() {
-    let (mut stream, mut copy, mut cursor) = (Stream::default(), Copy::default(), Cursor::whole());
+    let (mut stream, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
     (0..100).for_each(|n| write(&mut stream, n, Some(1)));
     tell(&mut cursor, &stream, &mut copy);
     assert!(equal(&copy, &stream));
@@ -93,17 +93,17 @@
 
 #[test]
 fn another_origin_is_held_only_once_it_is_whole() {
-    let (mut a, mut copy, mut cursor) = (Stream::default(), Copy::default(), Cursor::whole());
+    let (mut a, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
     (0..100).for_each(|n| write(&mut a, n, Some(1)));
     tell(&mut cursor, &a, &mut copy);
     let other = Origin { member: MemberId(2), ..ORIGIN };
     let mut b = Stream::default();
     (0..100).for_each(|n| write(&mut b, n, Some(2)));
-    let mut cursor = Cursor::whole();
-    while cursor.behind(&b) {
-        assert_eq!(copy.copied().map(|c| c.origin), Some(ORIGIN), "the old one serves until then");
-        copy.take(1.0, 0.0, &cursor.piece(1.0, other, &b)).unwrap();
+    let mut cursor = Cursor::from_start();
+    while cursor.is_behind(&b) {
+        assert_eq!(copy.state().map(|c| c.origin), Some(ORIGIN), "the old one serves until then");
+        copy.apply(1.0, 0.0, &cursor.next_piece(1.0, other, &b)).unwrap();
     }
-    assert_eq!(copy.copied().map(|c| c.origin), Some(other));
+    assert_eq!(copy.state().map(|c| c.origin), Some(other));
     assert!(equal(&copy, &b));
 }
