--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 use hollypaddle_config::Fleet as Conf;
-use hollypaddle_core::calls::{Calls, Change};
+use hollypaddle_core::calls::{CallChange, Calls};
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_policy::{PoolEntry, PoolId};
 use hollypaddle_replica::adoption::Adopted;
@@ -22,7 +22,7 @@
 use super::events::{log_member_event, EventLogLimiter};
 use super::observations::{PeerObservations, ReportedServers};
 use super::peers::Peers;
-use super::poller::{Ready, Watch};
+use super::poller::{Poller, Ready};
 use super::servers::Servers;
 use hollypaddle_membership::view::{Change as MembershipChange, State};
 
@@ -58,7 +58,7 @@
         name: &str,
         seed: u64,
         calls: &mut Calls,
-        watch: &mut Watch,
+        poller: &mut Poller,
     ) -> io::Result<Fleet> {
         let Some(own) = conf.own(name) else {
             let what = format!("{name:?} is no member of the block `fleet`");
@@ -68,9 +68,9 @@
         let incarnation = new_incarnation(now, seed);
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         let mut member = Member::new(now, id, incarnation, conf.settings, members);
-        let mut peers = Peers::listen(id, conf.listen.unwrap_or(own.address), watch)?;
-        peers.set_members(now, named(conf), &mut member, watch);
-        calls.note_changes(true);
+        let mut peers = Peers::listen(id, conf.listen.unwrap_or(own.address), poller)?;
+        peers.set_members(now, named(conf), &mut member, poller);
+        calls.record_changes(true);
         log::info!(name = own.name.as_str(), listen:% = peers.address(), members = conf.members.len(), life:% = incarnation; "fleet-joined");
         Ok(Fleet {
             conf: conf.clone(),
@@ -93,10 +93,10 @@
     }
 
     /// Takes members and settings read anew.
-    pub fn reconfigure(&mut self, now: f64, conf: &Conf, watch: &Watch) {
+    pub fn reconfigure(&mut self, now: f64, conf: &Conf, poller: &Poller) {
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
         self.member.change(conf.settings, &members);
-        self.peers.set_members(now, named(conf), &mut self.member, watch);
+        self.peers.set_members(now, named(conf), &mut self.member, poller);
         self.conf = conf.clone();
     }
 
@@ -106,18 +106,18 @@
     }
 
     /// Leaves: says so, closes all links, and notes no more.
-    pub fn leave(mut self, now: f64, calls: &mut Calls, watch: &Watch) {
+    pub fn leave(mut self, now: f64, calls: &mut Calls, poller: &Poller) {
         self.record_call_changes(now, calls);
-        self.peers.send_due(now, &mut self.member, watch);
-        self.peers.send_leave(watch);
-        self.peers.close_all(now, &mut self.member, watch);
-        calls.note_changes(false);
+        self.peers.send_due(now, &mut self.member, poller);
+        self.peers.send_leave(poller);
+        self.peers.close_all(now, &mut self.member, poller);
+        calls.record_changes(false);
     }
 
     /// One that was joined and is not to count after all: closes its sockets, and touches nothing else.
-    pub fn discard(mut self, now: f64, watch: &Watch) {
-        self.peers.send_leave(watch);
-        self.peers.close_all(now, &mut self.member, watch);
+    pub fn discard(mut self, now: f64, poller: &Poller) {
+        self.peers.send_leave(poller);
+        self.peers.close_all(now, &mut self.member, poller);
     }
 
     /// Whether it may be said to be ready.
@@ -159,7 +159,7 @@
             self.held_ends.pop_front_if(|(at, ..)| ready || now - *at >= HOLD_UNKNOWN_END_S)
         {
             if !self.member.store().told(id) {
-                calls.tell_end(id, cut);
+                calls.report_end(id, cut);
             }
         }
     }
@@ -191,8 +191,8 @@
     // ---- The three places of a turn
 
     /// Takes what is ready, if it is a link's.
-    pub fn handle_ready(&mut self, now: f64, ready: Ready, watch: &mut Watch) {
-        self.peers.handle_ready(now, ready, &mut self.member, watch);
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, poller: &mut Poller) {
+        self.peers.handle_ready(now, ready, &mut self.member, poller);
     }
 
     /// What time brings, before anything that came is taken: after a pause nothing may be sent by what was believed.
@@ -213,11 +213,11 @@
         servers: &Servers,
         calls: &mut Calls,
         guard: &mut Guard,
-        watch: &mut Watch,
+        poller: &mut Poller,
     ) -> Vec<PoolEntry> {
-        self.peers.maintain(now, &mut self.member, watch);
+        self.peers.maintain(now, &mut self.member, poller);
         if self.member.view().superseded() {
-            self.peers.close_all(now, &mut self.member, watch);
+            self.peers.close_all(now, &mut self.member, poller);
         }
         self.reported.report_changes(now, servers, &mut self.member);
         self.apply_actions(now, calls);
@@ -228,24 +228,24 @@
     }
 
     /// Carries out: tells what has become of calls, and says what is due on every link that has room.
-    pub fn send_pending(&mut self, now: f64, calls: &mut Calls, watch: &Watch) {
+    pub fn send_pending(&mut self, now: f64, calls: &mut Calls, poller: &Poller) {
         self.record_call_changes(now, calls);
         self.apply_actions(now, calls);
-        self.peers.send_due(now, &mut self.member, watch);
+        self.peers.send_due(now, &mut self.member, poller);
     }
 
     // ---- What is told
 
     fn record_call_changes(&mut self, now: f64, calls: &mut Calls) {
-        for change in calls.changes() {
+        for change in calls.take_changes() {
             match change {
-                Change::Stands { id, class, pool, since } => {
+                CallChange::Established { id, class, pool, since } => {
                     if let Some(server) = self.reported.server_of(pool) {
                         let fact = CallFact { server, class: self.classes.get(class).copied().unwrap_or(0) };
                         self.member.stands(since, id, fact);
                     }
                 }
-                Change::Over { id } => {
+                CallChange::Ended { id } => {
                     self.unplaced.remove(&id);
                     self.member.ended(now, id);
                 }
@@ -269,10 +269,10 @@
                 },
                 Act::Yield(id) => {
                     self.unplaced.remove(&id);
-                    calls.yield_call(id);
+                    calls.drop_adopted(id);
                 }
                 Act::EndedElsewhere(id) => calls.ended_elsewhere(id),
-                Act::Tell(id, cut) => calls.tell_end(id, cut),
+                Act::Tell(id, cut) => calls.report_end(id, cut),
             }
         }
     }
@@ -287,7 +287,7 @@
                     placed.push(*id);
                 }
                 None if now - since >= self.conf.settings.lists_late => {
-                    calls.tell_end(*id, true);
+                    calls.report_end(*id, true);
                     placed.push(*id);
                 }
                 None => {}
@@ -321,7 +321,7 @@
             members_suspected: states(|s| matches!(s, State::Suspected(_))),
             members_gone: states(|s| matches!(s, State::Gone(_))),
             records: self.member.store().streams().map(|(_, s)| s.len() as u64).sum(),
-            calls_adopted_now: calls.adopted() as u64,
+            calls_adopted_now: calls.adopted_count() as u64,
             calls_adopted: counts.adopted,
             conflicts: counts.conflicts,
             copies_differed: counts.differed,
@@ -370,7 +370,7 @@
         json!({
             "streams": self.member.snapshot().iter().map(row).collect::<Vec<_>>(),
             "counts": self.member.counts, "links": self.peers.counts, "records_said": records, "given": given, "taken": taken,
-            "fetching": fetching, "adopted": calls.adopted(), "unplaced": self.unplaced.len(),
+            "fetching": fetching, "adopted": calls.adopted_count(), "unplaced": self.unplaced.len(),
         })
     }
 }
--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -20,7 +20,7 @@
 use postcard::ser_flavors::Size;
 
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 use super::servers::connect_nonblocking;
 
 /// Longest frame, with its length. The longest word is a piece of a stream, of some 15 KiB.
@@ -228,10 +228,10 @@
 
 impl Peers {
     /// Listens.
-    pub fn listen(own: MemberId, address: SocketAddr, watch: &mut Watch) -> io::Result<Peers> {
+    pub fn listen(own: MemberId, address: SocketAddr, poller: &mut Poller) -> io::Result<Peers> {
         let listener = bind(address, LISTEN_BACKLOG)?;
         let address = listener.local_addr()?;
-        let key = watch.add(&listener, false)?;
+        let key = poller.add(&listener, false)?;
         Ok(Peers {
             own,
             listener: Some((listener, key)),
@@ -255,7 +255,7 @@
         now: f64,
         all: impl Iterator<Item = (MemberId, String, SocketAddr)>,
         member: &mut Member,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         let others = all.filter(|(id, ..)| *id != self.own);
         let old = std::mem::take(&mut self.members);
@@ -272,7 +272,7 @@
             .filter(|(_, link)| link.member.is_some_and(|m| moved(&m) && old.contains_key(&m)))
             .map(|(key, _)| *key)
             .collect();
-        gone.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        gone.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
     }
 
     /// A member's name.
@@ -281,37 +281,37 @@
     }
 
     /// Takes no more links and closes those there are.
-    pub fn close_all(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn close_all(&mut self, now: f64, member: &mut Member, poller: &Poller) {
         if let Some((listener, _)) = self.listener.take() {
-            watch.remove(&listener);
+            poller.remove(&listener);
         }
         let keys: Vec<Key> = self.links.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        keys.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
         self.members.values_mut().for_each(|n| n.next_dial = f64::INFINITY);
     }
 
     /// Says that this member ends, to all.
-    pub fn send_leave(&mut self, watch: &Watch) {
+    pub fn send_leave(&mut self, poller: &Poller) {
         for (key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
-            link.send_message(*key, Word::Leave, watch, &mut self.counts);
+            link.send_message(*key, Word::Leave, poller, &mut self.counts);
         }
     }
 
     // ---- What happens on the sockets
 
     /// Takes what is ready, if it is a link's.
-    pub fn handle_ready(&mut self, now: f64, ready: Ready, member: &mut Member, watch: &mut Watch) {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, member: &mut Member, poller: &mut Poller) {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
-            return self.accept(now, watch, member);
+            return self.accept(now, poller, member);
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if !link.up {
-            return self.connected(now, ready.key, member, watch);
+            return self.connected(now, ready.key, member, poller);
         }
         if ready.writable && link.connection.flush().is_err() {
-            return self.drop_link(now, ready.key, member, watch);
+            return self.drop_link(now, ready.key, member, poller);
         }
-        link.watch(ready.key, watch);
+        link.watch(ready.key, poller);
         if !ready.readable {
             return;
         }
@@ -325,16 +325,16 @@
                 return;
             }
             self.counts.received += 1;
-            if let Err(reason) = self.handle_message(now, ready.key, &message, member, watch) {
-                return self.refuse(now, ready.key, &reason, member, watch);
+            if let Err(reason) = self.handle_message(now, ready.key, &message, member, poller) {
+                return self.refuse(now, ready.key, &reason, member, poller);
             }
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, poller),
             Err(reason) => {
                 let error = LinkError::Unreadable(reason.to_string());
-                self.refuse(now, ready.key, &error, member, watch)
+                self.refuse(now, ready.key, &error, member, poller)
             }
         }
     }
@@ -345,7 +345,7 @@
         key: Key,
         message: &Word,
         member: &mut Member,
-        watch: &Watch,
+        poller: &Poller,
     ) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
         if let (true, Some(from)) = (link.identified, link.member) {
@@ -366,7 +366,7 @@
         // Whoever makes the link says hello first, and hears which life of it is known here also if it is refused.
         if let (false, Word::Hello { from, .. }) = (link.dialed, message) {
             if self.members.contains_key(from) {
-                link.send_message(key, member.hello(now, *from), watch, &mut self.counts);
+                link.send_message(key, member.hello(now, *from), poller, &mut self.counts);
             }
         }
         let from = identified?;
@@ -380,24 +380,24 @@
         // The end of an earlier one was not heard.
         if let Some(old) = self.by_member.insert(from, key).filter(|old| *old != key) {
             if let Some(link) = self.links.remove(&old) {
-                watch.remove(link.connection.stream());
+                poller.remove(link.connection.stream());
             }
         }
         Ok(())
     }
 
     /// Closes a link for what came on it.
-    fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, watch: &Watch) {
+    fn refuse(&mut self, now: f64, key: Key, error: &LinkError, member: &mut Member, poller: &Poller) {
         self.counts.refused += 1;
         let name = self.links.get(&key).and_then(|l| l.member).map(|m| self.name(m));
         let reason = error.name();
         log::debug!(member = name.as_deref().unwrap_or("-"), reason, error:%; "fleet-link-refused");
-        self.drop_link(now, key, member, watch);
+        self.drop_link(now, key, member, poller);
     }
 
-    fn drop_link(&mut self, now: f64, key: Key, member: &mut Member, watch: &Watch) {
+    fn drop_link(&mut self, now: f64, key: Key, member: &mut Member, poller: &Poller) {
         let Some(link) = self.links.remove(&key) else { return };
-        watch.remove(link.connection.stream());
+        poller.remove(link.connection.stream());
         let Some(of) = link.member else { return };
         if self.by_member.get(&of) == Some(&key) {
             self.by_member.remove(&of);
@@ -408,20 +408,20 @@
         }
     }
 
-    fn accept(&mut self, now: f64, watch: &mut Watch, member: &mut Member) {
+    fn accept(&mut self, now: f64, poller: &mut Poller, member: &mut Member) {
         loop {
             let strangers = self.links.iter().filter(|(_, l)| !l.identified && !l.dialed);
             let oldest =
                 strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| *key);
             if let Some(oldest) = oldest.filter(|_| strangers.count() >= MAX_UNIDENTIFIED_LINKS) {
                 self.counts.refused += 1;
-                self.drop_link(now, oldest, member, watch);
+                self.drop_link(now, oldest, member, poller);
             }
             let Some((listener, listener_key)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, None))),
@@ -434,13 +434,13 @@
                 // Descriptors are short: those who wait are taken at the next beat.
                 Err(_) => {
                     self.accept_paused = true;
-                    return watch.set(*listener_key, listener, false, false);
+                    return poller.set_interest(*listener_key, listener, false, false);
                 }
             }
         }
     }
 
-    fn connected(&mut self, now: f64, key: Key, member: &mut Member, watch: &Watch) {
+    fn connected(&mut self, now: f64, key: Key, member: &mut Member, poller: &Poller) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let stream = link.connection.stream();
         let result = match stream.take_error() {
@@ -449,16 +449,16 @@
         };
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
-            Err(error) => self.failed(now, key, &error, member, watch),
+            Err(error) => self.failed(now, key, &error, member, poller),
             Ok(()) => {
                 let Some(to) = link.member else { return };
                 (link.up, link.since) = (true, now);
-                link.send_message(key, member.hello(now, to), watch, &mut self.counts);
+                link.send_message(key, member.hello(now, to), poller, &mut self.counts);
             }
         }
     }
 
-    fn failed(&mut self, now: f64, key: Key, error: &io::Error, member: &mut Member, watch: &Watch) {
+    fn failed(&mut self, now: f64, key: Key, error: &io::Error, member: &mut Member, poller: &Poller) {
         let Some(of) = self.links.get(&key).and_then(|link| link.member) else { return };
         let refused = error.kind() == ErrorKind::ConnectionRefused;
         if refused {
@@ -468,20 +468,20 @@
             peer.redial_delay =
                 if refused { MIN_REDIAL_DELAY_S } else { (peer.redial_delay * 2.0).min(MAX_REDIAL_DELAY_S) };
         }
-        self.drop_link(now, key, member, watch);
+        self.drop_link(now, key, member, poller);
     }
 
     /// Makes links that are lacking and closes those that come to nothing. Called now and then.
-    pub fn maintain(&mut self, now: f64, member: &mut Member, watch: &mut Watch) {
+    pub fn maintain(&mut self, now: f64, member: &mut Member, poller: &mut Poller) {
         if let (true, Some((listener, key))) = (self.accept_paused, &self.listener) {
             self.accept_paused = false;
-            watch.set(*key, listener, true, false);
+            poller.set_interest(*key, listener, true, false);
         }
         let late = |l: &Link| !l.identified && now - l.since >= HANDSHAKE_TIMEOUT_S;
         let late: Vec<Key> = self.links.iter().filter(|(_, l)| late(l)).map(|(key, _)| *key).collect();
         for key in late {
-            self.failed(now, key, &ErrorKind::TimedOut.into(), member, watch);
-            self.drop_link(now, key, member, watch);
+            self.failed(now, key, &ErrorKind::TimedOut.into(), member, poller);
+            self.drop_link(now, key, member, poller);
         }
         if member.view().superseded() || self.listener.is_none() {
             return;
@@ -499,7 +499,7 @@
             if let Some(peer) = self.members.get_mut(&id) {
                 peer.next_dial = now + peer.redial_delay;
             }
-            match connect_nonblocking(address).and_then(|stream| Ok((watch.add(&stream, true)?, stream))) {
+            match connect_nonblocking(address).and_then(|stream| Ok((poller.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.refused(now, id),
                 // A want of descriptors, or a way that is not there: it tells nothing of the member.
@@ -509,7 +509,7 @@
     }
 
     /// Says what is due on every link that has room.
-    pub fn send_due(&mut self, now: f64, member: &mut Member, watch: &Watch) {
+    pub fn send_due(&mut self, now: f64, member: &mut Member, poller: &Poller) {
         let mut stuck = Vec::new();
         for (&key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
             let Some(to) = link.member else { continue };
@@ -518,13 +518,13 @@
                     break;
                 }
                 let Some(message) = member.say(now, to) else { break };
-                if !link.send_message(key, message, watch, &mut self.counts) {
+                if !link.send_message(key, message, poller, &mut self.counts) {
                     stuck.push(key);
                     break;
                 }
             }
         }
-        stuck.into_iter().for_each(|key| self.drop_link(now, key, member, watch));
+        stuck.into_iter().for_each(|key| self.drop_link(now, key, member, poller));
     }
 }
 
@@ -545,7 +545,7 @@
     }
 
     /// Says a word; returns whether the link still is of use.
-    fn send_message(&mut self, key: Key, message: Word, watch: &Watch, counts: &mut Counts) -> bool {
+    fn send_message(&mut self, key: Key, message: Word, poller: &Poller, counts: &mut Counts) -> bool {
         let before = self.connection.queued();
         let framed = Framed(message);
         let sent = self.connection.send(&framed);
@@ -553,15 +553,15 @@
         counts.sent += 1;
         counts.bytes_sent += bytes;
         counts.by_kind.count(&framed.0, bytes);
-        self.watch(key, watch);
+        self.watch(key, poller);
         sent.is_ok()
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let writing = !self.up || self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+            poller.set_interest(key, self.connection.stream(), true, writing);
         }
     }
 }
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -19,7 +19,7 @@
 use socket2::SockRef;
 
 use super::listen::bind;
-use super::poller::{Key, Ready, Watch};
+use super::poller::{Key, Poller, Ready};
 use super::servers::connect_nonblocking;
 
 /// Bytes of a message that may wait for a link to take them.
@@ -160,12 +160,12 @@
 
 impl Links {
     /// Opens the listener, where there is one, for so many links at once.
-    pub fn open(listen: Option<SocketAddr>, max_links: usize, watch: &mut Watch) -> io::Result<Links> {
+    pub fn open(listen: Option<SocketAddr>, max_links: usize, poller: &mut Poller) -> io::Result<Links> {
         let (mut listener, mut address) = (None, None);
         if let Some(listen) = listen {
             let opened = bind(listen, LISTEN_BACKLOG)?;
             address = Some(opened.local_addr()?);
-            let key = watch.add(&opened, false)?;
+            let key = poller.add(&opened, false)?;
             listener = Some((opened, key));
         }
         Ok(Links {
@@ -192,13 +192,13 @@
         max_links: usize,
         addresses: BTreeMap<MemberId, SocketAddr>,
         node: &mut dyn Node,
-        watch: &Watch,
+        poller: &Poller,
     ) {
         self.max_links = max_links;
         let moved = |link: &Link| link.to.is_some_and(|to| self.addresses.get(&to) != addresses.get(&to));
         let keys: Vec<Key> = self.links.iter().filter(|(_, l)| moved(l)).map(|(key, _)| *key).collect();
         self.addresses = addresses;
-        keys.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
+        keys.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, poller));
     }
 
     /// How many links there are.
@@ -222,14 +222,14 @@
     }
 
     /// Closes all sockets, with what can be written of what was said.
-    pub fn close_all(mut self, watch: &Watch) {
+    pub fn close_all(mut self, poller: &Poller) {
         if let Some((listener, _)) = self.listener.take() {
-            watch.remove(&listener);
+            poller.remove(&listener);
         }
         for link in self.links.values_mut() {
             // Where it takes no more now, the peer finds its link closed.
             let _ = link.connection.flush();
-            watch.remove(link.connection.stream());
+            poller.remove(link.connection.stream());
         }
     }
 
@@ -241,41 +241,41 @@
     }
 
     /// Takes what is ready, if it is a link's or the listener; returns whether it is.
-    pub fn handle_ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &mut Watch) -> bool {
+    pub fn handle_ready(&mut self, now: f64, ready: Ready, node: &mut dyn Node, poller: &mut Poller) -> bool {
         if self.listener.as_ref().is_some_and(|(_, key)| *key == ready.key) {
-            self.accept(now, node, watch);
+            self.accept(now, node, poller);
             return true;
         }
         let Some(link) = self.links.get_mut(&ready.key) else { return false };
         if link.closing_since.is_some() {
             // The peer's end comes, or an error; what it still says is nobody's business.
             if link.connection.flush().is_err() || link.connection.pass_over().is_err() {
-                self.drop_link(ready.key, watch);
+                self.drop_link(ready.key, poller);
             } else {
-                link.watch(ready.key, watch);
+                link.watch(ready.key, poller);
                 self.shutdown_write(ready.key);
             }
         } else if !link.up {
-            self.connected(now, ready.key, node, watch);
+            self.connected(now, ready.key, node, poller);
         } else {
-            self.read_and_write(now, ready, node, watch);
+            self.read_and_write(now, ready, node, poller);
         }
         true
     }
 
-    fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, watch: &Watch) {
+    fn read_and_write(&mut self, now: f64, ready: Ready, node: &mut dyn Node, poller: &Poller) {
         let Some(link) = self.links.get_mut(&ready.key) else { return };
         if ready.writable {
             let waited = link.connection.blocked();
             if link.connection.flush().is_err() {
-                return self.handle_link_down(now, ready.key, false, node, watch);
+                return self.handle_link_down(now, ready.key, false, node, poller);
             }
             link.record_progress(now);
             if waited && !link.connection.blocked() {
                 node.link_writable(now, link.id);
             }
         }
-        link.watch(ready.key, watch);
+        link.watch(ready.key, poller);
         if !ready.readable {
             return;
         }
@@ -286,7 +286,7 @@
             self.counts.bytes_received += length;
             self.counts.unknown += u64::from(matches!(message, Message::Unknown(_)));
             if let Err(error) = node.receive(now, id, &message) {
-                return self.refuse(now, ready.key, &error.into(), node, watch);
+                return self.refuse(now, ready.key, &error.into(), node, poller);
             }
             if let Some(link) = self.links.get_mut(&ready.key) {
                 link.identified = true;
@@ -294,34 +294,34 @@
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.handle_link_down(now, ready.key, false, node, watch),
+            Err(Over::Closed | Over::Broken(_)) => self.handle_link_down(now, ready.key, false, node, poller),
             Err(reason) => {
                 let error = RelayLinkError::Unreadable(reason.to_string());
-                self.refuse(now, ready.key, &error, node, watch);
+                self.refuse(now, ready.key, &error, node, poller);
             }
         }
     }
 
-    fn accept(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    fn accept(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         loop {
             let strangers = self.links.iter().filter(|(_, l)| l.is_unidentified());
             let oldest = strangers.clone().min_by(|a, b| a.1.since.total_cmp(&b.1.since));
             let oldest = oldest.map(|(key, link)| (*key, link.since));
             if strangers.count() >= MAX_UNIDENTIFIED_LINKS {
                 match oldest.filter(|(_, since)| now - since >= MIN_IDENTIFY_TIME_S) {
-                    Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, watch),
-                    None => return self.pause_accept(watch),
+                    Some((key, _)) => self.refuse(now, key, &RelayLinkError::Strangers, node, poller),
+                    None => return self.pause_accept(poller),
                 }
             }
             if self.links.len() >= self.max_links {
-                return self.pause_accept(watch);
+                return self.pause_accept(poller);
             }
             let Some((listener, _)) = &self.listener else { return };
             let accepted = listener.accept().and_then(|(stream, _)| {
                 stream.set_nonblocking(true)?;
                 stream.set_nodelay(true)?;
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
-                Ok((watch.add(&stream, false)?, stream))
+                Ok((poller.add(&stream, false)?, stream))
             });
             match accepted {
                 Ok((key, stream)) => {
@@ -335,16 +335,16 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset
                     ) => {}
                 // Descriptors are short.
-                Err(_) => return self.pause_accept(watch),
+                Err(_) => return self.pause_accept(poller),
             }
         }
     }
 
     /// Those who wait are taken at the next beat.
-    fn pause_accept(&mut self, watch: &Watch) {
+    fn pause_accept(&mut self, poller: &Poller) {
         if let Some((listener, key)) = &self.listener {
             self.accept_paused = true;
-            watch.set(*key, listener, false, false);
+            poller.set_interest(*key, listener, false, false);
         }
     }
 
@@ -353,7 +353,7 @@
         self.links.insert(key, link);
     }
 
-    fn connected(&mut self, now: f64, key: Key, node: &mut dyn Node, watch: &Watch) {
+    fn connected(&mut self, now: f64, key: Key, node: &mut dyn Node, poller: &Poller) {
         let Some(link) = self.links.get_mut(&key) else { return };
         let stream = link.connection.stream();
         let result = match stream.take_error() {
@@ -363,11 +363,11 @@
         match result {
             Err(error) if error.kind() == ErrorKind::NotConnected => {}
             Err(error) => {
-                self.handle_link_down(now, key, error.kind() == ErrorKind::ConnectionRefused, node, watch)
+                self.handle_link_down(now, key, error.kind() == ErrorKind::ConnectionRefused, node, poller)
             }
             Ok(()) => {
                 (link.up, link.since) = (true, now);
-                link.watch(key, watch);
+                link.watch(key, poller);
                 node.link_up(now, link.id);
             }
         }
@@ -376,7 +376,7 @@
     // ---- The end of a link
 
     /// Closes a link for what came on it or did not, and tells its node.
-    fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, watch: &Watch) {
+    fn refuse(&mut self, now: f64, key: Key, error: &RelayLinkError, node: &mut dyn Node, poller: &Poller) {
         self.counts.refused += 1;
         self.counts.stuck += u64::from(matches!(error, RelayLinkError::Stuck));
         let link = self.links.get(&key);
@@ -386,7 +386,7 @@
         let taken = matches!(error, RelayLinkError::Node(_));
         let Some(link) = self.links.get_mut(&key).filter(|l| taken && l.up && l.closing_since.is_none())
         else {
-            return self.handle_link_down(now, key, false, node, watch);
+            return self.handle_link_down(now, key, false, node, poller);
         };
         // A node may answer what it refuses: another relay hears which life of it is known here.
         for _ in 0..MAX_MESSAGES_PER_ITERATION {
@@ -400,21 +400,21 @@
         }
         let id = link.id;
         node.link_down(now, id, false);
-        self.close(now, id, watch);
+        self.close(now, id, poller);
     }
 
     /// A link is down.
-    fn handle_link_down(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, watch: &Watch) {
+    fn handle_link_down(&mut self, now: f64, key: Key, refused: bool, node: &mut dyn Node, poller: &Poller) {
         let live = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
-        self.drop_link(key, watch);
+        self.drop_link(key, poller);
         if let Some(id) = live {
             node.link_down(now, id, refused);
         }
     }
 
-    fn drop_link(&mut self, key: Key, watch: &Watch) {
+    fn drop_link(&mut self, key: Key, poller: &Poller) {
         if let Some(link) = self.links.remove(&key) {
-            watch.remove(link.connection.stream());
+            poller.remove(link.connection.stream());
             if self.by_id.get(&link.id) == Some(&key) {
                 self.by_id.remove(&link.id);
             }
@@ -423,11 +423,11 @@
 
     /// The node wants no more of a link: it is closed once what was said on it is written and the peer has closed it too,
     /// so that the last message is not lost with what was not read here.
-    fn close(&mut self, now: f64, id: LinkId, watch: &Watch) {
+    fn close(&mut self, now: f64, id: LinkId, poller: &Poller) {
         let Some(key) = self.by_id.remove(&id) else { return };
         let Some(link) = self.links.get_mut(&key) else { return };
         match link.up {
-            false => self.drop_link(key, watch),
+            false => self.drop_link(key, poller),
             true => {
                 link.closing_since = Some(now);
                 self.shutdown_write(key);
@@ -446,14 +446,14 @@
     // ---- The two places of a turn
 
     /// Looks after links that come to nothing. Called now and then.
-    pub fn maintain(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn maintain(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         let keys: Vec<Key> = self.links.keys().copied().collect();
         for key in keys {
             let Some(link) = self.links.get_mut(&key) else { continue };
             link.record_progress(now);
             let error = match () {
                 () if link.closing_since.is_some_and(|since| now - since >= CLOSE_TIMEOUT_S) => {
-                    self.drop_link(key, watch);
+                    self.drop_link(key, poller);
                     continue;
                 }
                 () if link.closing_since.is_some() => continue,
@@ -464,18 +464,18 @@
                 () if now - link.written.1 >= STUCK_TIMEOUT_S => RelayLinkError::Stuck,
                 () => continue,
             };
-            self.refuse(now, key, &error, node, watch);
+            self.refuse(now, key, &error, node, poller);
         }
         if std::mem::take(&mut self.accept_paused) {
             if let Some((listener, key)) = &self.listener {
-                watch.set(*key, listener, true, false);
+                poller.set_interest(*key, listener, true, false);
             }
-            self.accept(now, node, watch);
+            self.accept(now, node, poller);
         }
     }
 
     /// Closes, makes and says what the node wants. Called at the end of a turn.
-    pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, watch: &mut Watch) {
+    pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
         for (id, to) in node.links_to_open(now) {
             let dialed = match self.addresses.get(&to) {
                 Some(address) => connect_nonblocking(*address),
@@ -483,7 +483,7 @@
             };
             let made = dialed.and_then(|stream| {
                 SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
-                Ok((watch.add(&stream, true)?, stream))
+                Ok((poller.add(&stream, true)?, stream))
             });
             match made {
                 Ok((key, stream)) => self.insert(key, Link::new(now, id, Some(to), stream)),
@@ -520,11 +520,11 @@
                 }
             }
             link.record_progress(now);
-            link.watch(key, watch);
+            link.watch(key, poller);
         }
-        broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, watch));
+        broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, poller));
         for id in node.links_to_close() {
-            self.close(now, id, watch);
+            self.close(now, id, poller);
         }
     }
 }
@@ -558,11 +558,11 @@
         }
     }
 
-    fn watch(&mut self, key: Key, watch: &Watch) {
+    fn watch(&mut self, key: Key, poller: &Poller) {
         let writing = !self.up || self.connection.blocked();
         if writing != self.writing {
             self.writing = writing;
-            watch.set(key, self.connection.stream(), true, writing);
+            poller.set_interest(key, self.connection.stream(), true, writing);
         }
     }
 }
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -96,7 +96,7 @@
 
 /// A node with its links, and the time.
 struct TestBed {
-    watch: Watch,
+    poller: Poller,
     links: Links,
     node: RecordingNode,
     begun: Instant,
@@ -106,10 +106,10 @@
 
 impl TestBed {
     fn new(listens: bool, most: usize) -> TestBed {
-        let mut watch = Watch::new().unwrap();
+        let mut poller = Poller::new().unwrap();
         let listen = listens.then(|| (Ipv4Addr::LOCALHOST, 0).into());
-        let links = Links::open(listen, most, &mut watch).unwrap();
-        TestBed { watch, links, node: RecordingNode::default(), begun: Instant::now(), skipped: 0.0 }
+        let links = Links::open(listen, most, &mut poller).unwrap();
+        TestBed { poller, links, node: RecordingNode::default(), begun: Instant::now(), skipped: 0.0 }
     }
 
     fn now(&self) -> f64 {
@@ -118,11 +118,11 @@
 
     fn iterate(&mut self) {
         let now = self.now();
-        for ready in self.watch.wait(0.002).unwrap() {
-            self.links.handle_ready(now, ready, &mut self.node, &mut self.watch);
+        for ready in self.poller.wait(0.002).unwrap() {
+            self.links.handle_ready(now, ready, &mut self.node, &mut self.poller);
         }
-        self.links.maintain(now, &mut self.node, &mut self.watch);
-        self.links.apply_node_actions(now, &mut self.node, &mut self.watch);
+        self.links.maintain(now, &mut self.node, &mut self.poller);
+        self.links.apply_node_actions(now, &mut self.node, &mut self.poller);
     }
 
     /// Turns until something holds; fails where it does not in time.
@@ -143,7 +143,7 @@
     fn set_address(&mut self, member: MemberId, address: SocketAddr) {
         let addresses = BTreeMap::from([(member, address)]);
         let now = self.now();
-        self.links.reconfigure(now, 100, addresses, &mut self.node, &self.watch);
+        self.links.reconfigure(now, 100, addresses, &mut self.node, &self.poller);
     }
 }
 
--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -24,9 +24,9 @@
 use self::incoming::judge;
 use self::release_queue::Releases;
 use self::set_ups::WaitingSetUp;
-use super::config::Link;
-use super::poller::{Key, Ready, Watch};
-use hollypaddle_core::calls::{Calls, Order};
+use super::config::ProtocolSettings;
+use super::poller::{Key, Poller, Ready};
+use hollypaddle_core::calls::{Calls, Command};
 use hollypaddle_platform::boundary::Candidate;
 use hollypaddle_platform::list::{Listed, Readiness, Snapshot};
 use hollypaddle_service::descriptors::Descriptors;
@@ -39,7 +39,7 @@
     /// The time, in Unix seconds.
     pub now: f64,
     /// The poller.
-    pub watch: &'a mut Watch,
+    pub poller: &'a mut Poller,
     /// The calls.
     pub calls: &'a mut Calls,
 }
@@ -89,7 +89,7 @@
 
 /// All listed servers.
 pub struct Servers {
-    link: Link,
+    link: ProtocolSettings,
     telemetry: Telemetry,
     /// The number that stands for an id while it is listed, and the last number given. None is given
     /// twice: nothing that still comes in for one that has gone may be taken for its successor's.
@@ -103,7 +103,7 @@
 
 impl Servers {
     /// No servers yet.
-    pub fn new(link: Link, telemetry: Telemetry, descriptors: Descriptors, seed: u64) -> Self {
+    pub fn new(link: ProtocolSettings, telemetry: Telemetry, descriptors: Descriptors, seed: u64) -> Self {
         let (pools, servers) = (BTreeMap::new(), BTreeMap::new());
         Servers { link, telemetry, pools, last_pool: 0, servers, descriptors, seed }
     }
@@ -114,7 +114,7 @@
     }
 
     /// Takes the classes of settings read anew, by number, for the names in set-ups.
-    pub fn set_classes(&mut self, classes: Vec<super::config::LinkClass>) {
+    pub fn set_classes(&mut self, classes: Vec<super::config::ProtocolClass>) {
         self.link.classes = classes;
     }
 
@@ -143,7 +143,7 @@
                 self.pools.remove(&server.name);
                 server.close_channels(pool, |_| true, ctx);
                 server.fail_waiting(pool, ctx);
-                let cut = ctx.calls.cut(pool, f64::INFINITY, false);
+                let cut = ctx.calls.cut_calls_at(pool, f64::INFINITY, false);
                 log::info!(server = server.name.as_str(), cut; "server-gone");
             }
         }
@@ -189,21 +189,21 @@
     // ---- What the calls ask for
 
     /// Carries an order out.
-    pub fn execute(&mut self, pool: PoolId, id: u64, order: Order, ctx: &mut Context) {
+    pub fn execute(&mut self, pool: PoolId, id: u64, order: Command, ctx: &mut Context) {
         let server = self.servers.get_mut(&pool);
         match (order, server) {
-            (Order::SetUp { class, until, content }, Some(server))
+            (Command::SetUp { class, until, content }, Some(server))
                 if server.listed.readiness == Readiness::Ready =>
             {
                 // The release of an earlier attempt would cut this one.
                 server.releases.forget_unsent(id);
                 server.waiting.push_back(WaitingSetUp { id, since: ctx.now, class, until, content });
             }
-            (Order::SetUp { .. }, _) => ctx.calls.never_ran(pool, id),
-            (Order::GiveUp, Some(server)) => server.give_up(pool, id, &self.link, ctx),
-            (Order::GiveUp, None) => ctx.calls.gave_up(pool, id),
-            (Order::Release, Some(server)) => server.release(ctx.now, id, ctx.watch),
-            (Order::Release, None) => {}
+            (Command::SetUp { .. }, _) => ctx.calls.attempt_not_sent(pool, id),
+            (Command::GiveUp, Some(server)) => server.give_up(pool, id, &self.link, ctx),
+            (Command::GiveUp, None) => ctx.calls.give_up_written(pool, id),
+            (Command::Release, Some(server)) => server.release(ctx.now, id, ctx.poller),
+            (Command::Release, None) => {}
         }
     }
 
@@ -227,9 +227,9 @@
     }
 
     /// Releases a call at every server, as it is not known where it stands.
-    pub fn release_everywhere(&mut self, now: f64, id: u64, watch: &Watch) {
+    pub fn release_everywhere(&mut self, now: f64, id: u64, poller: &Poller) {
         for server in self.servers.values_mut() {
-            server.release(now, id, watch);
+            server.release(now, id, poller);
         }
     }
 
@@ -316,7 +316,7 @@
             // Another process: what stood at the old one was cut, though it may never have said so, and
             // connections to it may hang open if it vanished. Newer ones reached the new process.
             let before = if moved { f64::INFINITY } else { started };
-            let cut = ctx.calls.cut(pool, before, false);
+            let cut = ctx.calls.cut_calls_at(pool, before, false);
             log::info!(server = self.name.as_str(), cut; "server-restarted");
             let stale: Vec<Key> =
                 self.channels.iter().filter(|(_, c)| c.since < before).map(|(key, _)| *key).collect();
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -9,7 +9,7 @@
 
 use super::channel::{connect_nonblocking, Channel};
 use super::{Context, Server};
-use crate::node::config::Link;
+use crate::node::config::ProtocolSettings;
 use crate::node::delivery::Pending;
 use crate::node::poller::Key;
 
@@ -26,7 +26,7 @@
 const MAX_UNWRITTEN_BYTES: usize = 128 * 1024;
 
 impl Server {
-    pub(super) fn connect(&mut self, pool: PoolId, link: &Link, ctx: &mut Context) {
+    pub(super) fn connect(&mut self, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
         if ctx.now < self.retry_at {
             return;
         }
@@ -43,7 +43,7 @@
             }
         }
         match connect_nonblocking(self.listed.address)
-            .and_then(|stream| Ok((ctx.watch.add(&stream, true)?, stream)))
+            .and_then(|stream| Ok((ctx.poller.add(&stream, true)?, stream)))
         {
             Ok((key, stream)) => {
                 let channel = Channel {
@@ -69,7 +69,7 @@
         pool: PoolId,
         key: Key,
         reason: &Over,
-        link: &Link,
+        link: &ProtocolSettings,
         ctx: &mut Context,
     ) {
         log::debug!(server = self.name.as_str(), connection = key, reason:%; "connection-closed");
@@ -82,12 +82,12 @@
     /// Connects again at once, unless it keeps closing new ones, or closes idle ones that nothing waits for: a connect that
     /// is refused tells that the process died with its calls. One that is on its way may have set out to a machine that was
     /// not there and would be noticed late; this end tells that the machine is back.
-    fn reconnect(&mut self, lived: f64, pool: PoolId, link: &Link, ctx: &mut Context) {
+    fn reconnect(&mut self, lived: f64, pool: PoolId, link: &ProtocolSettings, ctx: &mut Context) {
         self.quick_ends = if lived >= RETRY_INTERVAL_S { 0 } else { self.quick_ends.saturating_add(1) };
         if self.quick_ends <= MAX_QUICK_ENDS {
             self.retry_at = ctx.now;
         }
-        let asked = !self.waiting.is_empty() || ctx.calls.any_at(pool);
+        let asked = !self.waiting.is_empty() || ctx.calls.has_calls_at(pool);
         if !asked && !(1..=MAX_QUICK_ENDS).contains(&self.quick_ends) {
             self.back_off(lived, ctx.now);
         }
@@ -109,7 +109,7 @@
         self.backoff = (2.0 * self.backoff).clamp(FIRST_BACKOFF_S, MAX_BACKOFF_S);
     }
 
-    pub(super) fn connected(&mut self, pool: PoolId, key: Key, link: &Link, ctx: &mut Context) {
+    pub(super) fn connected(&mut self, pool: PoolId, key: Key, link: &ProtocolSettings, ctx: &mut Context) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
         let stream = channel.connection.stream();
         let result = match stream.take_error() {
@@ -133,7 +133,7 @@
                 log::debug!(server = self.name.as_str(), connection = key; "connection-up");
                 self.send_kept_releases(ctx);
                 if let Some(channel) = self.channels.get_mut(&key) {
-                    channel.watch(key, ctx.watch);
+                    channel.watch(key, ctx.poller);
                 }
             }
         }
@@ -156,7 +156,7 @@
         }
         if error.kind() == ErrorKind::ConnectionRefused && !self.channels.values().any(|c| c.up) {
             self.releases.forget_unconfirmed(f64::INFINITY);
-            let cut = ctx.calls.cut(pool, f64::INFINITY, false);
+            let cut = ctx.calls.cut_calls_at(pool, f64::INFINITY, false);
             if cut > 0 {
                 log::info!(server = self.name.as_str(), cut; "server-refuses-connections");
             }
@@ -167,16 +167,16 @@
         let keys: Vec<Key> = self.channels.keys().copied().filter(|k| which(*k)).collect();
         for key in keys {
             let Some(mut channel) = self.channels.remove(&key) else { continue };
-            ctx.watch.remove(channel.connection.stream());
+            ctx.poller.remove(channel.connection.stream());
             self.releases.keep_unconfirmed(channel.releases.take_unconfirmed(ctx.now));
             // Closing it gives up whatever was open on it, but an answer may have been lost with it: a
             // call that nobody waits for must not stand on.
             for id in channel.open.into_keys() {
-                ctx.calls.reset(pool, id);
-                self.release(ctx.now, id, ctx.watch);
+                ctx.calls.attempt_reset(pool, id);
+                self.release(ctx.now, id, ctx.poller);
             }
             for (_, id) in channel.give_ups {
-                ctx.calls.gave_up(pool, id);
+                ctx.calls.give_up_written(pool, id);
             }
         }
     }
--- a/crates/gatekeeper/src/node/servers/incoming.rs
+++ b/crates/gatekeeper/src/node/servers/incoming.rs
@@ -8,7 +8,7 @@
 use hollypaddle_policy::{Cause, Outcome, PoolId, Report};
 
 use super::{Context, Server};
-use crate::node::config::Link;
+use crate::node::config::ProtocolSettings;
 use crate::node::poller::Key;
 
 impl Server {
@@ -18,7 +18,7 @@
         pool: PoolId,
         key: Key,
         (messages, mut end): (Vec<Message>, Result<(), Over>),
-        known: (&Telemetry, &Link),
+        known: (&Telemetry, &ProtocolSettings),
         ctx: &mut Context,
     ) {
         let Some(channel) = self.channels.get_mut(&key) else { return };
@@ -57,7 +57,7 @@
         pool: PoolId,
         key: Key,
         message: Message,
-        (telemetry, link): (&Telemetry, &Link),
+        (telemetry, link): (&Telemetry, &ProtocolSettings),
         ctx: &mut Context,
     ) -> Result<(), Over> {
         let id = message.call;
@@ -78,9 +78,9 @@
                 if let Some(sent_at) = self.take_open(key, id) {
                     self.close_overtaken(pool, sent_at, link, ctx);
                 }
-                ctx.calls.stood(ctx.now, pool, id, description);
+                ctx.calls.established(ctx.now, pool, id, description);
                 if told {
-                    ctx.calls.load(pool, report);
+                    ctx.calls.load_reported(pool, report);
                 }
             }
             kind::RELEASE if message.cause().is_none() || description.is_some() => {
@@ -92,13 +92,13 @@
             kind::RELEASE => {
                 self.silence_limit = link.silence_limit();
                 self.take_open(key, id);
-                ctx.calls.ended(ctx.now, pool, id, end(&message, report, link.longest()));
+                ctx.calls.ended(ctx.now, pool, id, end(&message, report, link.max_wait()));
             }
-            kind::STATE | kind::TEST_RESULT if told => ctx.calls.load(pool, report),
+            kind::STATE | kind::TEST_RESULT if told => ctx.calls.load_reported(pool, report),
             kind::TEST => {
                 let passed = Message::new(kind::TEST_RESULT, id).caused(1);
                 if let Some(channel) = self.channels.get_mut(&key) {
-                    channel.send(key, &passed, ctx.watch);
+                    channel.send(key, &passed, ctx.poller);
                 }
             }
             kind::RELEASE_HEARD => self.confirm_release(id),
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -20,13 +20,13 @@
 use hollypaddle_replica::record::{ServerKey, Topic};
 use serde_json::{json, Value};
 
-use super::control::Question;
+use super::components::{Component, ComponentContext};
+use super::control::Query;
 use super::events::{log_member_event, EventLogLimiter};
 use super::fleet::new_incarnation;
 use super::observations::{PeerObservations, ReportedServers};
 use super::poller::Ready;
 use super::relays::{max_leaf_links, max_links, Links};
-use super::subjects::{Room, Subject};
 
 /// A start waits so long at most for what a relay knows, in seconds, until it says that it is ready.
 const MAX_CATCH_UP_WAIT_S: f64 = 1.0;
@@ -154,11 +154,11 @@
 }
 
 impl Joined {
-    fn join(room: &mut Room, conf: &FleetConf, tier: &TierConf) -> io::Result<Joined> {
-        let now = room.now;
-        let identity = Identity::of(conf, tier, room.platform);
+    fn join(ctx: &mut ComponentContext, conf: &FleetConf, tier: &TierConf) -> io::Result<Joined> {
+        let now = ctx.now;
+        let identity = Identity::of(conf, tier, ctx.platform);
         let own = MemberId::of(&identity.name);
-        let incarnation = new_incarnation(now, room.seed);
+        let incarnation = new_incarnation(now, ctx.seed);
         let relays = places(tier);
         let mut role = match tier.relay(&identity.name) {
             Some(_) => {
@@ -173,8 +173,8 @@
             }
         };
         let max_links = max_links_in_tier(tier, &identity.name);
-        let mut links = Links::open(identity.listen, max_links, room.watch)?;
-        links.reconfigure(now, max_links, addresses(tier), role.node(), room.watch);
+        let mut links = Links::open(identity.listen, max_links, ctx.poller)?;
+        links.reconfigure(now, max_links, addresses(tier), role.node(), ctx.poller);
         let name = identity.name.as_str();
         match links.address() {
             Some(listen) => {
@@ -202,8 +202,8 @@
     }
 
     /// Takes relays, times and bounds read anew.
-    fn change(&mut self, room: &mut Room, conf: &FleetConf, tier: &TierConf) {
-        let now = room.now;
+    fn change(&mut self, ctx: &mut ComponentContext, conf: &FleetConf, tier: &TierConf) {
+        let now = ctx.now;
         match &mut self.role {
             Role::Leaf(leaf) => leaf.reconfigure(now, places(tier), timing(tier)),
             Role::Relay(relay) => {
@@ -213,21 +213,21 @@
             }
         }
         let max_links = max_links_in_tier(tier, &self.identity.name);
-        self.links.reconfigure(now, max_links, addresses(tier), self.role.node(), room.watch);
+        self.links.reconfigure(now, max_links, addresses(tier), self.role.node(), ctx.poller);
         self.names = names(tier, &self.identity.name);
         (self.conf, self.tier) = (conf.clone(), tier.clone());
     }
 
     /// Says that it ends, and closes all links.
-    fn leave(mut self, room: &mut Room) {
+    fn leave(mut self, ctx: &mut ComponentContext) {
         match &mut self.role {
             Role::Leaf(_) => self.links.send_to_all(&Message::Leave),
             Role::Relay(relay) => {
-                relay.begin_shutdown(room.now);
-                self.links.apply_node_actions(room.now, self.role.node(), room.watch);
+                relay.begin_shutdown(ctx.now);
+                self.links.apply_node_actions(ctx.now, self.role.node(), ctx.poller);
             }
         }
-        self.links.close_all(room.watch);
+        self.links.close_all(ctx.poller);
     }
 
     fn name(&self, member: MemberId) -> String {
@@ -294,12 +294,12 @@
         resumed
     }
 
-    fn due(&mut self, room: &mut Room) -> Vec<PoolEntry> {
-        let now = room.now;
-        self.links.maintain(now, self.role.node(), room.watch);
+    fn due(&mut self, ctx: &mut ComponentContext) -> Vec<PoolEntry> {
+        let now = ctx.now;
+        self.links.maintain(now, self.role.node(), ctx.poller);
         self.propose(now);
         let Role::Leaf(leaf) = &mut self.role else { return Vec::new() };
-        for server in self.reported.report_changes(now, room.servers, leaf.as_mut()) {
+        for server in self.reported.report_changes(now, ctx.servers, leaf.as_mut()) {
             self.removed_servers.push_back((now, server));
         }
         let forget = self.conf.settings.forget;
@@ -310,9 +310,9 @@
                 leaf.set_server(now, server, None);
             }
         }
-        let Some(guard) = &mut room.gates.fleet else { return Vec::new() };
+        let Some(guard) = &mut ctx.gates.fleet else { return Vec::new() };
         let late = self.conf.settings.lists_late;
-        self.observations.update(now, &leaf.peer_observations(now), (room.list_at, late), room.servers, guard)
+        self.observations.update(now, &leaf.peer_observations(now), (ctx.list_at, late), ctx.servers, guard)
     }
 
     /// Settings that came and were not offered before.
@@ -528,13 +528,13 @@
 
 /// This gatekeeper in a tier, where the own configuration has one.
 #[derive(Default)]
-pub struct InTier {
+pub struct TierComponent {
     joined: Option<Joined>,
     /// One that was joined and does not count yet.
     prepared: Option<Joined>,
 }
 
-impl InTier {
+impl TierComponent {
     /// The lines of a list, with what others know.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(joined) = &self.joined {
@@ -567,109 +567,109 @@
     Some((fleet, fleet.tier.as_ref()?))
 }
 
-impl Subject for InTier {
-    fn prepare(&mut self, room: &mut Room, _: &Conf, new: &Conf) -> io::Result<()> {
+impl Component for TierComponent {
+    fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some((conf, tier)) = of(new) else { return Ok(()) };
-        let identity = Identity::of(conf, tier, room.platform);
+        let identity = Identity::of(conf, tier, ctx.platform);
         if self.joined.as_ref().is_none_or(|joined| joined.identity != identity) {
-            self.prepared = Some(Joined::join(room, conf, tier)?);
+            self.prepared = Some(Joined::join(ctx, conf, tier)?);
         }
         Ok(())
     }
 
-    fn abandon(&mut self, room: &mut Room) {
+    fn abandon(&mut self, ctx: &mut ComponentContext) {
         if let Some(prepared) = self.prepared.take() {
-            prepared.links.close_all(room.watch);
+            prepared.links.close_all(ctx.poller);
         }
     }
 
-    fn commit(&mut self, room: &mut Room, old: &Conf, new: &Conf) -> Option<String> {
+    fn commit(&mut self, ctx: &mut ComponentContext, old: &Conf, new: &Conf) -> Option<String> {
         let (prepared, at_start) = (self.prepared.take(), self.joined.is_none());
         let word = match (&mut self.joined, prepared, of(new)) {
             (old, Some(prepared), _) => {
                 if let Some(old) = old.replace(prepared) {
-                    old.leave(room);
+                    old.leave(ctx);
                 }
                 Some("joined")
             }
             (Some(joined), None, Some((conf, tier))) if new.fleet != old.fleet => {
-                joined.change(room, conf, tier);
+                joined.change(ctx, conf, tier);
                 Some("changed")
             }
             (Some(_), None, Some(_)) | (None, None, _) => None,
             (old, None, None) => {
                 if let Some(old) = old.take() {
-                    old.leave(room);
+                    old.leave(ctx);
                 }
                 Some("left")
             }
         };
         if let Some(joined) = &mut self.joined {
             if word.is_some() {
-                room.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
+                ctx.gates.fleet = matches!(joined.role, Role::Leaf(_)).then(Guard::default);
             }
             // Every reading of the configuration at a relay reads the fleet's settings, too.
             if let (Role::Relay(_), Some(path)) = (&joined.role, joined.tier.settings.clone()) {
-                joined.read_settings(room.now, &path, at_start);
+                joined.read_settings(ctx.now, &path, at_start);
             }
         }
         word.map(|word| format!("tier-{word}"))
     }
 
-    fn begin(&mut self, room: &mut Room) {
+    fn begin_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = &mut self.joined {
-            if joined.tick(room.now) {
+            if joined.tick(ctx.now) {
                 // What waits at the socket was said before or while this process was paused.
-                room.resolver.forget_queries();
-                room.resolver.send_query();
+                ctx.resolver.forget_queries();
+                ctx.resolver.send_query();
             }
         }
     }
 
-    fn heard(&mut self, room: &mut Room, ready: Ready) {
+    fn handle_ready(&mut self, ctx: &mut ComponentContext, ready: Ready) {
         if let Some(joined) = &mut self.joined {
-            joined.links.handle_ready(room.now, ready, joined.role.node(), room.watch);
+            joined.links.handle_ready(ctx.now, ready, joined.role.node(), ctx.poller);
         }
     }
 
-    fn due(&mut self, room: &mut Room, _: &Conf) {
+    fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         let Some(joined) = &mut self.joined else { return };
-        let entries = joined.due(room);
+        let entries = joined.due(ctx);
         if !entries.is_empty() {
-            room.calls.events.push(ModuleEvent::List { kind: ListKind::Changes, entries });
+            ctx.calls.events.push(ModuleEvent::List { kind: ListKind::Changes, entries });
         }
     }
 
-    fn carry_out(&mut self, room: &mut Room) {
+    fn finish_iteration(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = &mut self.joined {
-            joined.links.apply_node_actions(room.now, joined.role.node(), room.watch);
+            joined.links.apply_node_actions(ctx.now, joined.role.node(), ctx.poller);
         }
     }
 
-    fn end(&mut self, room: &mut Room) {
+    fn shut_down(&mut self, ctx: &mut ComponentContext) {
         if let Some(joined) = self.joined.take() {
-            joined.leave(room);
+            joined.leave(ctx);
         }
     }
 
-    fn wants_turn_at(&self) -> Option<f64> {
+    fn next_iteration_at(&self) -> Option<f64> {
         self.joined.as_ref().map(|joined| match &joined.role {
             Role::Leaf(leaf) => leaf.next_tick_at(),
             Role::Relay(relay) => relay.next_tick_at(),
         })
     }
 
-    fn not_ready(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         self.joined.as_ref().filter(|joined| !joined.ready(joined.ticked)).map(|_| "catching-up")
     }
 
-    fn answer(&mut self, room: &mut Room, question: &Question) -> Option<Value> {
+    fn answer(&mut self, ctx: &mut ComponentContext, question: &Query) -> Option<Value> {
         Some(match (question, &self.joined) {
-            (Question::Members {}, Some(joined)) => json!({"ok": joined.report(room.now)}),
-            (Question::Replica {}, Some(_)) => {
+            (Query::Members {}, Some(joined)) => json!({"ok": joined.report(ctx.now)}),
+            (Query::Replica {}, Some(_)) => {
                 json!({"error": "no copies of other members are held in a tier of relays: ask `members`"})
             }
-            (Question::Members {} | Question::Replica {}, None) => {
+            (Query::Members {} | Query::Replica {}, None) => {
                 json!({"error": "no fleet: the block `fleet` is not configured"})
             }
             _ => return None,
--- a/crates/gatekeeper/tests/crossing.rs
+++ b/crates/gatekeeper/tests/crossing.rs
@@ -31,7 +31,7 @@
         let mut instances = Vec::new();
         for gatekeeper in 0..world.plan.fronts.len() {
             let config = load_config(&dir, &world, gatekeeper, conf);
-            instances.push(Gatekeeper::on_clock(config, Clock::still(START_UNIX_S)).unwrap());
+            instances.push(Gatekeeper::with_clock(config, Clock::manual(START_UNIX_S)).unwrap());
         }
         let addresses: Vec<_> = instances.iter().map(Gatekeeper::address).collect();
         world.connect(&addresses);
@@ -44,8 +44,8 @@
         self.now += STEP_S;
         self.world.turn(self.now);
         for instance in &mut self.gatekeepers {
-            instance.skip(STEP_S);
-            instance.turn().unwrap();
+            instance.advance_clock(STEP_S);
+            instance.run_once().unwrap();
         }
     }
 
@@ -175,8 +175,8 @@
     let path: PathBuf = dir.path().join("hollypaddle.conf");
     std::fs::write(&path, conf).unwrap();
     let text = world.config(gatekeeper).unwrap();
-    let config = Config::read(format!("n{gatekeeper}"), "127.0.0.1:0", &text).unwrap();
-    config.with_own(&path).map_err(|e| e.to_string()).unwrap()
+    let config = Config::parse(format!("n{gatekeeper}"), "127.0.0.1:0", &text).unwrap();
+    config.with_own_file(&path).map_err(|e| e.to_string()).unwrap()
 }
 
 /// The classes with a fifth of the calls urgent, so that a short test sees enough of them, and with short calls.
@@ -474,14 +474,14 @@
     let path = fleet.dir.path().join("bad.conf");
     std::fs::write(&path, "crossings {\n budgett all {\n }\n").unwrap();
     let text = fleet.world.config(0).unwrap();
-    let bad = Config::read("n0".into(), "127.0.0.1:0", &text).unwrap().with_own(&path);
+    let bad = Config::parse("n0".into(), "127.0.0.1:0", &text).unwrap().with_own_file(&path);
     assert!(bad.is_err());
     fleet.gatekeepers[0].reload(bad);
     assert_eq!(fleet.report(0).budgets.len(), before);
     // Nor does a file that is valid only with the class names of a newer platform file: those apply at the next start.
     std::fs::write(&path, "crossings {\n budget class gauge-read {\n  rate 1/s\n }\n}\n").unwrap();
     let renamed = text.replace("meter-read", "gauge-read");
-    let other = Config::read("n0".into(), "127.0.0.1:0", &renamed).unwrap().with_own(&path);
+    let other = Config::parse("n0".into(), "127.0.0.1:0", &renamed).unwrap().with_own_file(&path);
     assert!(other.is_ok());
     fleet.gatekeepers[0].reload(other);
     assert_eq!(fleet.report(0).budgets.len(), before);
--- a/crates/gatekeeper/tests/relays.rs
+++ b/crates/gatekeeper/tests/relays.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hollypaddle::ctl;
-use hollypaddle::node::control::Question;
+use hollypaddle::node::control::Query;
 use hollypaddle_standin::free_addresses;
 use hollypaddle_standin::program::{unix_time, Program};
 use hollypaddle_standin::server::What;
@@ -105,7 +105,7 @@
 
     /// The report of `ctl members`; null if the process cannot be reached.
     fn members(&self, n: usize) -> Value {
-        ctl::ask(&self.socket(n), &Question::Members {}).unwrap_or(Value::Null)
+        ctl::query(&self.socket(n), &Query::Members {}).unwrap_or(Value::Null)
     }
 
     fn relay(&self, leaf: usize) -> String {
@@ -194,8 +194,8 @@
     let seconds = g.until("the settings at all leaves", |g| in_force_everywhere(g, version));
     assert!(seconds <= MAX_IN_FORCE_S, "in force everywhere after {seconds:.2} s");
     for leaf in 0..LEAVES {
-        let span = Question::Crossings { span: "total".into() };
-        let report = ctl::ask(&g.socket(leaf), &span).unwrap();
+        let span = Query::Crossings { span: "total".into() };
+        let report = ctl::query(&g.socket(leaf), &span).unwrap();
         assert_eq!(report["budgets"].as_array().map(Vec::len), Some(1), "{report}");
     }
 
