--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,45 +1,47 @@
-//! Bytes a second on one link: a token bucket.
+//! Limits the bytes per second on one link with a token bucket.
 
-/// What a message costs beside its own bytes: the headers of the packet that carries it and of the one that acknowledges it,
-/// IPv4 and TCP with time stamps, 52 bytes each. A message that shares a packet with others costs less than it is charged.
+/// Overhead charged per message in addition to its own bytes: the headers of the packet that carries it and of the
+/// packet that acknowledges it (IPv4 and TCP with time stamps, 52 bytes each). A message that shares a packet with
+/// others costs less than it is charged.
 pub const PACKET_HEADER_BYTES: usize = 104;
 
-/// A rate of bytes with a burst. It may go into debt by one message, which is paid back before the next.
+/// A token bucket of bytes. It may go into debt by one message, which is paid back before the next one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ByteBudget {
-    rate: f64,
-    most: f64,
+    bytes_per_s: f64,
+    capacity: f64,
     left: f64,
-    at: f64,
+    updated_at: f64,
 }
 
 impl ByteBudget {
-    /// Full, with a burst of so many seconds of the rate.
-    pub fn new(now: f64, rate: f64, burst: f64) -> ByteBudget {
-        let most = rate * burst;
-        ByteBudget { rate, most, left: most, at: now }
+    /// A full bucket that holds `burst_s` seconds of `bytes_per_s`.
+    pub fn new(now: f64, bytes_per_s: f64, burst_s: f64) -> ByteBudget {
+        let capacity = bytes_per_s * burst_s;
+        ByteBudget { bytes_per_s, capacity, left: capacity, updated_at: now }
     }
 
-    fn fill(&mut self, now: f64) {
-        // A clock that is set back brings nothing and takes nothing.
-        self.left = (self.left + (now - self.at).max(0.0) * self.rate).min(self.most);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: f64) {
+        // A clock that is set back neither adds nor removes tokens.
+        self.left = (self.left + (now - self.updated_at).max(0.0) * self.bytes_per_s).min(self.capacity);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Whether something may be said now, of any length.
+    /// Whether a message of any length may be sent now.
     pub fn can_send(&mut self, now: f64) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.left > 0.0
     }
 
-    /// Something of so many bytes was said. What must be said at once, such as an answer to a ping, is charged as well.
+    /// Charges a message of this many bytes. Messages that must be sent at once, such as answers to pings, are
+    /// charged as well.
     pub fn spend(&mut self, now: f64, bytes: usize) {
-        self.fill(now);
+        self.refill(now);
         self.left -= (bytes + PACKET_HEADER_BYTES) as f64;
     }
 
-    /// When something may be said again.
+    /// When a message may be sent again.
     pub fn can_send_at(&self) -> f64 {
-        self.at + (-self.left).max(0.0) / self.rate + 1e-6
+        self.updated_at + (-self.left).max(0.0) / self.bytes_per_s + 1e-6
     }
 }
--- a/crates/relay/src/leaf_limit.rs
+++ b/crates/relay/src/leaf_limit.rs
@@ -1,23 +1,24 @@
-//! How many leaves a relay may have.
+//! Tracks how many leaves a relay may have over time.
 //!
-//! What it takes further leaves up to follows the leaves and relays that are there ([`crate::placement::leaf_limit`]), and falls in
-//! one step as a relay comes back or leaves end elsewhere. Leaves go home slowly on purpose, so what it may *have* rises at
-//! once and falls evenly over the time in which they do; what is beyond it then is to be shed.
+//! The number up to which a relay accepts leaves follows the leaves and relays that are present
+//! ([`crate::placement::leaf_limit`]). It falls in one step when a relay comes back or leaves end elsewhere. Leaves
+//! return to their preferred relay slowly on purpose, so the number that a relay may *have* rises at once and falls
+//! evenly over the time that they take; leaves beyond it are sent away.
 
-/// Leaves that a relay may have.
+/// The number of leaves that a relay may have, and the target that it falls to.
 #[derive(Clone, Copy, Debug)]
 pub struct LeafLimit {
     limit: f64,
     target: usize,
-    /// Leaves a second by which the limit falls to its target.
-    rate: f64,
-    at: f64,
+    /// Leaves per second by which the limit falls to its target.
+    fall_per_s: f64,
+    updated_at: f64,
 }
 
 impl LeafLimit {
-    /// At a start, with what the relay takes then.
-    pub fn new(now: f64, takes: usize) -> LeafLimit {
-        LeafLimit { limit: takes as f64, target: takes, rate: 0.0, at: now }
+    /// The limit at a start: the number of leaves that the relay accepts at that time.
+    pub fn new(now: f64, accepted: usize) -> LeafLimit {
+        LeafLimit { limit: accepted as f64, target: accepted, fall_per_s: 0.0, updated_at: now }
     }
 
     /// The most leaves that the relay may have now.
@@ -25,27 +26,27 @@
         self.limit.ceil() as usize
     }
 
-    /// Leaves are taken up to `takes`: at once, where that is more than the relay might have.
-    pub fn raise_to(&mut self, takes: usize) {
-        if takes as f64 >= self.limit {
-            (self.limit, self.target, self.rate) = (takes as f64, takes, 0.0);
+    /// Raises the limit at once if the relay accepts more leaves than the limit allows.
+    pub fn raise_to(&mut self, accepted: usize) {
+        if accepted as f64 >= self.limit {
+            (self.limit, self.target, self.fall_per_s) = (accepted as f64, accepted, 0.0);
         }
     }
 
-    /// Goes on towards `takes`, over `falls` seconds from the moment in which that fell. A step counts for `longest` seconds at
-    /// the most: after a pause nothing is shed in one moment.
-    pub fn step_towards(&mut self, now: f64, takes: usize, falls: f64, longest: f64) {
-        let passed = (now - self.at).clamp(0.0, longest);
-        self.at = now;
-        self.raise_to(takes);
-        if takes as f64 >= self.limit {
+    /// Moves the limit towards `accepted`, over `fall_s` seconds from the moment in which that number fell. One step
+    /// counts for at most `max_step_s`, so that a pause of the process does not shed many leaves at one moment.
+    pub fn step_towards(&mut self, now: f64, accepted: usize, fall_s: f64, max_step_s: f64) {
+        let elapsed_s = (now - self.updated_at).clamp(0.0, max_step_s);
+        self.updated_at = now;
+        self.raise_to(accepted);
+        if accepted as f64 >= self.limit {
             return;
         }
-        if takes < self.target {
-            // Never slower than before: a target that goes up and down a little must not put the end off.
-            self.rate = self.rate.max((self.limit - takes as f64) / falls.max(longest));
+        if accepted < self.target {
+            // The rate never decreases: a target that moves up and down a little must not delay the end of the fall.
+            self.fall_per_s = self.fall_per_s.max((self.limit - accepted as f64) / fall_s.max(max_step_s));
         }
-        self.target = takes;
-        self.limit = (self.limit - self.rate * passed).max(takes as f64);
+        self.target = accepted;
+        self.limit = (self.limit - self.fall_per_s * elapsed_s).max(accepted as f64);
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,29 +1,31 @@
 //! A tier of relays between the gatekeepers of a large fleet.
 //!
-//! In a small fleet every member has a link to every other and is told all of them say. The bytes of that grow with the
-//! square of the fleet, so at large size a few *relays* know each other in full, as the members of a small fleet do, and
-//! gatekeepers are *leaves*: each is attached to one relay and keeps a warm link to a second.
+//! In a small fleet every member has a link to every other member and receives everything that it reports. That
+//! traffic grows with the square of the fleet. In a large fleet a few *relays* are fully meshed, as the members of a
+//! small fleet are, and gatekeepers are *leaves*: each is attached to one relay and keeps a standby link to a second.
 //!
-//! - A leaf writes one stream of records (what its own list says of servers, which of them are silent) and tells it to its
-//!   relay as differences. A relay joins what its leaves of one *topic* (a service) say, and writes that, with which
-//!   leaves it has, into its own stream, which the other relays copy by the ways of `replica`. From all relays' streams it
-//!   writes, for each topic, two *feeds*: servers, and leaves. A leaf holds a copy of its own topic's feeds and of nothing
-//!   else, so what it hears does not grow with the fleet.
-//! - The *settings* of the fleet are a set of entries under one version. One relay, the writer, changes it; a change is
-//!   accepted once a majority of relays has stored it, and goes to leaves as differences after the version that they hold.
-//! - What is said on one link is held to a rate of bytes, by rank: servers first, then settings, then leaves. Nothing is
-//!   queued for a link: a message is made of the newest state when there is room for it.
-//! - A leaf that hears no relay keeps all that it has, with its age, and goes on serving by it. The silence of its relay is
-//!   never the death of a peer.
+//! - A leaf writes one stream of records (what its own list says of servers, and which of them are silent) and sends
+//!   it to its relay as differences. A relay merges the records of its leaves per *topic* (a service) and writes the
+//!   result, with the set of its leaves, into its own stream, which the other relays replicate as in `replica`. From
+//!   the streams of all relays it builds two *feeds* per topic: servers and leaves. A leaf holds a copy of the feeds
+//!   of its own topic and nothing else, so what it receives does not grow with the fleet.
+//! - The *settings* of the fleet are a set of entries under one version. One relay, the writer, changes it; a change
+//!   is accepted once a majority of relays has stored it, and goes to leaves as differences from the version that
+//!   they hold.
+//! - The traffic on one link is limited to a rate of bytes, by priority: servers first, then settings, then leaves.
+//!   Nothing is queued for a link: a message is built from the newest state when the link can take one.
+//! - A leaf that is connected to no relay keeps all that it has, with its age, and goes on serving by it. The silence
+//!   of its relay never means that a peer is gone.
 //!
-//! No I/O, no clock, no threads: times are seconds on the own clock, handed in, and the front makes, reads and writes
-//! the links that a [`Node`] asks for.
+//! The crate does no I/O, reads no clock and starts no threads: times are seconds of the caller's clock, passed in,
+//! and the caller opens, reads and writes the links that a [`Node`] asks for.
 //!
-//! - [`message`]: what is said, and its frames.
-//! - [`placement`]: which relay, in which order, and how many leaves one takes.
-//! - [`budget`]: bytes a second.
-//! - [`stream_copy`]: a stream told on one link as differences, both ends.
-//! - [`settings`]: the set of settings, its versions and differences.
+//! - [`message`]: the messages and their frames.
+//! - [`placement`]: the order in which a leaf prefers relays, and how many leaves a relay accepts.
+//! - [`leaf_limit`]: how that limit changes over time.
+//! - [`budget`]: the limit of bytes per second on a link.
+//! - [`stream_copy`]: a stream replicated over one link as differences, both ends.
+//! - [`settings`]: the set of settings, its revisions and differences.
 //! - [`leaf`], [`relay`]: the two roles.
 
 pub mod budget;
@@ -41,55 +43,55 @@
 
 use hollypaddle_membership::MemberId;
 
-/// A link, as its node numbers it. A number is never used twice in one life of a node.
+/// Identifies a link of a node. A number is never used twice in one incarnation of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// Why a link is closed for what came on it. It is made anew by itself.
+/// Why a link is closed after a message on it. The link is opened again automatically.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// The other one speaks a version of the protocol that is not understood here.
+    /// The peer offers no version of the protocol that this program supports.
     #[error(
-        "versions {oldest} to {newest} of the relays' protocol, expected {}: bring relays and leaves to versions of the program \
-         that overlap, relays first",
+        "versions {oldest} to {newest} of the relay protocol offered, version {} expected: upgrade relays and leaves to program versions whose \
+         protocol versions overlap, relays first",
         message::PROTOCOL_VERSION
     )]
     Protocol {
-        /// The oldest that it speaks.
+        /// The oldest version that the peer supports.
         oldest: u16,
-        /// The newest.
+        /// The newest version that the peer supports.
         newest: u16,
     },
-    /// It was meant for another relay, or came from one that was not looked for there.
+    /// The message was meant for another relay, or came from a relay that was not expected on this link.
     #[error(
-        "meant for another node: two relays' addresses are mixed up in a block `fleet`; compare the files"
+        "the message was meant for another node: the addresses of two relays are swapped in a `fleet` block; compare the configuration files"
     )]
     NotForUs,
-    /// It comes too early, a second time, or from the wrong side.
+    /// The message came too early, a second time, or from the wrong side.
     #[error(
-        "a message that has no place there: a stranger, or a fault; if the address is a relay's or a gatekeeper's, file the \
-         line with the maintainers"
+        "unexpected message: the peer is not part of the fleet, or there is a fault; if the address is that of a relay or a \
+         gatekeeper, report this line to the maintainers"
     )]
     OutOfPlace,
-    /// An earlier life of the speaker, while a later one is known.
-    #[error("an earlier life of a gatekeeper whose later one is attached: end the old process, or give one of them another name")]
+    /// The sender is an earlier incarnation of a gatekeeper whose later one is known.
+    #[error("an earlier incarnation of a gatekeeper whose later incarnation is attached: stop the old process, or rename one of them")]
     StaleLife,
-    /// The relay has no room for one more.
-    #[error("no room for another link: raise `leaves`, or add a relay")]
+    /// The relay accepts no further link.
+    #[error("the relay has reached its limit of links: raise `leaves`, or add a relay")]
     Full,
-    /// Records or entries that contradict what they say of themselves.
-    #[error("{0}: nothing of it was taken and it is asked for anew; see whether both run the same version of the program")]
+    /// Records or entries that contradict their own description.
+    #[error("{0}: the message was discarded and is requested again; check that both ends run the same version of the program")]
     Malformed(&'static str),
-    /// The other relay's word was refused.
+    /// A message of the mesh of relays was refused.
     #[error(transparent)]
     Mesh(#[from] hollypaddle_replica::member::Rejection),
-    /// Both relays made a link in one moment.
-    #[error("a second link between the same two relays: the other one is used; nothing is to be done")]
+    /// Both relays opened a link at the same time, and the other one is kept.
+    #[error("a second link between the same two relays: the other link is used; no action is needed")]
     SecondLink,
 }
 
 impl LinkError {
-    /// In a word, for the log and the page for on-call staff.
+    /// Short name for the log and for the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             LinkError::Protocol { .. } => "relay-protocol",
@@ -104,91 +106,93 @@
     }
 }
 
-/// A relay or a leaf, as the front that has its sockets sees it.
+/// A relay or a leaf, as seen by the code that owns its sockets.
 pub trait Node {
-    /// Links that are to be made now, and to whom.
+    /// Links that are to be opened now, and to which node.
     fn links_to_open(&mut self, now: f64) -> Vec<(LinkId, MemberId)>;
 
-    /// A link was taken from somebody who has not said who it is.
+    /// Registers an incoming link whose peer has not identified itself yet.
     fn accept_link(&mut self, now: f64) -> LinkId;
 
-    /// A link that was to be made is up.
+    /// Reports that a link that was to be opened is up.
     fn link_up(&mut self, now: f64, link: LinkId);
 
-    /// A link is down, or could not be made; whether its address refused it. Not called for those that [`Node::links_to_close`]
-    /// names.
+    /// Reports that a link is down or could not be opened; `refused` says whether its address refused it. Not called
+    /// for the links that [`Node::links_to_close`] returns.
     fn link_down(&mut self, now: f64, link: LinkId, refused: bool);
 
-    /// Takes a message; after an error the front closes the link and calls [`Node::link_down`].
+    /// Handles a message. After an error the caller closes the link and calls [`Node::link_down`].
     fn receive(&mut self, now: f64, link: LinkId, message: &Message) -> Result<(), LinkError>;
 
-    /// Links on which something may be said now. Called in every turn; each is asked by [`Node::next_message`] until it has nothing
-    /// more, or the link has no room.
+    /// Links on which something may be sent now. Called in every iteration of the event loop; the caller then calls
+    /// [`Node::next_message`] for each until it returns none, or the link can take no more.
     fn links_to_serve(&mut self, now: f64) -> Vec<LinkId>;
 
-    /// The next message for a link that has room.
+    /// The next message for a link that can take one.
     fn next_message(&mut self, now: f64, link: LinkId) -> Option<Message>;
 
-    /// A link that had no room has some again.
+    /// Reports that a link that could take no more is writable again.
     fn link_writable(&mut self, now: f64, link: LinkId);
 
-    /// Links that are to be closed, once what was said on them is written.
+    /// Links that are to be closed once what was sent on them is written.
     fn links_to_close(&mut self) -> Vec<LinkId>;
 
-    /// What time brings. Called before anything that came is taken, and when [`Node::next_tick_at`] says.
+    /// Handles whatever is due by now. Called before incoming messages are handled, and at the time that
+    /// [`Node::next_tick_at`] returns.
     fn tick(&mut self, now: f64);
 
-    /// When the next turn is wanted at the latest.
+    /// The latest time of the next call to [`Node::tick`].
     fn next_tick_at(&self) -> f64;
 }
 
-/// Times and bounds, in seconds and bytes.
+/// Intervals, timeouts and limits of relays and leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// Between two pings of a leaf to its relay.
+    /// Interval between pings of a leaf to its relay.
     pub ping_interval_s: f64,
-    /// The same while its answers are missing: that it is gone is to be certain soon.
+    /// The same while an answer is overdue, so that the loss of the relay is detected quickly.
     pub suspect_ping_interval_s: f64,
-    /// Answers count as missing after this.
+    /// An answer counts as overdue after this time.
     pub answer_overdue_s: f64,
-    /// Between two pings to the second choice.
+    /// Interval between pings to the second choice.
     pub second_ping_interval_s: f64,
-    /// A relay that answers nothing for so long is left.
+    /// A relay that answers nothing for this time is left.
     pub silent_after_s: f64,
-    /// A leaf attaches elsewhere by chance so much later, so that not all of a relay's come in one moment.
+    /// Upper bound of the random delay before a leaf attaches elsewhere, so that the leaves of a lost relay do not
+    /// all reconnect at the same moment.
     pub max_reattach_delay_s: f64,
-    /// A link that does not come up, or on which nobody says who it is, for so long is closed.
+    /// A link that does not come up, or on which the peer does not identify itself, is closed after this time.
     pub handshake_timeout_s: f64,
-    /// An attachment that is not answered for so long is tried anew.
+    /// An attach request that is not answered within this time is sent again.
     pub attach_timeout_s: f64,
-    /// Between two tries of a link, the first and the longest.
+    /// Delay before the first retry of a link; it doubles with each failure.
     pub min_dial_backoff_s: f64,
-    /// The longest.
+    /// Upper bound of that delay.
     pub max_dial_backoff_s: f64,
-    /// A better placed relay must have been there for so long before a leaf goes back to it, and by chance up to twice as
-    /// long: what comes back does not get all its leaves at once.
+    /// A preferred relay must have been reachable for this time, and by a random factor up to twice as long, before a
+    /// leaf returns to it. So a relay that comes back does not get all its leaves at once.
     pub return_delay_s: f64,
-    /// Between two digests to a leaf.
+    /// Interval between digests to a leaf.
     pub digest_interval_s: f64,
-    /// A leaf of which nothing is heard for so long is gone.
+    /// A leaf from which nothing is received for this time is gone.
     pub gone_after_silence_s: f64,
-    /// A leaf whose link was closed and that is attached nowhere after so long is gone.
+    /// A leaf whose link was closed and that is attached nowhere after this time is gone.
     pub gone_after_close_s: f64,
-    /// A leaf that is gone is told of for so long, so that those who were away hear of it.
+    /// A leaf that is gone is reported for this time, so that nodes that were away learn of it.
     pub forget_after_s: f64,
-    /// Bytes a second that a relay says to a leaf, packet headers counted, and in one burst.
+    /// Bytes per second that a relay sends to one leaf, packet headers included.
     pub leaf_bytes_per_s: f64,
-    /// The same, of a leaf to its relay.
+    /// Bytes per second that a leaf sends to its relay, packet headers included.
     pub report_bytes_per_s: f64,
-    /// What may be said at once after a pause, in seconds of the rate.
+    /// Size of the burst that may be sent after a pause, in seconds of the rate.
     pub burst_s: f64,
-    /// Most leaves of a relay.
+    /// The most leaves of a relay.
     pub max_leaves: usize,
-    /// A relay takes at most this many times what an even spread would give it.
+    /// A relay accepts at most this many times its even share of the leaves.
     pub max_load_ratio: f64,
-    /// What a leaf that is refused is told to wait before it asks the same relay again.
+    /// How long a refused leaf is told to wait before it asks the same relay again.
     pub refused_retry_s: f64,
-    /// A change of the settings that no majority has stored after so long is told as undecided.
+    /// A change of the settings that no majority has stored after this time is reported as undecided.
     pub undecided_after_s: f64,
 }
 
@@ -210,8 +214,8 @@
             gone_after_silence_s: 5.0,
             gone_after_close_s: 3.0,
             forget_after_s: 120.0,
-            // Over any 10 s both come to 7,070 bytes a second with their bursts, of 8,000 that a gatekeeper may spend: the
-            // rest is for pings to a second choice and for a new burst after a move.
+            // Over any 10 s both rates with their bursts come to 7,070 bytes per second, of 8,000 that a gatekeeper
+            // may spend. The rest is for pings to the second choice and for a new burst after a move.
             leaf_bytes_per_s: 5120.0,
             report_bytes_per_s: 1300.0,
             burst_s: 1.0,
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -1,8 +1,8 @@
-//! What relays and leaves say to each other, and its frames.
+//! Defines the messages between relays and leaves, and their frames.
 //!
-//! A frame is a length of four bytes, big-endian, that counts what follows, a byte for the kind, and the message as postcard
-//! has it. A kind that is not known here is passed over: a newer peer may say more. A known kind that cannot be read, or one
-//! with bytes left over, closes its link.
+//! A frame is a big-endian length of four bytes that counts what follows, one byte for the kind, and the message
+//! encoded by postcard. A message of an unknown kind is skipped: a newer peer may send more kinds. A message of a
+//! known kind that cannot be decoded, or that leaves bytes over, closes its link.
 
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::catch_up::Piece;
@@ -12,193 +12,195 @@
 
 use crate::settings::{Part, Revision};
 
-/// The version of what is said; and the oldest that is understood.
+/// The newest protocol version that this program supports.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// The oldest.
+/// The oldest protocol version that this program supports.
 pub const MIN_PROTOCOL_VERSION: u16 = 1;
-/// Longest frame, with its length.
+/// The longest frame, its length field included.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024;
+/// The size of the length field.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a leaf's name at most.
+/// The longest name of a leaf; longer names are truncated.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes of a reason at most.
+/// The longest reason for a rejected change; longer reasons are truncated.
 pub const MAX_REASON_BYTES: usize = 400;
 
-/// A leaf's first words on a link to a relay.
+/// The first message of a leaf on a link to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The oldest and the newest version of the protocol that it speaks.
+    /// The oldest and the newest protocol version that the leaf supports.
     pub protocol: (u16, u16),
-    /// Who speaks, and to which relay.
+    /// The leaf.
     pub from: MemberId,
-    /// To which relay.
+    /// The relay that the link is meant for.
     pub to: MemberId,
-    /// In which life.
+    /// The leaf's incarnation.
     pub incarnation: Incarnation,
-    /// Which records it needs.
+    /// The topic whose records the leaf needs.
     pub topic: Topic,
-    /// Its name, for operators; the relays need none. Bytes beyond [`MAX_NAME_BYTES`] are cut.
+    /// The leaf's name, for operators; the relays do not need it. Bytes beyond [`MAX_NAME_BYTES`] are cut off.
     pub name: String,
 }
 
 /// Which stream of records a message is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Feed {
-    /// What is known of the servers of the leaf's topic.
+    /// The servers of the leaf's topic.
     Servers,
-    /// Which leaves of that topic there are.
+    /// The leaves of that topic.
     Leaves,
-    /// What the leaf itself says.
+    /// What the leaf itself reports.
     Own,
 }
 
-/// What a copy of a stream has.
+/// How far a copy of a stream is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyState {
-    /// Whose stream, in which life.
+    /// Whose stream it is, and of which incarnation.
     pub origin: Origin,
-    /// Up to which version.
+    /// The version that the copy has reached.
     pub version: u64,
     /// The hash of its records.
     pub hash: u64,
 }
 
-/// A leaf wants this relay to be its own.
+/// A leaf's request to be attached to this relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attach {
-    /// The leaf's count of its attachments in this life.
+    /// How many times the leaf has asked for an attachment in this incarnation.
     pub moves: u32,
-    /// What it has of the feeds.
+    /// The state of its copy of the feed of servers.
     pub servers: Option<CopyState>,
-    /// The same, of leaves.
+    /// The state of its copy of the feed of leaves.
     pub leaves: Option<CopyState>,
     /// The settings that it holds.
     pub settings: Revision,
-    /// The settings that it serves by, where those are others.
+    /// The version of the settings in force at the leaf, which may be another one.
     pub in_force: u64,
 }
 
-/// Why a relay does not take a leaf.
+/// Why a relay refuses a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// It has its share of leaves, or as many as its file allows.
+    /// The relay has its share of leaves, or as many as its file allows.
     Full,
-    /// It ends, or sheds leaves.
+    /// The relay is shutting down, or sends leaves away.
     Shedding,
-    /// It has just started and does not know yet what the other relays know.
+    /// The relay has just started and does not know yet what the other relays know.
     CatchingUp,
 }
 
-/// What a relay has, for a leaf to compare.
+/// What a relay holds, for a leaf to compare with its own copies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The feed of servers.
     pub servers: CopyState,
     /// The feed of leaves.
     pub leaves: CopyState,
-    /// The leaf's own stream, as the relay has it: version and hash.
+    /// The relay's copy of the leaf's own stream: version and hash.
     pub own: (u64, u64),
     /// The settings of the fleet.
     pub settings: Revision,
 }
 
-/// A message.
+/// A message on a link between a leaf and a relay, or between two relays.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A leaf says who it is.
+    /// A leaf identifies itself.
     Hello(Hello),
-    /// The relay says who it is.
+    /// The relay identifies itself.
     Welcome {
-        /// Who.
+        /// The relay.
         relay: MemberId,
-        /// In which life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A leaf asks whether the relay is there.
+    /// A leaf checks that the relay answers.
     Ping(u32),
-    /// It is.
+    /// The relay's answer to a ping, with the ping's number.
     Pong(u32),
-    /// A leaf wants this relay to be its own.
+    /// A leaf asks to be attached to this relay.
     Attach(Attach),
-    /// It is. Up to which version its own stream is held.
+    /// The relay accepts the leaf and names the version up to which it holds the leaf's own stream.
     Attached(u64),
-    /// It is not; and after how many milliseconds it may ask again.
+    /// The relay refuses the leaf, and after how many milliseconds the leaf may ask again.
     Refused(Refusal, u32),
-    /// A leaf has another relay now; the link stays as its second choice.
+    /// The leaf is attached to another relay now; the link stays as its second choice.
     Detach,
-    /// What changed in a stream: of the relay's feeds to a leaf, or of a leaf's own to its relay.
+    /// What changed in a stream: one of the relay's feeds, sent to a leaf, or a leaf's own stream, sent to its relay.
     Records(Feed, Piece),
-    /// A stream has to be told anew from this version on; of which origin the receiver's copy is.
+    /// The receiver of a stream asks for it again, from the state of its copy on.
     Resync(Feed, Option<CopyState>),
-    /// What the relay has.
+    /// What the relay holds.
     Digest(Digest),
-    /// A part of the settings in force, or, among relays, of a change that is proposed.
+    /// A part of the settings in force or, among relays, of a proposed change.
     Settings {
-        /// Whether it is only proposed.
+        /// Whether the settings are only proposed.
         proposed: bool,
         /// The part.
         part: Part,
     },
-    /// The settings that the speaker holds, for one to tell it what it lacks.
+    /// The settings that the sender holds, so that the receiver can send what is missing.
     Lacks(Revision),
-    /// A leaf takes settings of this version, or says why not.
+    /// A leaf has applied the settings of this version, or reports why it has not.
     Verdict {
-        /// Which version.
+        /// The version.
         version: u64,
-        /// Why it does not.
+        /// Why the leaf rejected it; none if it is in force.
         refusal: Option<String>,
     },
-    /// The speaker ends.
+    /// The sender is shutting down.
     Leave,
-    /// Between relays: a word of the members of a small fleet.
+    /// Between relays: a message of the replication among the members of a mesh.
     Mesh(Word),
-    /// Between relays: which settings are in force as far as the speaker knows, and which it has stored as proposed.
+    /// Between relays: which settings are in force as far as the sender knows, and which ones it has stored as
+    /// proposed.
     Holds {
-        /// In force.
+        /// The settings in force.
         in_force: Revision,
-        /// Proposed.
+        /// The proposed settings.
         proposed: Revision,
     },
-    /// Between relays: the change of this version is to be told to the speaker; whether one that is only proposed.
+    /// Between relays: asks for the settings that follow those that the sender holds.
     Want {
-        /// Whether the proposed one.
+        /// Whether the proposed settings are meant, instead of those in force.
         proposed: bool,
-        /// What it holds.
+        /// What the sender holds.
         held: Revision,
     },
-    /// Between relays, to the writer: a leaf turned a change down.
+    /// Between relays, to the writer: a leaf rejected a change.
     TurnedDown {
-        /// Which leaf.
+        /// The leaf.
         leaf: MemberId,
         /// Its name.
         name: String,
-        /// Which version.
+        /// The version that it rejected.
         version: u64,
         /// Why.
         reason: String,
     },
-    /// Of a kind that is not known here.
+    /// A message of a kind that this program does not know.
     Unknown(u8),
 }
 
-/// Why bytes are no message.
+/// Why bytes are not a valid frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than may be.
-    #[error("a frame of {0} bytes, of which {MAX_FRAME_BYTES} may be")]
+    /// The frame is longer than the limit.
+    #[error("a frame of {0} bytes, at most {MAX_FRAME_BYTES} are allowed")]
     TooLong(usize),
-    /// Without a kind.
+    /// The frame has no kind.
     #[error("an empty frame")]
     Empty,
-    /// Bytes are left over.
-    #[error("{0} bytes behind a message of kind {1}")]
+    /// Bytes are left over after the message.
+    #[error("{0} bytes left over after a message of kind {1}")]
     LeftOver(usize, u8),
-    /// Not readable.
-    #[error("a message of kind {0} cannot be read: {1}")]
+    /// The message cannot be decoded.
+    #[error("a message of kind {0} cannot be decoded: {1}")]
     Unreadable(u8, postcard::Error),
 }
 
-fn read<T: serde::de::DeserializeOwned>(kind: u8, body: &[u8]) -> Result<T, FrameError> {
+fn decode_body<T: serde::de::DeserializeOwned>(kind: u8, body: &[u8]) -> Result<T, FrameError> {
     let (value, rest) = postcard::take_from_bytes(body).map_err(|e| FrameError::Unreadable(kind, e))?;
     match rest.len() {
         0 => Ok(value),
@@ -206,14 +208,14 @@
     }
 }
 
-/// A text of so many bytes at most.
-pub fn truncate(text: &str, most: usize) -> String {
-    let end = (0..=most.min(text.len())).rev().find(|n| text.is_char_boundary(*n)).unwrap_or(0);
+/// Truncates a text to at most `max_bytes` bytes, at a character boundary.
+pub fn truncate(text: &str, max_bytes: usize) -> String {
+    let end = (0..=max_bytes.min(text.len())).rev().find(|n| text.is_char_boundary(*n)).unwrap_or(0);
     text[..end].to_string()
 }
 
 impl Message {
-    /// The number of its kind in a frame. A number is never given to another kind.
+    /// The number of the message's kind in a frame. A number is never given to another kind.
     pub fn kind(&self) -> u8 {
         match self {
             Message::Hello(_) => 1,
@@ -239,7 +241,7 @@
         }
     }
 
-    /// The names of the kinds, for reports, by number.
+    /// The names of the kinds by number, for reports.
     pub const KINDS: [&'static str; 20] = [
         "unknown",
         "hello",
@@ -271,7 +273,7 @@
             Message::Ping(number) | Message::Pong(number) => bytes(number),
             Message::Attach(attach) => bytes(attach),
             Message::Attached(version) => bytes(version),
-            Message::Refused(why, retry_ms) => bytes(&(why, retry_ms)),
+            Message::Refused(reason, retry_ms) => bytes(&(reason, retry_ms)),
             Message::Records(feed, piece) => bytes(&(feed, piece)),
             Message::Resync(feed, held) => bytes(&(feed, held)),
             Message::Digest(digest) => bytes(digest),
@@ -286,7 +288,8 @@
         }
     }
 
-    /// Appends its frame; returns its bytes, 0 where it has no form that could be told, which nothing here makes.
+    /// Appends the frame of the message and returns its length. Returns 0 if the message cannot be encoded or is too
+    /// long, which no message built here is.
     pub fn encode(&self, out: &mut Vec<u8>) -> usize {
         let Ok(body) = self.body() else { return 0 };
         let whole = LENGTH_BYTES + 1 + body.len();
@@ -299,7 +302,8 @@
         whole
     }
 
-    /// Reads one from the start of the bytes, with its length; none while it is not whole.
+    /// Reads one message from the start of the bytes and returns it with the length of its frame; none while the
+    /// frame is incomplete.
     pub fn decode(data: &[u8]) -> Result<Option<(Message, usize)>, FrameError> {
         let Some(length) = data.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let whole = LENGTH_BYTES.saturating_add(u32::from_be_bytes(*length) as usize);
@@ -312,50 +316,50 @@
         let Some(frame) = data.get(LENGTH_BYTES..whole) else { return Ok(None) };
         let (kind, body) = (frame[0], &frame[1..]);
         let message = match kind {
-            1 => Message::Hello(read(kind, body)?),
+            1 => Message::Hello(decode_body(kind, body)?),
             2 => {
-                let (relay, incarnation) = read(kind, body)?;
+                let (relay, incarnation) = decode_body(kind, body)?;
                 Message::Welcome { relay, incarnation }
             }
-            3 => Message::Ping(read(kind, body)?),
-            4 => Message::Pong(read(kind, body)?),
-            5 => Message::Attach(read(kind, body)?),
-            6 => Message::Attached(read(kind, body)?),
+            3 => Message::Ping(decode_body(kind, body)?),
+            4 => Message::Pong(decode_body(kind, body)?),
+            5 => Message::Attach(decode_body(kind, body)?),
+            6 => Message::Attached(decode_body(kind, body)?),
             7 => {
-                let (why, retry_ms) = read(kind, body)?;
-                Message::Refused(why, retry_ms)
+                let (reason, retry_ms) = decode_body(kind, body)?;
+                Message::Refused(reason, retry_ms)
             }
             8 => Message::Detach,
             9 => {
-                let (feed, piece) = read(kind, body)?;
+                let (feed, piece) = decode_body(kind, body)?;
                 Message::Records(feed, piece)
             }
             10 => {
-                let (feed, held) = read(kind, body)?;
+                let (feed, held) = decode_body(kind, body)?;
                 Message::Resync(feed, held)
             }
-            11 => Message::Digest(read(kind, body)?),
+            11 => Message::Digest(decode_body(kind, body)?),
             12 => {
-                let (proposed, part) = read(kind, body)?;
+                let (proposed, part) = decode_body(kind, body)?;
                 Message::Settings { proposed, part }
             }
-            13 => Message::Lacks(read(kind, body)?),
+            13 => Message::Lacks(decode_body(kind, body)?),
             14 => {
-                let (version, refusal) = read(kind, body)?;
+                let (version, refusal) = decode_body(kind, body)?;
                 Message::Verdict { version, refusal }
             }
             15 => Message::Leave,
-            16 => Message::Mesh(read(kind, body)?),
+            16 => Message::Mesh(decode_body(kind, body)?),
             17 => {
-                let (in_force, proposed) = read(kind, body)?;
+                let (in_force, proposed) = decode_body(kind, body)?;
                 Message::Holds { in_force, proposed }
             }
             18 => {
-                let (proposed, held) = read(kind, body)?;
+                let (proposed, held) = decode_body(kind, body)?;
                 Message::Want { proposed, held }
             }
             19 => {
-                let (leaf, name, version, reason) = read(kind, body)?;
+                let (leaf, name, version, reason) = decode_body(kind, body)?;
                 Message::TurnedDown { leaf, name, version, reason }
             }
             unknown => Message::Unknown(unknown),
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,8 +1,9 @@
-//! The settings of the fleet: a set of named entries under one version.
+//! Holds the settings of the fleet: a set of named entries under one version.
 //!
-//! Every change writes its entries under the next version, so what changed after a version are the entries above it, and
-//! that is what is told. An entry that was removed stays without a text for a while; once one of those is dropped, who
-//! is behind it needs the whole set. Two sets of one content have one hash, whatever their versions.
+//! Each change writes its entries under the next version, so the changes after a version are the entries with a
+//! higher version, and only those are sent. A removed entry stays as a tombstone without text for a while; once a
+//! tombstone is dropped, a holder of an older version needs the whole set. Two sets with the same content have the
+//! same hash, whatever their versions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,80 +11,80 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Entries, bytes of an entry's name and text, and of all of them, at most. At a leaf's rate of 5,120 bytes a second a
-/// whole set of that size is there after 14 s.
+/// The most entries of a set.
 pub const MAX_ENTRIES: usize = 4096;
-/// Bytes of one entry.
+/// The most bytes of one entry, name and text together.
 pub const MAX_ENTRY_BYTES: usize = 4096;
-/// Bytes of all.
+/// The most bytes of all entries together. At a leaf's rate of 5,120 bytes per second a whole set of that size
+/// arrives within 14 s.
 pub const MAX_SET_BYTES: usize = 64 * 1024;
-/// Removed entries that are remembered.
+/// The most removed entries that are remembered.
 const MAX_REMOVED_ENTRIES: usize = 256;
-/// Bytes of entries in a part, about; one entry always fits.
+/// The approximate size of the entries in a part; a part always holds at least one entry.
 const TARGET_PART_BYTES: usize = 1024;
 
-/// A version of the settings, and a hash of their content.
+/// Identifies a set of settings by its version and the hash of its content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Revision {
-    /// The version; 0 is the empty set of the start.
+    /// The version; 0 is the empty set at the start.
     pub version: u64,
-    /// The hash of its entries.
+    /// The hash of the entries.
     pub hash: u64,
 }
 
-/// An entry as it is told.
+/// An entry as it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its name.
     pub name: String,
-    /// Under which version it was written.
+    /// The version under which it was written.
     pub version: u64,
-    /// Its text; none where it was removed.
+    /// Its text; none if the entry was removed.
     pub text: Option<String>,
 }
 
 /// Some of the entries that changed between two versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// After this version; 0 is the whole set.
+    /// The version that the changes build on; 0 means the whole set.
     pub from: u64,
     /// The set that results.
     pub upto: Revision,
-    /// Counts the parts, from 0.
+    /// The number of the part, from 0.
     pub number: u32,
-    /// Nothing follows.
+    /// Whether this is the last part.
     pub last: bool,
-    /// The entries, by version.
+    /// The entries, ordered by version.
     pub entries: Vec<Entry>,
 }
 
-/// Why a set is not taken.
+/// Why a set of entries is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SetError {
-    /// Too many entries.
-    #[error("{0} entries, of which {MAX_ENTRIES} may be: leave out what one instance alone needs, it belongs in its own file")]
+    /// The set has too many entries.
+    #[error("{0} entries, at most {MAX_ENTRIES} are allowed: move what only one instance needs to that instance's own file")]
     TooManyEntries(usize),
-    /// One is too long.
-    #[error("entry {name:?} has {bytes} bytes, of which {MAX_ENTRY_BYTES} may be: divide it")]
+    /// One entry is too long.
+    #[error("entry {name:?} has {bytes} bytes, at most {MAX_ENTRY_BYTES} are allowed: split it")]
     EntryTooLong {
-        /// Which.
+        /// The name of the entry.
         name: String,
-        /// Its bytes.
+        /// Its bytes, name and text together.
         bytes: usize,
     },
-    /// All together are too long.
-    #[error("{0} bytes in all, of which {MAX_SET_BYTES} may be: leave out what one instance alone needs, it belongs in its own file")]
+    /// All entries together are too long.
+    #[error("{0} bytes in total, at most {MAX_SET_BYTES} are allowed: move what only one instance needs to that instance's own file")]
     TooLong(usize),
-    /// A name stands twice.
-    #[error("a second entry {0:?}, expected one: join them")]
+    /// Two entries have the same name.
+    #[error("duplicate entry {0:?}: merge the two")]
     DuplicateName(String),
 }
 
-/// A set.
+/// A set of settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingsSet {
     revision: Revision,
-    /// Who is behind this needs the whole.
+    /// A holder of an older version than this one needs the whole set.
     horizon: u64,
     entries: BTreeMap<String, (u64, Option<Arc<str>>)>,
 }
@@ -98,12 +99,13 @@
         self.revision
     }
 
-    /// The entries that are there, by name.
+    /// The entries that are present, by name.
     pub fn entries(&self) -> impl Iterator<Item = (&str, &str)> {
         self.entries.iter().filter_map(|(name, (_, text))| Some((name.as_str(), text.as_deref()?)))
     }
 
-    /// The set that has just these entries, under the next version after `after`; the same set where nothing changes.
+    /// The set with exactly these entries, under the version that follows both its own and `after`; the same set if
+    /// nothing changes.
     pub fn with_entries(&self, after: u64, wanted: &[(String, String)]) -> Result<SettingsSet, SetError> {
         if wanted.len() > MAX_ENTRIES {
             return Err(SetError::TooManyEntries(wanted.len()));
@@ -111,10 +113,10 @@
         let mut bytes = 0;
         let mut new: BTreeMap<&str, &str> = BTreeMap::new();
         for (name, text) in wanted {
-            let one = name.len() + text.len();
-            bytes += one;
-            if one > MAX_ENTRY_BYTES {
-                return Err(SetError::EntryTooLong { name: name.clone(), bytes: one });
+            let entry_bytes = name.len() + text.len();
+            bytes += entry_bytes;
+            if entry_bytes > MAX_ENTRY_BYTES {
+                return Err(SetError::EntryTooLong { name: name.clone(), bytes: entry_bytes });
             }
             if new.insert(name, text).is_some() {
                 return Err(SetError::DuplicateName(name.clone()));
@@ -143,13 +145,13 @@
         Ok(set)
     }
 
-    /// Drops the oldest removed entries beyond the bound, and counts the hash.
+    /// Drops the oldest removed entries beyond the limit, and computes the hash.
     fn prune_and_hash(&mut self) {
         let mut removed: Vec<(u64, String)> =
             self.entries.iter().filter(|(_, e)| e.1.is_none()).map(|(n, e)| (e.0, n.clone())).collect();
         removed.sort();
-        let over = removed.len().saturating_sub(MAX_REMOVED_ENTRIES);
-        for (version, name) in removed.into_iter().take(over) {
+        let excess = removed.len().saturating_sub(MAX_REMOVED_ENTRIES);
+        for (version, name) in removed.into_iter().take(excess) {
             self.entries.remove(&name);
             self.horizon = self.horizon.max(version);
         }
@@ -157,19 +159,19 @@
             self.entries().fold(0, |hash, (name, text)| hash.wrapping_add(entry_hash(name, text)));
     }
 
-    /// From which version on a holder of this mark can be told the differences; 0 where it needs the whole.
+    /// The version from which a holder of this revision can be sent the differences; 0 if it needs the whole set.
     pub fn diff_base(&self, held: Revision) -> u64 {
-        let reaches = held.version >= self.horizon && held.version <= self.revision.version;
-        // Another set under the same version.
-        let other = held.version == self.revision.version && held.hash != self.revision.hash;
-        if reaches && !other {
+        let in_range = held.version >= self.horizon && held.version <= self.revision.version;
+        // A different set under the same version.
+        let conflicting = held.version == self.revision.version && held.hash != self.revision.hash;
+        if in_range && !conflicting {
             held.version
         } else {
             0
         }
     }
 
-    /// The part after so many entries of what changed after a version, and how many it has.
+    /// The part that follows the first `after` entries changed since a version, and its number of entries.
     pub fn part(&self, from: u64, after: usize, number: u32) -> (Part, usize) {
         let mut changed: Vec<(u64, &String, &Option<Arc<str>>)> = (self.entries.iter())
             .filter(|(_, e)| e.0 > from && (from > 0 || e.1.is_some()))
@@ -179,11 +181,11 @@
         let (mut entries, mut bytes) = (Vec::new(), 0);
         let mut left = changed.iter().skip(after).peekable();
         while let Some((version, name, text)) = left.peek() {
-            let one = name.len() + text.as_deref().map_or(0, str::len);
-            if !entries.is_empty() && bytes + one > TARGET_PART_BYTES {
+            let entry_bytes = name.len() + text.as_deref().map_or(0, str::len);
+            if !entries.is_empty() && bytes + entry_bytes > TARGET_PART_BYTES {
                 break;
             }
-            bytes += one;
+            bytes += entry_bytes;
             let text = text.as_deref().map(String::from);
             entries.push(Entry { name: (*name).clone(), version: *version, text });
             left.next();
@@ -194,7 +196,7 @@
     }
 }
 
-/// A set on its way in.
+/// A set that is being received in parts.
 #[derive(Clone, Debug)]
 pub struct IncomingSet {
     from: u64,
@@ -204,24 +206,24 @@
     bytes: usize,
 }
 
-/// Why a part was of no use.
+/// Why a part could not be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartError {
-    /// One before it is missing, or it builds on another version: it has to be told anew.
+    /// An earlier part is missing, or the part builds on another version: the set has to be sent again.
     Gap,
-    /// All came, and the result is another set than was told.
+    /// All parts have arrived, and the result is another set than was announced.
     HashMismatch,
     /// More than a set may have.
     TooLarge,
 }
 
 impl IncomingSet {
-    /// What it will be.
+    /// The revision that the complete set will have.
     pub fn target(&self) -> Revision {
         self.upto
     }
 
-    /// Takes a part; returns the whole set with the last one.
+    /// Accepts a part; returns the whole set with the last one.
     pub fn accept_part(
         held: &SettingsSet,
         incoming: &mut Option<IncomingSet>,
@@ -232,40 +234,40 @@
             *incoming = Some(IncomingSet { from, upto, next: 0, entries: Vec::new(), bytes: 0 });
         }
         let fits = |i: &IncomingSet| i.next == part.number && i.from == part.from && i.upto == part.upto;
-        let Some(mut whole) = incoming.take().filter(fits) else { return Err(PartError::Gap) };
+        let Some(mut pending) = incoming.take().filter(fits) else { return Err(PartError::Gap) };
         if part.from > 0 && part.from != held.revision.version {
             return Err(PartError::Gap);
         }
-        whole.next += 1;
-        whole.bytes +=
+        pending.next += 1;
+        pending.bytes +=
             part.entries.iter().map(|e| e.name.len() + e.text.as_ref().map_or(0, String::len)).sum::<usize>();
-        whole.entries.extend(part.entries.iter().cloned());
-        if whole.entries.len() > MAX_ENTRIES + MAX_REMOVED_ENTRIES || whole.bytes > 2 * MAX_SET_BYTES {
+        pending.entries.extend(part.entries.iter().cloned());
+        if pending.entries.len() > MAX_ENTRIES + MAX_REMOVED_ENTRIES || pending.bytes > 2 * MAX_SET_BYTES {
             return Err(PartError::TooLarge);
         }
         if !part.last {
-            *incoming = Some(whole);
+            *incoming = Some(pending);
             return Ok(None);
         }
-        let mut set = if whole.from == 0 { SettingsSet::default() } else { held.clone() };
-        // A whole set tells no removed entries, so this one reaches no further back than itself.
-        if whole.from == 0 {
-            set.horizon = whole.upto.version;
+        let mut set = if pending.from == 0 { SettingsSet::default() } else { held.clone() };
+        // A whole set lists no removed entries, so its history goes back no further than its own version.
+        if pending.from == 0 {
+            set.horizon = pending.upto.version;
         }
-        for entry in whole.entries {
+        for entry in pending.entries {
             set.entries.insert(entry.name, (entry.version, entry.text.map(Into::into)));
         }
-        set.revision.version = whole.upto.version;
+        set.revision.version = pending.upto.version;
         set.prune_and_hash();
-        match set.revision == whole.upto {
+        match set.revision == pending.upto {
             true => Ok(Some(set)),
             false => Err(PartError::HashMismatch),
         }
     }
 }
 
-/// A set on its way out on one link: the set as it was when the first part left, so that a change in between does not mix
-/// two versions.
+/// A set that is being sent on one link. It keeps the set as it was when the first part was sent, so that a change in
+/// between does not mix two versions.
 #[derive(Clone, Debug)]
 pub struct OutgoingSet {
     set: Arc<SettingsSet>,
@@ -275,18 +277,18 @@
 }
 
 impl OutgoingSet {
-    /// To one that holds this mark.
+    /// Starts sending a set to a receiver that holds `held`.
     pub fn new(set: Arc<SettingsSet>, held: Revision) -> OutgoingSet {
         let from = set.diff_base(held);
         OutgoingSet { set, from, after: 0, number: 0 }
     }
 
-    /// What it will be.
+    /// The revision of the set that is being sent.
     pub fn revision(&self) -> Revision {
         self.set.revision
     }
 
-    /// The next part.
+    /// Returns the next part to send.
     pub fn next_part(&mut self) -> Part {
         let (part, count) = self.set.part(self.from, self.after, self.number);
         self.after += count;
--- a/crates/relay/src/stream_copy.rs
+++ b/crates/relay/src/stream_copy.rs
@@ -1,7 +1,7 @@
-//! A stream told on one link as differences: where the teller is, and the copy at the other end.
+//! Replicates a stream over one link as differences: the position of the sender, and the copy at the receiver.
 //!
-//! On one link messages come in order, so the teller keeps a version and the copy takes only what begins at its own. A gap
-//! cannot come from a link that is sound; where one is found all the same, it is told anew.
+//! Messages on one link arrive in order, so the sender keeps a version and the copy accepts only a piece that begins
+//! at its own version. A sound link cannot cause a gap; if one is found anyway, the stream is sent again.
 
 use hollypaddle_replica::catch_up::Piece;
 use hollypaddle_replica::record::{Key, Origin};
@@ -9,21 +9,22 @@
 
 use crate::message::CopyState;
 
-/// Records in a message at most: about 1 KiB, so that what is more urgent waits for one packet at most.
+/// The most records in a message: about 1 KiB, so that more urgent messages wait for one packet at most.
 pub const MAX_PIECE_RECORDS: usize = 24;
-/// Records and tombstones of a copy at most.
+/// The most records and tombstones of a copy.
 pub const MAX_COPY_RECORDS: usize = 8192;
 
-/// Up to which version a stream was told on a link.
+/// The sender's position: up to which version a stream was sent on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
     after: u64,
-    /// Set while the whole stream is told: its version as the first piece left.
+    /// Set while the whole stream is sent: its version when the first piece was sent.
     base: Option<u64>,
 }
 
 impl Cursor {
-    /// Behind what the other end holds; the whole where that is of another origin, or of what this one cannot go on from.
+    /// Continues after the state that the receiver holds; starts with the whole stream if that state has another
+    /// origin or cannot be continued.
     pub fn resume(origin: Origin, stream: &Stream, held: Option<CopyState>) -> Cursor {
         let same = held.filter(|h| h.origin == origin && h.version <= stream.version());
         match same {
@@ -35,19 +36,19 @@
         }
     }
 
-    /// Before its first record.
+    /// The position before the first record.
     pub fn from_start() -> Cursor {
         Cursor { after: 0, base: Some(u64::MAX) }
     }
 
-    /// Whether there is more to be told.
+    /// Whether there is more to send.
     pub fn is_behind(&self, stream: &Stream) -> bool {
         self.base.is_some() || self.after < stream.version()
     }
 
-    /// What comes next.
+    /// Returns the next piece to send and moves the cursor past it.
     pub fn next_piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Piece {
-        // What was dropped since was not told.
+        // Tombstones that were dropped before they were sent: the receiver needs the whole stream.
         if self.after < stream.horizon() && self.base.is_none_or(|base| base < stream.horizon()) {
             *self = Cursor::from_start();
         }
@@ -72,37 +73,37 @@
     }
 }
 
-/// Why a piece was not taken.
+/// Why a piece was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceError {
-    /// Something before it is missing.
+    /// An earlier piece is missing.
     Gap,
-    /// It contradicts itself, or is too long.
+    /// The piece contradicts itself, or the copy would become too long.
     Malformed,
 }
 
-/// A copy of a stream.
+/// The copy of a stream at its receiver.
 #[derive(Clone, Debug, Default)]
 pub struct StreamCopy {
     origin: Option<Origin>,
     stream: Stream,
-    /// Another one, or the same one told anew, that is not whole yet.
+    /// A stream of another origin, or the same stream sent again, that is not complete yet.
     incoming: Option<(Origin, Stream)>,
 }
 
 impl StreamCopy {
-    /// What is held.
+    /// The records held.
     pub fn stream(&self) -> &Stream {
         &self.stream
     }
 
-    /// Of which origin, and how far.
+    /// The origin, version and hash of the copy; none before the first complete stream.
     pub fn state(&self) -> Option<CopyState> {
         let (version, hash) = (self.stream.version(), self.stream.hash());
         self.origin.map(|origin| CopyState { origin, version, hash })
     }
 
-    /// Takes a piece that was at most `lag` seconds on its way; returns the keys of what may have changed.
+    /// Applies a piece that was in transit for at most `lag` seconds. Returns the keys that may have changed.
     pub fn apply(&mut self, now: f64, lag: f64, piece: &Piece) -> Result<Vec<Key>, PieceError> {
         if piece.check().is_err() {
             return Err(PieceError::Malformed);
