--- a/crates/relay/src/relay/fleet_settings.rs
+++ b/crates/relay/src/relay/fleet_settings.rs
@@ -1,10 +1,10 @@
-//! The settings of the fleet: proposed by the writer, in force once a majority of relays has stored them, and recovered
-//! from leaves where all relays were gone.
+//! Manages the settings of the fleet: proposed by the writer, in force once a majority of relays has stored them, and
+//! recovered from leaves after all relays were gone.
 
 use super::*;
 
 impl Relay {
-    /// The settings in force, as far as is known here.
+    /// The settings in force, as far as this relay knows.
     pub fn settings(&self) -> &Arc<SettingsSet> {
         &self.in_force
     }
@@ -14,18 +14,21 @@
         self.proposed.as_ref().map(|(set, ..)| set.revision())
     }
 
-    pub(super) fn marks(&self) -> (Revision, Revision) {
+    /// The settings held here: in force, proposed.
+    pub(super) fn own_revisions(&self) -> (Revision, Revision) {
         (self.in_force.revision(), self.proposed().unwrap_or_default())
     }
 
-    /// Relays that are heard and hear this one, and have said on this link which settings they hold, the own one counted.
-    pub(super) fn heard(&self, now: f64) -> usize {
-        let mutual = self.mutual(now);
-        1 + self.peers.iter().filter(|(m, p)| p.holds.is_some() && mutual.contains(m)).count()
+    /// The number of relays, this one included, that are connected in both directions and have reported on this link
+    /// which settings they hold.
+    pub(super) fn reachable_relays(&self, now: f64) -> usize {
+        let mutual = self.mutually_connected(now);
+        1 + self.peers.iter().filter(|(m, p)| p.held_revisions.is_some() && mutual.contains(m)).count()
     }
 
-    /// The other relays that are heard and hear this one: with a way that is cut one way nothing can be asked for.
-    pub(super) fn mutual(&self, now: f64) -> BTreeSet<MemberId> {
+    /// The other relays that are connected in both directions: nothing can be requested over a link that is cut in
+    /// one direction.
+    pub(super) fn mutually_connected(&self, now: f64) -> BTreeSet<MemberId> {
         let rows = self.member.view().snapshot(now);
         rows.into_iter()
             .filter(|r| r.state == State::Alive && r.linked && !r.not_receiving)
@@ -33,23 +36,25 @@
             .collect()
     }
 
-    /// Proposes that the fleet's settings are just these entries. It is in force, and [`Event::InForce`] says so, once a
-    /// majority of relays has stored it; the mark that it will have is returned. Settings that are in force already are
-    /// their own mark.
+    /// Proposes that the settings of the fleet are exactly these entries, and returns the revision that they will
+    /// have. They are in force, and [`Event::InForce`] reports it, once a majority of relays has stored them. For
+    /// settings that are in force already their revision is returned.
+    /// | Fails if this relay is not the writer, is still catching up or reaches no majority, or if the set is
+    /// invalid.
     pub fn propose(&mut self, now: f64, wanted: &[(String, String)]) -> Result<Revision, SettingsError> {
         if self.identity.writer != self.identity.id {
             return Err(SettingsError::NotWriter);
         }
-        let (heard, all) = (self.heard(now), self.peers.len() + 1);
-        if 2 * heard <= all {
-            return Err(SettingsError::NoMajority { reachable: heard, total: all });
+        let (reachable, total) = (self.reachable_relays(now), self.peers.len() + 1);
+        if 2 * reachable <= total {
+            return Err(SettingsError::NoMajority { reachable, total });
         }
         if !self.member.ready() {
             return Err(SettingsError::CatchingUp);
         }
         let mark = self.propose_on(now, wanted)?;
         self.wanted = Some(wanted.to_vec());
-        self.decide(now);
+        self.decide_proposal(now);
         Ok(mark)
     }
 
@@ -57,70 +62,73 @@
     pub(super) fn propose_on(&mut self, now: f64, wanted: &[(String, String)]) -> Result<Revision, SetError> {
         let base =
             self.proposed.as_ref().map_or_else(|| Arc::clone(&self.in_force), |(set, ..)| Arc::clone(set));
-        let held = self.peers.values().filter_map(|p| p.holds).map(|(a, b)| a.version.max(b.version));
+        let held =
+            self.peers.values().filter_map(|p| p.held_revisions).map(|(a, b)| a.version.max(b.version));
         let latest = held.max().unwrap_or(0).max(self.in_force.revision().version);
         let set = base.with_entries(latest, wanted)?;
         let mark = set.revision();
         if mark != base.revision() {
             self.proposed = Some((Arc::new(set), now, false));
-            self.tell(Event::Proposed(mark));
+            self.record_event(Event::Proposed(mark));
         }
         Ok(mark)
     }
 
-    /// What the writer wants is proposed anew where other settings came in force, or where a relay holds others under the
-    /// version of the proposal: an earlier life of the writer left them, and they are older.
-    pub(super) fn renew(&mut self, now: f64) {
+    /// Proposes the writer's entries again if other settings came in force, or if a relay holds other settings under
+    /// the version of the proposal: those are older and were left by an earlier incarnation of the writer.
+    pub(super) fn renew_proposal(&mut self, now: f64) {
         let Some(wanted) = self.wanted.take() else { return };
         if let Some((set, ..)) = &self.proposed {
             let mark = set.revision();
             let other = |m: Revision| m.version >= mark.version && m != mark;
-            let holds = self.peers.values().filter_map(|p| p.holds);
-            if holds.into_iter().any(|(force, prop)| other(force) || other(prop)) {
+            let held = self.peers.values().filter_map(|p| p.held_revisions);
+            if held.into_iter().any(|(force, prop)| other(force) || other(prop)) {
                 self.proposed = None;
             }
         }
         if self.proposed.is_none() {
-            // It fitted when it was proposed first.
+            // The entries were valid when they were first proposed.
             _ = self.propose_on(now, &wanted);
         }
         self.wanted = Some(wanted);
     }
 
-    /// Takes a change in force that a majority has stored; tells it to those that have not.
-    pub(super) fn decide(&mut self, now: f64) {
+    /// Puts a change in force that a majority has stored; sends it to the relays that have not stored it.
+    pub(super) fn decide_proposal(&mut self, now: f64) {
         if self.identity.writer != self.identity.id {
             return;
         }
-        self.renew(now);
-        let Some((set, since, told)) = self.proposed.clone() else { return };
+        self.renew_proposal(now);
+        let Some((set, since, reported)) = self.proposed.clone() else { return };
         let mark = set.revision();
-        let stored = |p: &Peer| p.holds.is_some_and(|(force, prop)| prop == mark || force == mark);
+        let stored =
+            |p: &PeerRelay| p.held_revisions.is_some_and(|(force, prop)| prop == mark || force == mark);
         let count = 1 + self.peers.values().filter(|p| stored(p)).count();
         if 2 * count > self.peers.len() + 1 {
-            return self.take(now, set);
+            return self.put_in_force(now, set);
         }
-        if now - since >= self.timing.undecided_after_s && !told {
+        if now - since >= self.timing.undecided_after_s && !reported {
             self.proposed = Some((Arc::clone(&set), since, true));
-            self.tell(Event::Undecided(mark));
+            self.record_event(Event::Undecided(mark));
         }
         let mut woken = Vec::new();
         for peer in self.peers.values_mut() {
-            let Some((force, prop)) = peer.holds else { continue };
-            let lately = peer.pushed.is_some_and(|(of, at)| of == mark && now - at < PUSH);
-            if prop == mark || force.version >= mark.version || lately {
+            let Some((force, prop)) = peer.held_revisions else { continue };
+            let sent_recently = peer.pushed.is_some_and(|(of, at)| of == mark && now - at < PROPOSAL_RETRY_S);
+            if prop == mark || force.version >= mark.version || sent_recently {
                 continue;
             }
             peer.pushed = Some((mark, now));
             peer.outgoing = Some((true, OutgoingSet::new(Arc::clone(&set), force)));
             woken.extend(peer.link);
         }
-        woken.into_iter().for_each(|link| self.wake(link, now));
+        woken.into_iter().for_each(|link| self.wake_link_at(link, now));
     }
 
-    /// Settings are in force.
-    pub(super) fn take(&mut self, now: f64, set: Arc<SettingsSet>) {
-        // Of two of one version, which two lives of a writer can make, the greater hash counts, so that all agree.
+    /// Puts settings in force, unless they are older than those in force.
+    pub(super) fn put_in_force(&mut self, now: f64, set: Arc<SettingsSet>) {
+        // Two incarnations of a writer can create two sets of one version: the greater hash wins, so that all relays
+        // agree.
         if set.revision() <= self.in_force.revision() {
             return;
         }
@@ -129,48 +137,54 @@
         if self.proposed.as_ref().is_some_and(|(set, ..)| set.revision().version <= version) {
             self.proposed = None;
         }
-        self.tell(Event::InForce(self.in_force.revision()));
+        self.record_event(Event::InForce(self.in_force.revision()));
         let all: Vec<LinkId> = self.links.keys().copied().collect();
-        all.into_iter().for_each(|link| self.wake(link, now));
+        all.into_iter().for_each(|link| self.wake_link_at(link, now));
     }
 
-    pub(super) fn holds(&mut self, now: f64, from: MemberId, force: Revision, prop: Revision) {
+    /// Handles another relay's report of which settings it holds.
+    pub(super) fn handle_holds(&mut self, now: f64, from: MemberId, force: Revision, prop: Revision) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.holds = Some((force, prop));
+        peer.held_revisions = Some((force, prop));
         let mine = self.in_force.revision();
         let stored = self.proposed.clone().map(|(set, ..)| set);
         if force > mine {
             match stored.filter(|set| set.revision() == force) {
-                Some(set) => self.take(now, set),
-                None => self.want(now, from, false, mine),
+                Some(set) => self.put_in_force(now, set),
+                None => self.request_settings(now, from, false, mine),
             }
         }
-        // A writer that started anew finishes what an earlier life began: a majority may have stored it.
+        // A writer that has restarted completes what an earlier incarnation began: a majority may have stored it.
         let newest = self.proposed().unwrap_or_default().version.max(self.in_force.revision().version);
         if self.identity.writer == self.identity.id && prop.version > newest {
-            self.want(now, from, true, self.in_force.revision());
+            self.request_settings(now, from, true, self.in_force.revision());
         }
-        self.decide(now);
+        self.decide_proposal(now);
     }
 
-    pub(super) fn want(&mut self, now: f64, from: MemberId, proposed: bool, held: Revision) {
-        let Some(peer) = self.peers.get_mut(&from).filter(|p| now - p.want_at >= HOLDS / 2.0) else { return };
-        peer.want_at = now;
+    /// Requests settings from another relay.
+    pub(super) fn request_settings(&mut self, now: f64, from: MemberId, proposed: bool, held: Revision) {
+        let Some(peer) = self.peers.get_mut(&from).filter(|p| now - p.requested_at >= HOLDS_INTERVAL_S / 2.0)
+        else {
+            return;
+        };
+        peer.requested_at = now;
         if let Some(link) = peer.link {
             self.queue(now, link, Message::Want { proposed, held });
         }
     }
 
-    pub(super) fn part(
+    /// Accepts a part of settings from another relay.
+    pub(super) fn accept_settings_part(
         &mut self,
         now: f64,
         from: MemberId,
         proposed: bool,
         part: &crate::settings::Part,
     ) -> Result<(), LinkError> {
-        // The writer itself hears a proposal from others only as it asked for what an earlier life of it left.
+        // The writer itself receives a proposal only because it requested what an earlier incarnation of it left.
         if proposed && from != self.identity.writer && self.identity.id != self.identity.writer {
-            self.tell(Event::SecondWriter(from));
+            self.record_event(Event::SecondWriter(from));
             return Ok(());
         }
         let known = match proposed {
@@ -189,28 +203,26 @@
             Ok(Some(set)) if proposed => {
                 self.proposed = Some((Arc::new(set), now, false));
                 self.wake_relays(now);
-                self.decide(now);
-            }
-            Ok(Some(set)) => self.take(now, Arc::new(set)),
-            Err(PartError::Gap) => self.want(now, from, proposed, self.in_force.revision()),
-            Err(PartError::HashMismatch) => self.want(now, from, proposed, Revision::default()),
-            Err(PartError::TooLarge) => {
-                return Err(LinkError::Malformed("settings of more entries than may be"))
+                self.decide_proposal(now);
             }
+            Ok(Some(set)) => self.put_in_force(now, Arc::new(set)),
+            Err(PartError::Gap) => self.request_settings(now, from, proposed, self.in_force.revision()),
+            Err(PartError::HashMismatch) => self.request_settings(now, from, proposed, Revision::default()),
+            Err(PartError::TooLarge) => return Err(LinkError::Malformed("settings with too many entries")),
         }
         Ok(())
     }
 
-    /// Asks a leaf for settings that are later than those in force here: they were in force, and all relays that had stored
-    /// them were gone.
-    pub(super) fn recover(&mut self, now: f64) {
+    /// Requests settings from a leaf if it holds later ones than are in force here: they were in force, and all
+    /// relays that had stored them were gone.
+    pub(super) fn recover_settings(&mut self, now: f64) {
         let asked = |(link, at, _): &(LinkId, f64, Option<IncomingSet>)| {
-            self.links.contains_key(link) && now - at < GIVES
+            self.links.contains_key(link) && now - at < RECOVERY_TIMEOUT_S
         };
         if self.recovery.as_ref().is_some_and(asked) {
             return;
         }
-        // One that gave nothing in its time is passed over until it says anew what it holds.
+        // A leaf that sent nothing in time is skipped until it reports again what it holds.
         if let Some((silent, ..)) = self.recovery.take() {
             if let Some(link) = self.links.get_mut(&silent) {
                 link.settings = link.settings.min(self.in_force.revision());
@@ -224,8 +236,8 @@
         self.queue(now, id, Message::Lacks(mine));
     }
 
-    /// A part of settings that a leaf was asked for.
-    pub(super) fn recovered(&mut self, now: f64, id: LinkId, part: &crate::settings::Part) {
+    /// Accepts a part of settings that was requested from a leaf.
+    pub(super) fn accept_recovered_part(&mut self, now: f64, id: LinkId, part: &crate::settings::Part) {
         let Some((link, at, incoming)) = self.recovery.as_mut().filter(|r| r.0 == id) else { return };
         debug_assert_eq!(*link, id);
         *at = now;
@@ -233,10 +245,11 @@
             Ok(None) => {}
             Ok(Some(set)) => {
                 self.recovery = None;
-                self.take(now, Arc::new(set));
-                self.decide(now);
+                self.put_in_force(now, Arc::new(set));
+                self.decide_proposal(now);
             }
-            // It builds on others than are in force here by now, or is none: the whole, or somebody else.
+            // The part does not fit the settings in force here, which may have changed since the request: request the
+            // whole set.
             Err(PartError::Gap) => self.queue(now, id, Message::Lacks(Revision::default())),
             Err(PartError::HashMismatch | PartError::TooLarge) => {
                 self.recovery = None;
--- a/crates/relay/src/relay/leaf_messages.rs
+++ b/crates/relay/src/relay/leaf_messages.rs
@@ -1,10 +1,12 @@
-//! What is said to leaves and heard from them.
+//! Builds the messages to leaves, and handles the messages from them.
 
 use super::*;
 
 impl Relay {
-    pub(super) fn say_to_leaf(&mut self, now: f64, id: LinkId, topic: Topic) -> Option<Message> {
-        let (feed, in_force) = (self.feed, Arc::clone(&self.in_force));
+    /// The next message to an attached leaf, by priority: servers, settings, leaves, digest. None if the budget is
+    /// used up or nothing is due.
+    pub(super) fn next_message_to_leaf(&mut self, now: f64, id: LinkId, topic: Topic) -> Option<Message> {
+        let (feed, in_force) = (self.feed_origin, Arc::clone(&self.in_force));
         let feeds = self.topics.get(&topic)?;
         let link = self.links.get_mut(&id)?;
         if !link.budget.can_send(now) {
@@ -26,59 +28,58 @@
         if link.leaves.is_behind(&feeds.leaves) {
             return Some(Message::Records(Feed::Leaves, link.leaves.next_piece(now, feed, &feeds.leaves)));
         }
-        if now < link.next_digest {
+        if now < link.next_digest_at {
             return None;
         }
-        link.next_digest = now + self.timing.digest_interval_s;
+        link.next_digest_at = now + self.timing.digest_interval_s;
         let copied = |s: &Stream| CopyState { origin: feed, version: s.version(), hash: s.hash() };
-        let Who::Leaf(leaf, ..) = link.who else { return None };
+        let LinkPeer::Leaf(leaf, ..) = link.peer else { return None };
         let own =
             self.leaves.get(&leaf).map_or((0, 0), |a| (a.copy.stream().version(), a.copy.stream().hash()));
         let (servers, leaves) = (copied(&feeds.servers), copied(&feeds.leaves));
         Some(Message::Digest(Digest { servers, leaves, own, settings: self.in_force.revision() }))
     }
 
-    pub(super) fn hear_leaf(
+    /// Handles a message from a leaf.
+    pub(super) fn handle_leaf_message(
         &mut self,
         now: f64,
         id: LinkId,
-        who: (MemberId, Incarnation, Topic),
+        peer: (MemberId, Incarnation, Topic),
         message: &Message,
     ) -> Result<(), LinkError> {
-        let (leaf, life, topic) = who;
+        let (leaf, life, topic) = peer;
         let attached = self.leaves.get(&leaf).is_some_and(|a| a.link == Some(id));
         if attached && self.leaves.get(&leaf).is_some_and(|a| a.presence == Presence::Silent) {
-            self.found(now, leaf, Presence::Here);
+            self.set_presence(now, leaf, Presence::Here);
         }
         match message {
             Message::Ping(number) => self.queue(now, id, Message::Pong(*number)),
-            Message::Attach(attach) => self.attach(now, id, leaf, life, topic, attach),
+            Message::Attach(attach) => self.handle_attach(now, id, leaf, life, topic, attach),
             Message::Leave => {
                 if let Some(a) = self.leaves.get_mut(&leaf).filter(|_| attached) {
                     a.link = None;
-                    self.found(now, leaf, Presence::Left);
+                    self.set_presence(now, leaf, Presence::Left);
                 }
-                self.close(now, id);
+                self.close_link(now, id);
             }
             _ if !attached => {}
             Message::Detach => {
                 if let Some(a) = self.leaves.get_mut(&leaf) {
                     (a.link, a.moved) = (None, true);
-                    self.found(now, leaf, Presence::Closed);
+                    self.set_presence(now, leaf, Presence::Closed);
                 }
             }
             Message::Records(Feed::Own, piece) => {
-                let late = self.links.get(&id).map_or((f64::NEG_INFINITY, 0.0), |l| l.late);
-                let lag = self.paused.max(if now <= late.0 { late.1 } else { 0.0 });
+                let late = self.links.get(&id).map_or((f64::NEG_INFINITY, 0.0), |l| l.delayed);
+                let lag = self.paused_s.max(if now <= late.0 { late.1 } else { 0.0 });
                 let Some(a) = self.leaves.get_mut(&leaf) else { return Ok(()) };
                 if piece.origin != (Origin { member: leaf, life }) {
                     return Err(LinkError::Malformed("records of another origin"));
                 }
                 match a.copy.apply(now, lag, piece) {
-                    Ok(keys) => self.aggregate(now, topic, &keys),
-                    Err(PieceError::Malformed) => {
-                        return Err(LinkError::Malformed("records that make no sense"))
-                    }
+                    Ok(keys) => self.merge_leaf_records(now, topic, &keys),
+                    Err(PieceError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
                     Err(PieceError::Gap) => {
                         let held = a.copy.state();
                         self.counts.resyncs += 1;
@@ -88,7 +89,7 @@
             }
             Message::Resync(feed, held) => {
                 self.counts.resyncs += 1;
-                let own = self.feed;
+                let own = self.feed_origin;
                 let (Some(feeds), Some(link)) = (self.topics.get(&topic), self.links.get_mut(&id)) else {
                     return Ok(());
                 };
@@ -97,16 +98,16 @@
                     Feed::Leaves => link.leaves = Cursor::resume(own, &feeds.leaves, *held),
                     Feed::Own => return Err(LinkError::OutOfPlace),
                 }
-                self.wake(id, now);
+                self.wake_link_at(id, now);
             }
             Message::Lacks(mark) => {
                 self.counts.resyncs += 1;
                 if let Some(link) = self.links.get_mut(&id) {
                     (link.settings, link.outgoing) = (*mark, None);
                 }
-                self.wake(id, now);
+                self.wake_link_at(id, now);
             }
-            Message::Settings { proposed: false, part } => self.recovered(now, id, part),
+            Message::Settings { proposed: false, part } => self.accept_recovered_part(now, id, part),
             Message::Verdict { version, refusal: refused } => {
                 let Some(a) = self.leaves.get_mut(&leaf) else { return Ok(()) };
                 let reason = refused.as_ref().map(|reason| truncate(reason, MAX_REASON_BYTES));
@@ -114,7 +115,7 @@
                     None => (a.in_force, a.turned_down) = (*version, None),
                     Some(reason) => {
                         a.turned_down = Some((*version, reason.clone()));
-                        self.turned_down(now, leaf, *version, reason);
+                        self.report_rejection(now, leaf, *version, reason);
                     }
                 }
             }
--- a/crates/relay/src/relay/leaves.rs
+++ b/crates/relay/src/relay/leaves.rs
@@ -1,10 +1,12 @@
-//! The leaves that are attached to a relay: greeted, taken, refused, found silent or gone, and what they say.
+//! Manages the leaves attached to a relay: how they are accepted and refused, when they count as silent or gone, and
+//! what they report.
 
-use super::feeds::join;
+use super::feeds::merge_values;
 use super::*;
 
 impl Relay {
-    pub(super) fn hello(&mut self, now: f64, id: LinkId, hello: &Hello) -> Result<(), LinkError> {
+    /// Handles the first message of a leaf on a link.
+    pub(super) fn handle_hello(&mut self, now: f64, id: LinkId, hello: &Hello) -> Result<(), LinkError> {
         let (least, most) = hello.protocol;
         if least > PROTOCOL_VERSION || most < MIN_PROTOCOL_VERSION {
             return Err(LinkError::Protocol { oldest: least, newest: most });
@@ -17,21 +19,22 @@
             return Err(LinkError::OutOfPlace);
         }
         let later = |life: &Incarnation| *life > hello.incarnation;
-        let linked = |l: &Link| matches!(&l.who, Who::Leaf(m, life, _) if *m == leaf && later(life));
-        // One whose clock was set back comes with an earlier life than its last, which nobody lives any more.
+        let linked = |l: &Link| matches!(&l.peer, LinkPeer::Leaf(m, life, _) if *m == leaf && later(life));
+        // Only a live link counts: a leaf whose clock was set back comes with an earlier incarnation than its last
+        // one, which has ended.
         if self.links.values().any(linked) {
             return Err(LinkError::StaleLife);
         }
-        let leaves = self.links.values().filter(|l| matches!(l.who, Who::Leaf(..))).count();
-        // Each leaf has one link here, its own relay's or its second choice's.
-        if leaves >= 2 * self.timing.max_leaves + STRANGERS {
+        let leaves = self.links.values().filter(|l| matches!(l.peer, LinkPeer::Leaf(..))).count();
+        // Each leaf has one link here, either as to its own relay or as to its second choice.
+        if leaves >= 2 * self.timing.max_leaves + MAX_UNIDENTIFIED_LINKS {
             return Err(LinkError::Full);
         }
-        let of = |l: &Link| matches!(l.who, Who::Leaf(m, ..) if m == leaf);
+        let of = |l: &Link| matches!(l.peer, LinkPeer::Leaf(m, ..) if m == leaf);
         let old: Vec<LinkId> = self.links.iter().filter(|(_, l)| of(l)).map(|(id, _)| *id).collect();
-        old.into_iter().for_each(|old| self.close(now, old));
+        old.into_iter().for_each(|old| self.close_link(now, old));
         if let Some(link) = self.links.get_mut(&id) {
-            link.who = Who::Leaf(leaf, hello.incarnation, hello.topic);
+            link.peer = LinkPeer::Leaf(leaf, hello.incarnation, hello.topic);
         }
         self.learn_name(leaf, &hello.name);
         let welcome = Message::Welcome { relay: self.identity.id, incarnation: self.identity.incarnation };
@@ -41,16 +44,17 @@
 
     /// How many leaves this relay may have now.
     pub fn leaf_limit(&self) -> usize {
-        self.share.limit().min(self.timing.max_leaves)
+        self.load_limit.limit().min(self.timing.max_leaves)
     }
 
-    /// Up to how many leaves this relay takes further ones now: what it may have as soon as leaves had time to go home.
+    /// Up to how many leaves this relay accepts further ones now. The number of leaves that it may have falls to this
+    /// as leaves return to their preferred relays.
     pub fn accept_limit(&self) -> usize {
         let all = Key::Leaf(Topic(0), MemberId(0))..=Key::Leaf(Topic(u32::MAX), MemberId(u64::MAX));
-        let streams = self.member.store().streams().filter(|(origin, _)| self.counted(origin));
+        let streams = self.member.store().streams().filter(|(origin, _)| self.is_current(origin));
         let said = streams.flat_map(|(_, stream)| stream.range(all.clone()));
-        // Who moves is told of by two relays for a while, and who is gone by one.
-        let there: BTreeSet<MemberId> = said
+        // A leaf that is moving is reported by two relays for a while, and one that is gone by one relay.
+        let present: BTreeSet<MemberId> = said
             .filter_map(|(key, _, value)| match (key, value) {
                 (Key::Leaf(_, leaf), Value::Leaf(fact)) => {
                     (!matches!(fact.presence, Presence::Gone | Presence::Left)).then_some(leaf)
@@ -58,19 +62,21 @@
                 _ => None,
             })
             .collect();
-        let all = there.len();
+        let total = present.len();
         let alive = |m: &MemberId| matches!(self.member.view().state(*m), State::Alive);
         let relays = 1 + self.peers.keys().filter(|m| alive(m)).count();
-        leaf_limit(all, relays, self.timing.max_load_ratio, self.timing.max_leaves)
+        leaf_limit(total, relays, self.timing.max_load_ratio, self.timing.max_leaves)
     }
 
-    pub(super) fn refuse(&mut self, now: f64, id: LinkId, leaf: MemberId, why: Refusal, seconds: f64) {
+    /// Refuses a leaf for a number of seconds.
+    pub(super) fn refuse(&mut self, now: f64, id: LinkId, leaf: MemberId, reason: Refusal, seconds: f64) {
         self.counts.refused += 1;
-        self.queue(now, id, Message::Refused(why, (seconds * 1000.0) as u32));
-        self.tell(Event::Refused(leaf, why));
+        self.queue(now, id, Message::Refused(reason, (seconds * 1000.0) as u32));
+        self.record_event(Event::Refused(leaf, reason));
     }
 
-    pub(super) fn attach(
+    /// Accepts or refuses a leaf that asks to be attached.
+    pub(super) fn handle_attach(
         &mut self,
         now: f64,
         id: LinkId,
@@ -80,28 +86,32 @@
         attach: &Attach,
     ) {
         let known = self.leaves.get(&leaf);
-        let again = known.is_some_and(|a| a.link == Some(id) && a.life == life && a.moves == attach.moves);
-        if !again {
-            if self.ending {
+        let repeated = known.is_some_and(|a| a.link == Some(id) && a.life == life && a.moves == attach.moves);
+        if !repeated {
+            if self.shutting_down {
                 return self.refuse(now, id, leaf, Refusal::Shedding, self.timing.refused_retry_s);
             }
             if !self.member.ready() {
-                return self.refuse(now, id, leaf, Refusal::CatchingUp, CATCHING_UP);
+                return self.refuse(now, id, leaf, Refusal::CatchingUp, CATCHING_UP_RETRY_S);
             }
             let here = known.is_some_and(|a| a.link.is_some());
-            let topics = !self.topics.contains_key(&topic) && self.topics.len() >= TOPICS;
+            let topics = !self.topics.contains_key(&topic) && self.topics.len() >= MAX_TOPICS;
             let takes = self.accept_limit();
-            self.share.raise_to(takes);
+            self.load_limit.raise_to(takes);
             if !here && self.attached_count() >= takes || topics {
-                // Where its share is reached, another relay has room, or this one does once it hears of more leaves.
-                let most = self.attached_count() >= self.timing.max_leaves || topics;
-                let retry =
-                    if most { self.timing.refused_retry_s } else { self.timing.refused_retry_s.min(SHARED) };
+                // If only the share is reached, another relay accepts the leaf, or this one does once it learns of
+                // more leaves.
+                let full = self.attached_count() >= self.timing.max_leaves || topics;
+                let retry = if full {
+                    self.timing.refused_retry_s
+                } else {
+                    self.timing.refused_retry_s.min(SHARE_RETRY_S)
+                };
                 let retry = retry * (0.5 + stable_fraction(leaf, u64::from(attach.moves)));
                 return self.refuse(now, id, leaf, Refusal::Full, retry);
             }
             if known.is_some_and(|a| a.topic != topic) {
-                self.forget(now, leaf);
+                self.forget_leaf(now, leaf);
             }
         }
         let old = self.leaves.remove(&leaf).filter(|a| a.life == life);
@@ -110,7 +120,7 @@
         let (presence, in_force) = (Presence::Here, attach.in_force);
         self.leaves.insert(
             leaf,
-            Attached {
+            AttachedLeaf {
                 life,
                 topic,
                 moves: attach.moves,
@@ -124,39 +134,40 @@
                 turned_down: None,
             },
         );
-        self.counts.attached += u64::from(!again);
+        self.counts.attached += u64::from(!repeated);
         self.open_topic(now, topic);
-        let feed = self.feed;
+        let feed = self.feed_origin;
         if let Some(feeds) = self.topics.get_mut(&topic) {
             feeds.members.insert(leaf);
             if let Some(link) = self.links.get_mut(&id) {
                 link.servers = Cursor::resume(feed, &feeds.servers, attach.servers);
                 link.leaves = Cursor::resume(feed, &feeds.leaves, attach.leaves);
                 (link.settings, link.outgoing) = (attach.settings, None);
-                // Spread over the time between two.
-                link.next_digest =
+                // The first digests of the leaves are spread over the interval.
+                link.next_digest_at =
                     now + self.timing.digest_interval_s * (0.5 + 0.5 * stable_fraction(leaf, id.0));
             }
         }
-        self.publish(now, leaf);
-        self.recount(now, leaf);
+        self.publish_presence(now, leaf);
+        self.merge_all_records_of(now, leaf);
         self.queue(now, id, Message::Attached(held));
     }
 
-    /// Begins the feeds of a topic, from what all relays say of it.
+    /// Starts the feeds of a topic from what all relays report of it.
     pub(super) fn open_topic(&mut self, now: f64, topic: Topic) {
         if self.topics.contains_key(&topic) {
             return;
         }
         let mut feeds = TopicFeeds::default();
-        feeds.servers.reaches(self.floor, self.floor);
-        feeds.leaves.reaches(self.floor, self.floor);
+        feeds.servers.reaches(self.min_feed_version, self.min_feed_version);
+        feeds.leaves.reaches(self.min_feed_version, self.min_feed_version);
         self.topics.insert(topic, feeds);
         for key in self.keys_of(topic) {
-            self.refresh(now, &key);
+            self.refresh_key(now, &key);
         }
     }
 
+    /// All keys of a topic in the streams of all relays.
     pub(super) fn keys_of(&self, topic: Topic) -> BTreeSet<Key> {
         let servers = Key::TopicServer(topic, ServerKey(0))..=Key::TopicServer(topic, ServerKey(u64::MAX));
         let silent = Key::TopicSilent(topic, ServerKey(0))..=Key::TopicSilent(topic, ServerKey(u64::MAX));
@@ -170,15 +181,17 @@
         keys
     }
 
-    /// Writes how a leaf is found.
-    pub(super) fn publish(&mut self, now: f64, leaf: MemberId) {
+    /// Writes the presence of a leaf into the own stream.
+    pub(super) fn publish_presence(&mut self, now: f64, leaf: MemberId) {
         let Some(a) = self.leaves.get(&leaf) else { return };
         let fact = LeafFact { life: a.life, moves: a.moves, presence: a.presence };
         self.member.publish(now, Key::Leaf(a.topic, leaf), Some(Value::Leaf(fact)));
         self.wake_relays(now);
     }
 
-    pub(super) fn found(&mut self, now: f64, leaf: MemberId, presence: Presence) {
+    /// Changes the presence of a leaf, publishes and logs it. A leaf that has moved to another relay is neither
+    /// published nor logged.
+    pub(super) fn set_presence(&mut self, now: f64, leaf: MemberId, presence: Presence) {
         let Some(a) = self.leaves.get_mut(&leaf).filter(|a| a.presence != presence) else { return };
         (a.presence, a.since) = (presence, now);
         if a.moved {
@@ -186,47 +199,48 @@
         }
         self.counts.silent += u64::from(presence == Presence::Silent);
         self.counts.gone += u64::from(presence == Presence::Gone);
-        self.publish(now, leaf);
+        self.publish_presence(now, leaf);
         if matches!(presence, Presence::Gone | Presence::Left) {
-            self.recount(now, leaf);
+            self.merge_all_records_of(now, leaf);
         }
-        self.tell(Event::LeafPresence(leaf, presence));
+        self.record_event(Event::LeafPresence(leaf, presence));
     }
 
-    /// A leaf is no longer this relay's to speak of.
-    pub(super) fn forget(&mut self, now: f64, leaf: MemberId) {
+    /// Removes a leaf that this relay no longer reports on.
+    pub(super) fn forget_leaf(&mut self, now: f64, leaf: MemberId) {
         let Some(a) = self.leaves.remove(&leaf) else { return };
         self.member.publish(now, Key::Leaf(a.topic, leaf), None);
         if let Some(feeds) = self.topics.get_mut(&a.topic) {
             feeds.members.remove(&leaf);
         }
         let keys: Vec<Key> = a.copy.stream().range(..).map(|(key, ..)| key).collect();
-        self.aggregate(now, a.topic, &keys);
+        self.merge_leaf_records(now, a.topic, &keys);
         if self.topics.get(&a.topic).is_some_and(|t| t.members.is_empty()) {
             if let Some(old) = self.topics.remove(&a.topic) {
-                self.floor = self.floor.max(old.servers.version()).max(old.leaves.version()) + 1;
+                self.min_feed_version =
+                    self.min_feed_version.max(old.servers.version()).max(old.leaves.version()) + 1;
             }
         }
     }
 
-    /// Joins anew what a leaf has said, as it counts or no longer counts.
-    pub(super) fn recount(&mut self, now: f64, leaf: MemberId) {
+    /// Merges again all that a leaf has reported, after it began or ceased to count.
+    pub(super) fn merge_all_records_of(&mut self, now: f64, leaf: MemberId) {
         let Some(a) = self.leaves.get(&leaf) else { return };
         let (topic, keys) = (a.topic, a.copy.stream().range(..).map(|(key, ..)| key).collect::<Vec<Key>>());
-        self.aggregate(now, topic, &keys);
+        self.merge_leaf_records(now, topic, &keys);
     }
 
-    /// Joins what the leaves of a topic say about these keys of theirs, into the own stream.
-    pub(super) fn aggregate(&mut self, now: f64, topic: Topic, keys: &[Key]) {
+    /// Merges what the leaves of a topic report about these keys into the own stream.
+    pub(super) fn merge_leaf_records(&mut self, now: f64, topic: Topic, keys: &[Key]) {
         let members: Vec<MemberId> =
             self.topics.get(&topic).map_or(Vec::new(), |t| t.members.iter().copied().collect());
-        let counts = |a: &&Attached| !a.stale && !matches!(a.presence, Presence::Gone | Presence::Left);
+        let counts = |a: &&AttachedLeaf| !a.stale && !matches!(a.presence, Presence::Gone | Presence::Left);
         for key in keys {
             let all = members.iter().filter_map(|m| self.leaves.get(m)).filter(counts);
             let said = all.filter_map(|a| a.copy.stream().get(key));
             let (key, joined) = match key {
-                Key::Server(server) => (Key::TopicServer(topic, *server), join(said)),
-                Key::Silent(server) => (Key::TopicSilent(topic, *server), join(said)),
+                Key::Server(server) => (Key::TopicServer(topic, *server), merge_values(said)),
+                Key::Silent(server) => (Key::TopicSilent(topic, *server), merge_values(said)),
                 _ => continue,
             };
             match joined {
--- a/crates/relay/src/relay/mesh.rs
+++ b/crates/relay/src/relay/mesh.rs
@@ -1,59 +1,63 @@
-//! What is said to the other relays and heard from them.
+//! Sends messages to the other relays and handles those that are received from them.
 
 use super::*;
 
 impl Relay {
-    pub(super) fn greet(&mut self, now: f64, id: LinkId, word: &Word) -> Result<(), LinkError> {
+    /// Handles the first message of another relay on a link.
+    pub(super) fn handle_mesh_hello(&mut self, now: f64, id: LinkId, word: &Word) -> Result<(), LinkError> {
         let Word::Hello { from, .. } = word else { return Err(LinkError::OutOfPlace) };
         let from = *from;
         let own = self.identity.id;
-        // Both may have made a link in one moment: the one of the lower id's stays, at both ends.
+        // Both relays may have opened a link at the same time: both keep the one opened by the relay with the lower
+        // id.
         let by_lower = |dialed: bool| dialed == (own < from);
         let older = self.peers.get(&from).and_then(|p| self.links.get(&p.link?));
-        let keeps = |old: &Link| by_lower(old.dialed) && now - old.heard_at < STALE;
+        let keeps = |old: &Link| by_lower(old.dialed) && now - old.last_heard_at < STALE_LINK_S;
         let Some(link) = self.links.get(&id) else { return Ok(()) };
         let dialed = link.dialed;
         if !by_lower(dialed) && older.is_some_and(keeps) {
             return Err(LinkError::SecondLink);
         }
-        if let Who::Relay(to, _) = link.who {
+        if let LinkPeer::Relay(to, _) = link.peer {
             if to != from {
                 return Err(LinkError::NotForUs);
             }
         }
         let greeted = self.member.greeted(now, word);
-        // Whoever makes the link says hello first, and hears which life of it is known here also if it is refused.
+        // The relay that opened the link says hello first. It gets an answer even if it is refused, so that it learns
+        // which incarnation of it is known here.
         if !dialed && self.peers.contains_key(&from) {
             let hello = Message::Mesh(self.member.hello(now, from));
             self.queue(now, id, hello);
         }
         greeted?;
         if let Some(old) = self.peers.get(&from).and_then(|p| p.link).filter(|old| *old != id) {
-            // The end of an earlier one was not heard. The new one is linked already, so the member hears nothing of it.
+            // The end of an earlier link was not noticed. The new one is linked already, so the member is not told.
             if let Some(link) = self.links.remove(&old) {
-                if let Some(at) = link.wake {
-                    self.wakes.remove(&(at, old));
+                if let Some(at) = link.wake_at {
+                    self.wake_queue.remove(&(at, old));
                 }
-                self.closes.push(old);
+                self.to_close.push(old);
             }
         }
         if let Some(link) = self.links.get_mut(&id) {
-            link.who = Who::Relay(from, true);
+            link.peer = LinkPeer::Relay(from, true);
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            (peer.link, peer.pause) = (Some(id), self.timing.min_dial_backoff_s);
-            (peer.holds, peer.told, peer.outgoing, peer.pushed) = (None, None, None, None);
+            (peer.link, peer.backoff_s) = (Some(id), self.timing.min_dial_backoff_s);
+            (peer.held_revisions, peer.sent_revisions, peer.outgoing, peer.pushed) = (None, None, None, None);
             peer.incoming = [None, None];
         }
-        self.wake(id, now);
+        self.wake_link_at(id, now);
         Ok(())
     }
 
-    pub(super) fn say_to_relay(&mut self, now: f64, relay: MemberId) -> Option<Message> {
-        let marks = self.marks();
+    /// The next message to another relay.
+    pub(super) fn next_message_to_relay(&mut self, now: f64, relay: MemberId) -> Option<Message> {
+        let marks = self.own_revisions();
         let peer = self.peers.get_mut(&relay)?;
-        if peer.told.is_none_or(|(told, at)| told != marks || now - at >= HOLDS) {
-            peer.told = Some((marks, now));
+        if peer.sent_revisions.is_none_or(|(sent, at)| sent != marks || now - at >= HOLDS_INTERVAL_S) {
+            peer.sent_revisions = Some((marks, now));
             return Some(Message::Holds { in_force: marks.0, proposed: marks.1 });
         }
         if let Some((proposed, outgoing)) = &mut peer.outgoing {
@@ -70,19 +74,21 @@
         self.member.say(now, relay).map(Message::Mesh)
     }
 
-    pub(super) fn turned_down(&mut self, now: f64, leaf: MemberId, version: u64, reason: String) {
+    /// Reports to the writer, and to the log, that a leaf rejected a change.
+    pub(super) fn report_rejection(&mut self, now: f64, leaf: MemberId, version: u64, reason: String) {
         if let Some(peer) = self.peers.get_mut(&self.identity.writer) {
-            if peer.turned_down.len() < WAITING {
+            if peer.turned_down.len() < MAX_QUEUED_MESSAGES {
                 peer.turned_down.push_back((leaf, version, reason.clone()));
             }
             if let Some(link) = peer.link {
-                self.wake(link, now);
+                self.wake_link_at(link, now);
             }
         }
-        self.tell(Event::TurnedDown { leaf, version, reason });
+        self.record_event(Event::TurnedDown { leaf, version, reason });
     }
 
-    pub(super) fn hear_relay(
+    /// Handles a message from another relay.
+    pub(super) fn handle_relay_message(
         &mut self,
         now: f64,
         relay: MemberId,
@@ -91,9 +97,9 @@
         match message {
             Message::Mesh(word) => {
                 self.member.hear(now, relay, word)?;
-                self.settle(now);
+                self.apply_membership_changes(now);
             }
-            Message::Holds { in_force, proposed } => self.holds(now, relay, *in_force, *proposed),
+            Message::Holds { in_force, proposed } => self.handle_holds(now, relay, *in_force, *proposed),
             Message::Want { proposed, held } => {
                 let set = match proposed {
                     true => self.proposed.as_ref().map(|(set, ..)| Arc::clone(set)),
@@ -102,15 +108,15 @@
                 if let (Some(set), Some(peer)) = (set, self.peers.get_mut(&relay)) {
                     peer.outgoing = Some((*proposed, OutgoingSet::new(set, *held)));
                     if let Some(link) = peer.link {
-                        self.wake(link, now);
+                        self.wake_link_at(link, now);
                     }
                 }
             }
-            Message::Settings { proposed, part } => self.part(now, relay, *proposed, part)?,
+            Message::Settings { proposed, part } => self.accept_settings_part(now, relay, *proposed, part)?,
             Message::TurnedDown { leaf, name, version, reason } => {
                 let (leaf, version, reason) = (*leaf, *version, truncate(reason, MAX_REASON_BYTES));
                 self.learn_name(leaf, name);
-                self.tell(Event::TurnedDown { leaf, version, reason });
+                self.record_event(Event::TurnedDown { leaf, version, reason });
             }
             _ => return Err(LinkError::OutOfPlace),
         }
