--- a/crates/relay/src/copying.rs
+++ b/crates/relay/src/stream_copy.rs
@@ -1,60 +1,61 @@
-//! A stream told on one link as differences: where the teller is, and the copy at the other end.
+//! Replicates a stream over one link as differences: the position of the sender, and the copy at the receiver.
 //!
-//! On one link messages come in order, so the teller keeps a version and the copy takes only what begins at its own. A gap
-//! cannot come from a link that is sound; where one is found all the same, it is told anew.
+//! Messages on one link arrive in order, so the sender keeps a version and the copy accepts only a piece that begins
+//! at its own version. A sound link cannot cause a gap; if one is found anyway, the stream is sent again.
 
 use hollypaddle_replica::catch_up::Piece;
 use hollypaddle_replica::record::{Key, Origin};
 use hollypaddle_replica::stream::Stream;
 
-use crate::message::Copied;
+use crate::message::CopyState;
 
-/// Records in a message at most: about 1 KiB, so that what is more urgent waits for one packet at most.
-pub const RECORDS: usize = 24;
-/// Records and tombstones of a copy at most.
-pub const MOST: usize = 8192;
+/// The most records in a message: about 1 KiB, so that more urgent messages wait for one packet at most.
+pub const MAX_PIECE_RECORDS: usize = 24;
+/// The most records and tombstones of a copy.
+pub const MAX_COPY_RECORDS: usize = 8192;
 
-/// Up to which version a stream was told on a link.
+/// The sender's position: up to which version a stream was sent on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
     after: u64,
-    /// Set while the whole stream is told: its version as the first piece left.
+    /// Set while the whole stream is sent: its version when the first piece was sent.
     base: Option<u64>,
 }
 
 impl Cursor {
-    /// Behind what the other end holds; the whole where that is of another origin, or of what this one cannot go on from.
-    pub fn at(origin: Origin, stream: &Stream, held: Option<Copied>) -> Cursor {
+    /// Continues after the state that the receiver holds; starts with the whole stream if that state has another
+    /// origin or cannot be continued.
+    pub fn resume(origin: Origin, stream: &Stream, held: Option<CopyState>) -> Cursor {
         let same = held.filter(|h| h.origin == origin && h.version <= stream.version());
         match same {
-            Some(h) if h.version == stream.version() && h.hash != stream.hash() => Cursor::whole(),
+            Some(h) if h.version == stream.version() && h.hash != stream.hash() => Cursor::from_start(),
             Some(h) if h.version > 0 && h.version >= stream.horizon() => {
                 Cursor { after: h.version, base: None }
             }
-            _ => Cursor::whole(),
+            _ => Cursor::from_start(),
         }
     }
 
-    /// Before its first record.
-    pub fn whole() -> Cursor {
+    /// The position before the first record.
+    pub fn from_start() -> Cursor {
         Cursor { after: 0, base: Some(u64::MAX) }
     }
 
-    /// Whether there is more to be told.
-    pub fn behind(&self, stream: &Stream) -> bool {
+    /// Whether there is more to send.
+    pub fn is_behind(&self, stream: &Stream) -> bool {
         self.base.is_some() || self.after < stream.version()
     }
 
-    /// What comes next.
-    pub fn piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Piece {
-        // What was dropped since was not told.
+    /// Returns the next piece to send and moves the cursor past it.
+    pub fn next_piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Piece {
+        // Tombstones that were dropped before they were sent: the receiver needs the whole stream.
         if self.after < stream.horizon() && self.base.is_none_or(|base| base < stream.horizon()) {
-            *self = Cursor::whole();
+            *self = Cursor::from_start();
         }
         if self.base == Some(u64::MAX) {
             self.base = Some(stream.version());
         }
-        let (records, upto, last) = stream.piece_of(now, self.after, RECORDS);
+        let (records, upto, last) = stream.piece_of(now, self.after, MAX_PIECE_RECORDS);
         let piece = Piece {
             origin,
             from: self.after,
@@ -72,40 +73,40 @@
     }
 }
 
-/// Why a piece was not taken.
+/// Why a piece was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
-    /// Something before it is missing.
+pub enum PieceError {
+    /// An earlier piece is missing.
     Gap,
-    /// It contradicts itself, or is too long.
+    /// The piece contradicts itself, or the copy would become too long.
     Malformed,
 }
 
-/// A copy of a stream.
+/// The copy of a stream at its receiver.
 #[derive(Clone, Debug, Default)]
-pub struct Copy {
+pub struct StreamCopy {
     origin: Option<Origin>,
     stream: Stream,
-    /// Another one, or the same one told anew, that is not whole yet.
+    /// A stream of another origin, or the same stream sent again, that is not complete yet.
     incoming: Option<(Origin, Stream)>,
 }
 
-impl Copy {
-    /// What is held.
+impl StreamCopy {
+    /// The records held.
     pub fn stream(&self) -> &Stream {
         &self.stream
     }
 
-    /// Of which origin, and how far.
-    pub fn copied(&self) -> Option<Copied> {
+    /// The origin, version and hash of the copy; none before the first complete stream.
+    pub fn state(&self) -> Option<CopyState> {
         let (version, hash) = (self.stream.version(), self.stream.hash());
-        self.origin.map(|origin| Copied { origin, version, hash })
+        self.origin.map(|origin| CopyState { origin, version, hash })
     }
 
-    /// Takes a piece that was at most `lag` seconds on its way; returns the keys of what may have changed.
-    pub fn take(&mut self, now: f64, lag: f64, piece: &Piece) -> Result<Vec<Key>, NotTaken> {
+    /// Applies a piece that was in transit for at most `lag` seconds. Returns the keys that may have changed.
+    pub fn apply(&mut self, now: f64, lag: f64, piece: &Piece) -> Result<Vec<Key>, PieceError> {
         if piece.check().is_err() {
-            return Err(NotTaken::Malformed);
+            return Err(PieceError::Malformed);
         }
         let whole = piece.base.is_some();
         if whole && piece.from == 0 {
@@ -114,11 +115,11 @@
         let stream = match &mut self.incoming {
             Some((origin, stream)) if whole && *origin == piece.origin => stream,
             _ if !whole && self.origin == Some(piece.origin) => &mut self.stream,
-            _ => return Err(NotTaken::Gap),
+            _ => return Err(PieceError::Gap),
         };
         if stream.version() != piece.from {
             self.incoming = None;
-            return Err(NotTaken::Gap);
+            return Err(PieceError::Gap);
         }
         let mut keys = Vec::new();
         for record in &piece.records {
@@ -127,9 +128,9 @@
             keys.push(record.key);
         }
         stream.reaches(piece.upto, piece.horizon);
-        if stream.held() > MOST {
+        if stream.held() > MAX_COPY_RECORDS {
             self.incoming = None;
-            return Err(NotTaken::Malformed);
+            return Err(PieceError::Malformed);
         }
         if !whole {
             return Ok(keys);
