--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -7,7 +7,7 @@
 use crate::node::servers::Context;
 use hollypaddle_config::{Conf, Problem};
 use hollypaddle_policy::{ClassSettings, ListKind, Settings};
-use hollypaddle_relay::settings::Set;
+use hollypaddle_relay::settings::SettingsSet;
 use hollypaddle_service::classes::Table;
 use std::io;
 
@@ -112,8 +112,8 @@
 
     /// Applies settings of the fleet, together with the own file as it was last read: all of them or none, as at a reload.
     /// The result is reported to the relay.
-    pub(super) fn apply_fleet_settings(&mut self, now: f64, set: &Set) {
-        let version = set.mark().version;
+    pub(super) fn apply_fleet_settings(&mut self, now: f64, set: &SettingsSet) {
+        let version = set.revision().version;
         let entries: Vec<(String, String)> =
             set.entries().map(|(name, text)| (name.to_string(), text.to_string())).collect();
         let merged = self.own_file.with(&entries, &self.names);
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -23,7 +23,7 @@
 use super::servers::connect_nonblocking;
 
 /// Unsent bytes that may be queued on a link.
-const MAX_QUEUED_BYTES: usize = 2 * message::MOST;
+const MAX_QUEUED_BYTES: usize = 2 * message::MAX_FRAME_BYTES;
 /// Approximate size of the system's send buffer of a link. The system doubles the value for its own overhead.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
 /// Time after which a link that accepts none of the queued bytes is closed.
@@ -276,7 +276,7 @@
             }
             link.record_progress(now);
             if was_blocked && !link.connection.blocked() {
-                node.writable(now, link.id);
+                node.link_writable(now, link.id);
             }
         }
         link.watch(ready.key, poller);
@@ -289,7 +289,7 @@
             self.counts.received += 1;
             self.counts.bytes_received += length;
             self.counts.unknown += u64::from(matches!(message, Message::Unknown(_)));
-            if let Err(error) = node.hear(now, id, &message) {
+            if let Err(error) = node.receive(now, id, &message) {
                 return self.refuse(now, ready.key, &error.into(), node, poller);
             }
             if let Some(link) = self.links.get_mut(&ready.key) {
@@ -329,7 +329,7 @@
             });
             match accepted {
                 Ok((key, stream)) => {
-                    let id = node.accepted(now);
+                    let id = node.accept_link(now);
                     self.insert(key, Link::new(now, id, None, stream));
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
@@ -372,7 +372,7 @@
             Ok(()) => {
                 (link.up, link.since) = (true, now);
                 link.watch(key, poller);
-                node.up(now, link.id);
+                node.link_up(now, link.id);
             }
         }
     }
@@ -394,14 +394,16 @@
         };
         // A node may answer what it rejects: another relay learns which incarnation of it is known here.
         for _ in 0..MAX_MESSAGES_PER_ITERATION {
-            let Some(message) = node.say(now, link.id).filter(|_| !link.connection.blocked()) else { break };
+            let Some(message) = node.next_message(now, link.id).filter(|_| !link.connection.blocked()) else {
+                break;
+            };
             self.counts.sent += 1;
             if link.connection.send(&Framed(message, 0)).is_err() {
                 break;
             }
         }
         let id = link.id;
-        node.down(now, id, false);
+        node.link_down(now, id, false);
         self.close(now, id, poller);
     }
 
@@ -410,7 +412,7 @@
         let active = self.links.get(&key).filter(|link| link.closing_since.is_none()).map(|link| link.id);
         self.drop_link(key, poller);
         if let Some(id) = active {
-            node.down(now, id, refused);
+            node.link_down(now, id, refused);
         }
     }
 
@@ -478,7 +480,7 @@
 
     /// Makes links, sends messages and closes links as the node requests. Called at the end of an iteration.
     pub fn apply_node_actions(&mut self, now: f64, node: &mut dyn Node, poller: &mut Poller) {
-        for (id, to) in node.dials(now) {
+        for (id, to) in node.links_to_open(now) {
             let dialed = match self.addresses.get(&to) {
                 Some(address) => connect_nonblocking(*address),
                 None => Err(ErrorKind::AddrNotAvailable.into()),
@@ -492,12 +494,12 @@
                 // Refused, out of descriptors, or no route.
                 Err(error) => {
                     log::debug!(error:%; "relay-link-failed");
-                    node.down(now, id, error.kind() == ErrorKind::ConnectionRefused);
+                    node.link_down(now, id, error.kind() == ErrorKind::ConnectionRefused);
                 }
             }
         }
         let mut broken = Vec::new();
-        for id in node.due(now) {
+        for id in node.links_to_serve(now) {
             let Some(&key) = self.by_id.get(&id) else { continue };
             let Some(link) = self.links.get_mut(&key).filter(|l| l.up && l.closing_since.is_none()) else {
                 continue;
@@ -508,10 +510,10 @@
                 }
                 if sent_count == MAX_MESSAGES_PER_ITERATION {
                     // Continues in the next iteration.
-                    node.writable(now, id);
+                    node.link_writable(now, id);
                     break;
                 }
-                let Some(message) = node.say(now, id) else { break };
+                let Some(message) = node.next_message(now, id) else { break };
                 let before = link.connection.queued();
                 let sent = link.connection.send(&Framed(message, 0));
                 self.counts.sent += 1;
@@ -525,7 +527,7 @@
             link.watch(key, poller);
         }
         broken.into_iter().for_each(|key| self.handle_link_down(now, key, false, node, poller));
-        for id in node.closes() {
+        for id in node.links_to_close() {
             self.close(now, id, poller);
         }
     }
--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -5,7 +5,7 @@
 
 use hollypaddle_membership::Incarnation;
 use hollypaddle_relay::message::Hello;
-use hollypaddle_relay::settings::Mark;
+use hollypaddle_relay::settings::Revision;
 use hollypaddle_replica::record::Topic;
 
 use super::*;
@@ -42,26 +42,26 @@
 }
 
 impl Node for RecordingNode {
-    fn dials(&mut self, _: f64) -> Vec<(LinkId, MemberId)> {
+    fn links_to_open(&mut self, _: f64) -> Vec<(LinkId, MemberId)> {
         std::mem::take(&mut self.dials)
     }
 
-    fn accepted(&mut self, _: f64) -> LinkId {
+    fn accept_link(&mut self, _: f64) -> LinkId {
         self.next += 1;
         self.outgoing.entry(LinkId(self.next)).or_default();
         LinkId(self.next)
     }
 
-    fn up(&mut self, _: f64, link: LinkId) {
+    fn link_up(&mut self, _: f64, link: LinkId) {
         self.ups.push(link);
         self.outgoing.entry(link).or_default();
     }
 
-    fn down(&mut self, _: f64, link: LinkId, refused: bool) {
+    fn link_down(&mut self, _: f64, link: LinkId, refused: bool) {
         self.downs.push((link, refused));
     }
 
-    fn hear(&mut self, _: f64, link: LinkId, message: &Message) -> Result<(), LinkError> {
+    fn receive(&mut self, _: f64, link: LinkId, message: &Message) -> Result<(), LinkError> {
         self.received.push((link, message.clone()));
         if self.rejects {
             return Err(LinkError::OutOfPlace);
@@ -69,11 +69,11 @@
         Ok(())
     }
 
-    fn due(&mut self, _: f64) -> Vec<LinkId> {
+    fn links_to_serve(&mut self, _: f64) -> Vec<LinkId> {
         self.outgoing.keys().copied().collect()
     }
 
-    fn say(&mut self, _: f64, link: LinkId) -> Option<Message> {
+    fn next_message(&mut self, _: f64, link: LinkId) -> Option<Message> {
         if self.floods {
             self.flood_sent += 1;
             return Some(Message::Unknown(250));
@@ -81,15 +81,15 @@
         self.outgoing.get_mut(&link)?.pop_front()
     }
 
-    fn writable(&mut self, _: f64, _: LinkId) {}
+    fn link_writable(&mut self, _: f64, _: LinkId) {}
 
-    fn closes(&mut self) -> Vec<LinkId> {
+    fn links_to_close(&mut self) -> Vec<LinkId> {
         std::mem::take(&mut self.closes)
     }
 
     fn tick(&mut self, _: f64) {}
 
-    fn next_at(&self) -> f64 {
+    fn next_tick_at(&self) -> f64 {
         f64::INFINITY
     }
 }
@@ -153,7 +153,7 @@
         protocol: (1, 1),
         from: MemberId(1),
         to: MemberId(2),
-        life: incarnation,
+        incarnation,
         topic: Topic(3),
         name: "n1".into(),
     })
@@ -245,9 +245,9 @@
     relay.node.rejects = true;
     relay.node.outgoing.insert(LinkId(2), VecDeque::new());
     stream.write_all(&frame(&hello())).unwrap();
-    relay.node.queue(LinkId(2), Message::Lacks(Mark::default()));
+    relay.node.queue(LinkId(2), Message::Lacks(Revision::default()));
     relay.run_until("the refusal", |f| f.node.downs.contains(&(LinkId(2), false)));
-    assert_eq!(next(&mut stream), Some(Message::Lacks(Mark::default())));
+    assert_eq!(next(&mut stream), Some(Message::Lacks(Revision::default())));
     assert_eq!(next(&mut stream), None);
 }
 
@@ -335,7 +335,7 @@
 fn each_link_error_is_documented_for_on_call_staff() {
     let page = include_str!("../../../../../docs/ONCALL.md");
     let node = [
-        LinkError::Protocol { least: 2, most: 3 },
+        LinkError::Protocol { oldest: 2, newest: 3 },
         LinkError::NotForUs,
         LinkError::OutOfPlace,
         LinkError::StaleLife,
