--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -6,7 +6,7 @@
 
 use hollypaddle_crossing::budget::Asks;
 use hollypaddle_crossing::Crossing;
-use hollypaddle_lending::{BudgetKey, Demand, Lending, TERM, WHOLE};
+use hollypaddle_lending::{BudgetKey, Demand, Lending, LEASE_TERM_S, WHOLE_MILLIONTHS};
 
 use hollypaddle_replica::Member;
 
@@ -23,8 +23,8 @@
     }
 
     /// Takes another bound on what is lent.
-    pub fn change(&mut self, most: f64) {
-        self.lending.change(most);
+    pub fn set_max_lent_ratio(&mut self, most: f64) {
+        self.lending.set_max_lent_ratio(most);
     }
 
     /// What is decided, for reports and tests.
@@ -34,35 +34,35 @@
 
     /// Looks at what is asked, lends and borrows, and tells the budgets what they may use. Called now and then; without
     /// a fleet it waits for what is lent. Returns whether it is still of use.
-    pub fn beat(&mut self, now: f64, fleet: Option<&mut Member>, crossing: Option<&mut Crossing>) -> bool {
+    pub fn update(&mut self, now: f64, fleet: Option<&mut Member>, crossing: Option<&mut Crossing>) -> bool {
         let mut crossing = crossing;
         let asks = crossing.as_mut().map_or_else(Vec::new, |crossing| crossing.asks(now));
         let asks: Vec<(BudgetKey, Asks)> = (asks.into_iter())
             .map(|(scope, asks)| (BudgetKey::of(&scope, asks.whole.0, asks.whole.1), asks))
             .collect();
-        let (due, in_fleet) = (self.lending.due(now), fleet.is_some());
+        let (due, in_fleet) = (self.lending.is_due(now), fleet.is_some());
         let mut borrowed: BTreeMap<BudgetKey, Vec<(f64, f64)>> = BTreeMap::new();
         if let Some(fleet) = fleet {
             if due {
                 let demand = |(budget, asks): &(BudgetKey, Asks)| {
                     let Asks { part, wanted, owes, .. } = *asks;
-                    Demand { budget: *budget, part, wanted, owes }
+                    Demand { budget: *budget, part, wanted, overdrawn: owes }
                 };
                 let demands: Vec<Demand> = asks.iter().map(demand).collect();
-                for tell in self.lending.look(now, &demands, &fleet.wants()) {
-                    fleet.lends(now, tell);
+                for tell in self.lending.update(now, &demands, &fleet.budget_requests()) {
+                    fleet.announce_lending(now, tell);
                 }
             }
             for (budget, at, part) in fleet.leases() {
-                let lease = (at + TERM, f64::from(part) / f64::from(WHOLE));
+                let lease = (at + LEASE_TERM_S, f64::from(part) / f64::from(WHOLE_MILLIONTHS));
                 if now < lease.0 {
                     borrowed.entry(budget).or_default().push(lease);
                 }
             }
         } else if due {
-            self.lending.look(now, &[], &[]);
+            self.lending.update(now, &[], &[]);
         }
-        let needed = in_fleet || self.lending.held() != (0, 0);
+        let needed = in_fleet || self.lending.remembered() != (0, 0);
         let Some(crossing) = crossing else { return needed };
         if !needed {
             crossing.share_no_more(now);
@@ -70,7 +70,7 @@
         }
         for (budget, asks) in asks {
             let leases = borrowed.remove(&budget).unwrap_or_default();
-            crossing.share(now, &asks.scope, self.lending.own(now, budget, asks.part), leases);
+            crossing.share(now, &asks.scope, self.lending.own_part(now, budget, asks.part), leases);
         }
         true
     }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use hollypaddle_lending::MOST;
+use hollypaddle_lending::MAX_LENT_RATIO;
 use hollypaddle_membership::MemberId;
 use hollypaddle_replica::Settings;
 
@@ -166,30 +166,30 @@
             ("listen", [address]) => fleet.listen = take(address, socket, problems),
             ("suspect", [time]) => set(&mut s.membership.suspect_after_s, take(time, duration, problems)),
             ("gone", [time]) => set(&mut s.membership.gone_after_s, take(time, duration, problems)),
-            ("digest", [time]) => set(&mut s.digest, take(time, duration, problems)),
-            ("lists-late", [time]) => set(&mut s.lists_late, take(time, duration, problems)),
-            ("forget", [time]) => set(&mut s.forget, take(time, duration, problems)),
+            ("digest", [time]) => set(&mut s.digest_interval, take(time, duration, problems)),
+            ("lists-late", [time]) => set(&mut s.max_list_delay, take(time, duration, problems)),
+            ("forget", [time]) => set(&mut s.forget_after, take(time, duration, problems)),
             ("catch-up", [word, time]) if word.text == "within" => {
-                set(&mut s.within, take(time, duration, problems));
+                set(&mut s.catch_up_timeout, take(time, duration, problems));
             }
             ("catch-up", [word, time, second, rate]) if word.text == "within" && second.text == "rate" => {
-                set(&mut s.within, take(time, duration, problems));
-                set(&mut s.catch_up.rate, take(rate, bytes_rate, problems));
+                set(&mut s.catch_up_timeout, take(time, duration, problems));
+                set(&mut s.catch_up.bytes_per_s, take(rate, bytes_rate, problems));
             }
             ("records", [most]) => {
-                let most = take(most, count, problems).unwrap_or(s.catch_up.most as f64);
+                let most = take(most, count, problems).unwrap_or(s.catch_up.max_records as f64);
                 if most < 1.0 {
                     wrong(&inner.name.place, "no records at all, expected 1 or more", problems);
                 }
-                s.catch_up.most = most as usize;
+                s.catch_up.max_records = most as usize;
             }
             ("lend", [part]) => {
                 fleet.lend = take(part, percent, problems).unwrap_or(LEND);
-                if fleet.lend > MOST {
+                if fleet.lend > MAX_LENT_RATIO {
                     let text = format!(
                         "{:.0}% of the own part is too much, expected at most {:.0}%",
                         100.0 * fleet.lend,
-                        100.0 * MOST
+                        100.0 * MAX_LENT_RATIO
                     );
                     wrong(&part.place, text, problems);
                 }
@@ -228,7 +228,7 @@
             "a member is gone before its silence is suspect, expected `gone` of twice `suspect` or more";
         wrong(place, text, problems);
     }
-    if s.forget < 2.0 * s.membership.gone_after_s {
+    if s.forget_after < 2.0 * s.membership.gone_after_s {
         let text =
             "what a member held is forgotten before it is gone, expected `forget` of twice `gone` or more";
         wrong(place, text, problems);
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -255,9 +255,9 @@
     .unwrap();
     let fleet = conf.fleet.unwrap();
     let s = fleet.settings;
-    assert_eq!((s.within, s.catch_up.rate, s.catch_up.most), (5.0, 2097152.0, 5000));
+    assert_eq!((s.catch_up_timeout, s.catch_up.bytes_per_s, s.catch_up.max_records), (5.0, 2097152.0, 5000));
     assert_eq!(
-        (s.membership.suspect_after_s, s.membership.gone_after_s, s.forget, s.digest),
+        (s.membership.suspect_after_s, s.membership.gone_after_s, s.forget_after, s.digest_interval),
         (0.5, 3.0, 300.0, 1.0)
     );
     assert_eq!(fleet.lend, 0.4);
--- a/crates/duties/src/acceptor.rs
+++ b/crates/duties/src/acceptor.rs
@@ -4,7 +4,7 @@
 
 use hollypaddle_membership::MemberId;
 
-use crate::{DutyKey, Epoch, Progress, Refusal, Settings, MOST_DUTIES};
+use crate::{DutyKey, Epoch, Progress, Refusal, Settings, MAX_DUTIES};
 
 /// A holder's progress as it was last heard, and when it last changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -45,7 +45,7 @@
 
 /// A request, as an acceptor hears it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct LeaseRequest {
     /// Who asks.
     pub by: MemberId,
     /// For what.
@@ -59,32 +59,36 @@
     /// Whether it holds the duty already.
     pub holds: bool,
     /// The epoch that was given back for it.
-    pub after: Option<Epoch>,
+    pub predecessor: Option<Epoch>,
 }
 
 impl Acceptor {
     /// One that starts now: it grants nothing until all that an earlier life may have granted has run out.
     pub fn new(now: f64, settings: Settings) -> Acceptor {
-        Acceptor { settings, from: now + settings.kept_for(), grants: BTreeMap::new() }
+        Acceptor { settings, from: now + settings.grant_duration(), grants: BTreeMap::new() }
     }
 
     /// Whether it grants yet.
-    pub fn grants(&self, now: f64) -> bool {
+    pub fn is_granting(&self, now: f64) -> bool {
         now >= self.from
     }
 
     /// Hears a request. Nothing is answered before this acceptor grants at all: `None`.
-    pub fn asked(&mut self, now: f64, asked: &Asked) -> Option<Result<(), (Refusal, Epoch)>> {
+    pub fn receive_request(
+        &mut self,
+        now: f64,
+        asked: &LeaseRequest,
+    ) -> Option<Result<(), (Refusal, Epoch)>> {
         if now < self.from {
             return None;
         }
         if !asked.term.is_finite() || asked.term > self.settings.term + 1e-3 {
-            return Some(Err((Refusal::Term, Epoch::default())));
+            return Some(Err((Refusal::TermTooLong, Epoch::default())));
         }
-        if self.grants.len() >= MOST_DUTIES && !self.grants.contains_key(&asked.duty) {
+        if self.grants.len() >= MAX_DUTIES && !self.grants.contains_key(&asked.duty) {
             self.forget(now);
-            if self.grants.len() >= MOST_DUTIES {
-                return Some(Err((Refusal::Full, Epoch::default())));
+            if self.grants.len() >= MAX_DUTIES {
+                return Some(Err((Refusal::TooManyDuties, Epoch::default())));
             }
         }
         let settings = self.settings;
@@ -95,8 +99,15 @@
     }
 
     /// A holder gives an epoch back, for somebody or for whoever comes.
-    pub fn released(&mut self, now: f64, duty: DutyKey, epoch: Epoch, to: Option<MemberId>, used: bool) {
-        let kept = self.settings.kept_for();
+    pub fn receive_release(
+        &mut self,
+        now: f64,
+        duty: DutyKey,
+        epoch: Epoch,
+        to: Option<MemberId>,
+        used: bool,
+    ) {
+        let kept = self.settings.grant_duration();
         if let Some(grant) = self.grants.get_mut(&duty) {
             if let (true, Some(to)) = (grant.give_back(epoch, used), to) {
                 grant.reserved = Some((to, now + kept / 2.0));
@@ -112,18 +123,18 @@
     }
 
     /// For whom a duty is kept that is being handed on.
-    pub fn reserved(&self, now: f64, duty: DutyKey) -> Option<MemberId> {
+    pub fn reserved_for(&self, now: f64, duty: DutyKey) -> Option<MemberId> {
         let (to, until) = self.grants.get(&duty)?.reserved?;
         (now < until).then_some(to)
     }
 
     /// The highest epoch that was seen of a duty.
-    pub fn highest(&self, duty: DutyKey) -> Epoch {
+    pub fn highest_epoch(&self, duty: DutyKey) -> Epoch {
         self.grants.get(&duty).map_or(Epoch::default(), |grant| grant.highest)
     }
 
     /// A higher epoch was heard of elsewhere.
-    pub fn heard_of(&mut self, duty: DutyKey, epoch: Epoch) {
+    pub fn observe_epoch(&mut self, duty: DutyKey, epoch: Epoch) {
         if let Some(grant) = self.grants.get_mut(&duty) {
             grant.highest = grant.highest.max(epoch);
         }
@@ -140,14 +151,14 @@
 
     /// Forgets duties of which nothing was heard for ten terms.
     fn forget(&mut self, now: f64) {
-        let old = now - 10.0 * self.settings.kept_for();
+        let old = now - 10.0 * self.settings.grant_duration();
         self.grants.retain(|_, grant| grant.at > old);
     }
 }
 
 impl Grant {
-    fn asked(&mut self, now: f64, asked: &Asked, settings: &Settings) -> Result<(), Refusal> {
-        if let Some(after) = asked.after {
+    fn asked(&mut self, now: f64, asked: &LeaseRequest, settings: &Settings) -> Result<(), Refusal> {
+        if let Some(after) = asked.predecessor {
             // Whoever it is handed on to says so too: its word may overtake the release.
             self.give_back(after, true);
         }
@@ -160,16 +171,16 @@
             {
                 false
             }
-            Some(_) if self.confirmed => return Err(Refusal::Held),
+            Some(_) if self.confirmed => return Err(Refusal::AlreadyHeld),
             Some(_) => return Err(Refusal::Contended),
             None => false,
         };
         if self.given_back.is_some_and(|back| asked.epoch <= back) {
-            return Err(Refusal::Stale);
+            return Err(Refusal::StaleEpoch);
         }
         // A lease that ran out here may be renewed as long as nobody else was granted one.
         if asked.epoch < self.highest {
-            return Err(Refusal::Stale);
+            return Err(Refusal::StaleEpoch);
         }
         if self.reserved.is_some_and(|(to, until)| now < until && to != asked.by) {
             return Err(Refusal::Reserved);
@@ -181,13 +192,19 @@
         if asked.epoch > self.highest {
             self.before = self.highest;
         }
-        self.lease = Some((asked.by, asked.epoch, now + settings.kept_for()));
+        self.lease = Some((asked.by, asked.epoch, now + settings.grant_duration()));
         (self.highest, self.reserved, self.confirmed) = (asked.epoch, None, asked.holds);
         Ok(())
     }
 
     /// Whether the holder gets on.
-    fn judge(&mut self, now: f64, asked: &Asked, renewed: bool, settings: &Settings) -> Result<(), Refusal> {
+    fn judge(
+        &mut self,
+        now: f64,
+        asked: &LeaseRequest,
+        renewed: bool,
+        settings: &Settings,
+    ) -> Result<(), Refusal> {
         let seen = Seen { progress: asked.progress, changed: now };
         let before = self.seen.filter(|_| renewed);
         let changed = match before {
@@ -195,8 +212,8 @@
             _ => now,
         };
         self.seen = Some(Seen { changed, ..seen });
-        if now - changed >= settings.stall {
-            self.barred = Some((asked.by, now + settings.barred));
+        if now - changed >= settings.stall_timeout {
+            self.barred = Some((asked.by, now + settings.stall_ban));
             return Err(Refusal::Stalled);
         }
         Ok(())
--- a/crates/duties/src/fence.rs
+++ b/crates/duties/src/fence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{DutyKey, Epoch, MOST_DUTIES};
+use crate::{DutyKey, Epoch, MAX_DUTIES};
 
 /// Why an order is not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -19,8 +19,8 @@
         known: Epoch,
     },
     /// It is of a duty beyond those that can be kept in mind.
-    #[error("an order of one duty more than the {MOST_DUTIES} that are known here: nothing was done; name fewer duties")]
-    Full,
+    #[error("an order of one duty more than the {MAX_DUTIES} that are known here: nothing was done; name fewer duties")]
+    TooManyDuties,
 }
 
 /// The highest epoch of each duty under which an order came here. Whoever takes orders has one.
@@ -33,11 +33,11 @@
 
 impl Fence {
     /// Lets an order pass, and none of an earlier epoch after it. One that is refused is the fault of nobody here.
-    pub fn pass(&mut self, duty: DutyKey, given: Epoch) -> Result<(), FenceError> {
+    pub fn check(&mut self, duty: DutyKey, given: Epoch) -> Result<(), FenceError> {
         // None is forgotten for another: an old order of that one would pass.
-        if self.highest.len() >= MOST_DUTIES && !self.highest.contains_key(&duty) {
+        if self.highest.len() >= MAX_DUTIES && !self.highest.contains_key(&duty) {
             self.refused += 1;
-            return Err(FenceError::Full);
+            return Err(FenceError::TooManyDuties);
         }
         let known = self.highest.entry(duty).or_insert(given);
         if given < *known {
@@ -49,7 +49,7 @@
     }
 
     /// The highest epoch of a duty that came here.
-    pub fn highest(&self, duty: DutyKey) -> Option<Epoch> {
+    pub fn highest_epoch(&self, duty: DutyKey) -> Option<Epoch> {
         self.highest.get(&duty).copied()
     }
 }
@@ -62,16 +62,16 @@
     fn an_order_under_an_old_epoch_is_refused_and_the_present_one_goes_on() {
         let (mut fence, duty) = (Fence::default(), DutyKey(7));
         let epoch = |round| Epoch { round, member: 1, incarnation: 0 };
-        assert_eq!(fence.pass(duty, epoch(3)), Ok(()));
-        assert_eq!(fence.pass(duty, epoch(5)), Ok(()));
+        assert_eq!(fence.check(duty, epoch(3)), Ok(()));
+        assert_eq!(fence.check(duty, epoch(5)), Ok(()));
         assert_eq!(
-            fence.pass(duty, epoch(3)),
+            fence.check(duty, epoch(3)),
             Err(FenceError::StaleEpoch { given: epoch(3), known: epoch(5) })
         );
-        assert_eq!((fence.pass(duty, epoch(5)), fence.refused), (Ok(()), 1));
-        assert_eq!(fence.pass(DutyKey(8), epoch(1)), Ok(()), "of another duty");
-        let passed = (100..1100).filter(|n| fence.pass(DutyKey(*n), epoch(1)).is_ok()).count();
-        assert_eq!(passed, MOST_DUTIES - 2, "bounded, and none is forgotten for another");
-        assert!(fence.pass(duty, epoch(3)).is_err());
+        assert_eq!((fence.check(duty, epoch(5)), fence.refused), (Ok(()), 1));
+        assert_eq!(fence.check(DutyKey(8), epoch(1)), Ok(()), "of another duty");
+        let passed = (100..1100).filter(|n| fence.check(DutyKey(*n), epoch(1)).is_ok()).count();
+        assert_eq!(passed, MAX_DUTIES - 2, "bounded, and none is forgotten for another");
+        assert!(fence.check(duty, epoch(3)).is_err());
     }
 }
--- a/crates/duties/src/holder.rs
+++ b/crates/duties/src/holder.rs
@@ -30,7 +30,7 @@
 
 /// What is to be said to all acceptors.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Say {
+pub enum ClaimMessage {
     /// A request.
     Request {
         /// Under which epoch.
@@ -38,7 +38,7 @@
         /// Which.
         seq: u32,
         /// The epoch given back for this one.
-        after: Option<Epoch>,
+        predecessor: Option<Epoch>,
     },
     /// It no longer acts under that epoch.
     Release {
@@ -53,18 +53,18 @@
 
 /// How a holder came to hold a duty no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum LossReason {
     /// Its term ran out: too few members granted it anew in time.
-    RanOut,
+    Expired,
     /// A majority refuses it.
     Refused(Refusal),
     /// It handed the duty on.
-    HandedOn,
+    HandedOver,
 }
 
 /// A candidate or holder of one duty.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct Claim {
     own: MemberId,
     incarnation: u64,
     state: State,
@@ -82,13 +82,13 @@
     /// How far it has come.
     pub progress: Progress,
     /// What is to be said.
-    pub says: Vec<Say>,
+    pub outgoing: Vec<ClaimMessage>,
 }
 
-impl Holder {
+impl Claim {
     /// Of a member's life.
-    pub fn new(own: MemberId, incarnation: u64) -> Holder {
-        Holder {
+    pub fn new(own: MemberId, incarnation: u64) -> Claim {
+        Claim {
             own,
             incarnation,
             state: State::Idle { not_before: f64::NEG_INFINITY },
@@ -102,7 +102,7 @@
             refused: BTreeSet::new(),
             highest: Epoch::default(),
             progress: Progress::default(),
-            says: Vec::new(),
+            outgoing: Vec::new(),
         }
     }
 
@@ -128,12 +128,12 @@
     }
 
     /// A higher epoch was heard of.
-    pub fn heard_of(&mut self, epoch: Epoch) {
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.highest = self.highest.max(epoch);
     }
 
     /// Asks for the duty, where it holds nothing and may ask by now. `after` is the epoch that was given back for it.
-    pub fn ask(&mut self, now: f64, after: Option<Epoch>) {
+    pub fn request_lease(&mut self, now: f64, after: Option<Epoch>) {
         let State::Idle { not_before } = self.state else { return };
         if now < not_before && after.is_none() {
             return;
@@ -156,11 +156,15 @@
         }
         // Counted from before it is said: the lease is over here before it is over where it was granted.
         self.requests.push_back(Request { seq, sent_at: now, granted: BTreeSet::new() });
-        self.says.push(Say::Request { epoch: self.next.unwrap_or(self.epoch), seq, after: self.after });
+        self.outgoing.push(ClaimMessage::Request {
+            epoch: self.next.unwrap_or(self.epoch),
+            seq,
+            predecessor: self.after,
+        });
     }
 
     /// A member granted it; returns whether the duty is held from now on.
-    pub fn granted(
+    pub fn receive_grant(
         &mut self,
         now: f64,
         by: MemberId,
@@ -187,7 +191,7 @@
                 false
             }
             _ => {
-                self.ask_at = now + s.renew;
+                self.ask_at = now + s.renew_interval;
                 self.state = State::Holding { until, since: now };
                 true
             }
@@ -195,18 +199,18 @@
     }
 
     /// A member refused it.
-    pub fn refused(
+    pub fn receive_refusal(
         &mut self,
         now: f64,
         (by, epoch, why): (MemberId, Epoch, Refusal),
         s: &Settings,
         members: usize,
-    ) -> Option<Lost> {
+    ) -> Option<LossReason> {
         if epoch != self.next.unwrap_or(self.epoch) || self.is_idle() {
             return None;
         }
         self.refused.insert(by);
-        self.stale |= why == Refusal::Stale;
+        self.stale |= why == Refusal::StaleEpoch;
         // As soon as no majority can be had any more.
         if 2 * (members - self.refused.len().min(members)) > members {
             return None;
@@ -214,13 +218,13 @@
         let held = matches!(self.state, State::Holding { .. });
         // Whoever asked at the same moment has it, or nobody has: another time for each.
         let wait = match why {
-            Refusal::Stalled => s.barred,
+            Refusal::Stalled => s.stall_ban,
             // This member has missed that somebody holds it, and hears of it with the next request.
-            Refusal::Held => s.term,
-            _ => s.step * (1.0 + self.chance()),
+            Refusal::AlreadyHeld => s.term,
+            _ => s.candidate_delay * (1.0 + self.chance()),
         };
         self.stop(now + wait, None);
-        held.then_some(Lost::Refused(why))
+        held.then_some(LossReason::Refused(why))
     }
 
     /// Stops at once, says so, and asks for nothing before then.
@@ -231,29 +235,29 @@
         self.stale = false;
         // Some have granted the one that it was moving to, and the others the one before it.
         if let Some(epoch) = self.next.take() {
-            self.says.push(Say::Release { epoch, to, used });
+            self.outgoing.push(ClaimMessage::Release { epoch, to, used });
         }
-        self.says.push(Say::Release { epoch: self.epoch, to, used });
+        self.outgoing.push(ClaimMessage::Release { epoch: self.epoch, to, used });
     }
 
     /// Hands the duty on; returns whether it held it.
-    pub fn hand_on(&mut self, now: f64, to: Option<MemberId>, s: &Settings) -> bool {
+    pub fn hand_over(&mut self, now: f64, to: Option<MemberId>, s: &Settings) -> bool {
         let held = self.may_act(now).is_some();
         if !self.is_idle() {
-            self.stop(now + s.kept_for(), to);
+            self.stop(now + s.grant_duration(), to);
         }
         held
     }
 
     /// What time brings.
-    pub fn tick(&mut self, now: f64, s: &Settings) -> Option<Lost> {
+    pub fn tick(&mut self, now: f64, s: &Settings) -> Option<LossReason> {
         match self.state {
             State::Holding { until, .. } if now >= until => {
-                self.stop(now + s.step * (1.0 + self.chance()), None);
-                Some(Lost::RanOut)
+                self.stop(now + s.candidate_delay * (1.0 + self.chance()), None);
+                Some(LossReason::Expired)
             }
             State::Holding { .. } if now >= self.ask_at => {
-                self.ask_at = now + s.renew;
+                self.ask_at = now + s.renew_interval;
                 self.refused.clear();
                 // One that died as it asked left a later epoch at some: they grant what is above that.
                 if std::mem::take(&mut self.stale) {
@@ -264,12 +268,12 @@
                 None
             }
             // Too few answered: those who granted it are to be free for others.
-            State::Asking { since } if now - since >= s.renew => {
-                self.stop(now + s.step * (1.0 + self.chance()), None);
+            State::Asking { since } if now - since >= s.renew_interval => {
+                self.stop(now + s.candidate_delay * (1.0 + self.chance()), None);
                 None
             }
             // One that has just started may grant by now.
-            State::Asking { .. } if now - self.ask_at >= s.renew / 4.0 => {
+            State::Asking { .. } if now - self.ask_at >= s.renew_interval / 4.0 => {
                 self.ask_at = now;
                 self.request(now);
                 None
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -34,7 +34,7 @@
 pub use member::Duties;
 
 /// Duties that a member keeps in mind at most, its own and those that others asked it for.
-pub const MOST_DUTIES: usize = 256;
+pub const MAX_DUTIES: usize = 256;
 /// What an acceptor grants counts for so many times the term: clocks differ in pace by up to a hundredth each.
 const CLOCKS: f64 = 1.04;
 /// And so much longer, in seconds: terms are told in milliseconds.
@@ -133,26 +133,33 @@
     /// A holder may act for so long after it asked for its lease.
     pub term: f64,
     /// It asks anew after so long: two words may be lost before the term runs out.
-    pub renew: f64,
+    pub renew_interval: f64,
     /// The next in the order of candidates waits for so much longer than the one before it.
-    pub step: f64,
+    pub candidate_delay: f64,
     /// A holder that says that it has work is taken to be stuck when its progress stands still for so long.
-    pub stall: f64,
+    pub stall_timeout: f64,
     /// One that was stuck is granted nothing of that duty for so long.
-    pub barred: f64,
+    pub stall_ban: f64,
     /// A duty that was taken stays where it is for so long, whoever returns.
-    pub settle: f64,
+    pub min_hold: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { term: 2.0, renew: 0.5, step: 0.25, stall: 6.0, barred: 20.0, settle: 30.0 }
+        Settings {
+            term: 2.0,
+            renew_interval: 0.5,
+            candidate_delay: 0.25,
+            stall_timeout: 6.0,
+            stall_ban: 20.0,
+            min_hold: 30.0,
+        }
     }
 }
 
 impl Settings {
     /// For how long an acceptor keeps to what it granted, and a member that starts grants nothing.
-    pub fn kept_for(&self) -> f64 {
+    pub fn grant_duration(&self) -> f64 {
         self.term * CLOCKS + EXACT
     }
 }
@@ -171,7 +178,7 @@
 pub enum Refusal {
     /// Another holds it.
     #[error("another member holds the duty: it is taken over when that lease runs out or is given back")]
-    Held,
+    AlreadyHeld,
     /// Another asks for it, and it is not known whether it got it.
     #[error("another member asks for the duty at the same moment: nothing is to be done, each tries again after a draw")]
     Contended,
@@ -179,7 +186,7 @@
     #[error(
         "a later epoch of the duty is known: who asked under this one was paused or cut off, and asks anew"
     )]
-    Stale,
+    StaleEpoch,
     /// It is kept for the one to whom it is handed on.
     #[error("the duty is being handed on to another member")]
     Reserved,
@@ -190,15 +197,15 @@
     Stalled,
     /// Its term is longer than the own one.
     #[error("the term asked for is longer than this member's: give all members the same `term`")]
-    Term,
+    TermTooLong,
     /// There are too many duties.
-    #[error("more than {MOST_DUTIES} duties are known: name fewer")]
-    Full,
+    #[error("more than {MAX_DUTIES} duties are known: name fewer")]
+    TooManyDuties,
 }
 
 /// What members say to each other of duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// The speaker asks to hold a duty, or to go on holding it.
     Request {
         /// Which.
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -6,10 +6,10 @@
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_ownership::owner;
 
-use crate::acceptor::{Acceptor, Asked};
-use crate::holder::{Holder, Lost, Say};
-use crate::spread::{order, too_many, Candidate};
-use crate::{Duty, DutyKey, Epoch, Kind, Progress, Refusal, Settings, Word, MOST_DUTIES};
+use crate::acceptor::{Acceptor, LeaseRequest};
+use crate::holder::{Claim, ClaimMessage, LossReason};
+use crate::spread::{candidate_order, holds_too_many, Candidate};
+use crate::{Duty, DutyKey, Epoch, Kind, Message, Progress, Refusal, Settings, MAX_DUTIES};
 
 /// Words that wait for a member at most; what is lost beyond it is said again.
 const MOST_WAITING: usize = 1024;
@@ -20,15 +20,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// It holds a duty, under an epoch.
-    Taken(Duty, Epoch),
+    Acquired(Duty, Epoch),
     /// It holds it no more.
-    Lost(Duty, Epoch, Lost),
+    Lost(Duty, Epoch, LossReason),
 }
 
 #[derive(Clone)]
 struct Own {
     duty: Duty,
-    holder: Holder,
+    holder: Claim,
     /// Since when nobody holds it, as far as is granted here.
     free_since: Option<f64>,
 }
@@ -42,7 +42,7 @@
     members: Vec<MemberId>,
     acceptor: Acceptor,
     duties: BTreeMap<DutyKey, Own>,
-    waiting: BTreeMap<MemberId, VecDeque<Word>>,
+    waiting: BTreeMap<MemberId, VecDeque<Message>>,
     /// It takes nothing any more, and hands on what it has.
     leaving: bool,
     candidates: Vec<Candidate>,
@@ -73,9 +73,9 @@
     }
 
     /// Takes the duties that the configuration names. One that is named no more is given back.
-    pub fn name(&mut self, now: f64, duties: impl IntoIterator<Item = Duty>) {
+    pub fn set_duties(&mut self, now: f64, duties: impl IntoIterator<Item = Duty>) {
         let named: BTreeMap<DutyKey, Duty> =
-            duties.into_iter().take(MOST_DUTIES).map(|duty| (duty.key(), duty)).collect();
+            duties.into_iter().take(MAX_DUTIES).map(|duty| (duty.key(), duty)).collect();
         let gone: Vec<DutyKey> = self.duties.keys().filter(|key| !named.contains_key(key)).copied().collect();
         for key in gone {
             self.give_up(now, key, None);
@@ -85,7 +85,7 @@
             let (own, incarnation) = (self.own, self.incarnation);
             self.duties.entry(key).or_insert_with(|| Own {
                 duty,
-                holder: Holder::new(own, incarnation),
+                holder: Claim::new(own, incarnation),
                 free_since: None,
             });
         }
@@ -98,19 +98,19 @@
     }
 
     /// Whether a duty that is harmless when doubled is this member's, among the living.
-    pub fn is_mine(&self, duty: DutyKey, living: impl IntoIterator<Item = MemberId>) -> bool {
+    pub fn is_owner(&self, duty: DutyKey, living: impl IntoIterator<Item = MemberId>) -> bool {
         owner(duty.0, living.into_iter().map(|m| (m, m.0))) == Some(self.own)
     }
 
     /// How far this member has come with a duty.
-    pub fn progress(&mut self, duty: DutyKey, progress: Progress) {
+    pub fn set_progress(&mut self, duty: DutyKey, progress: Progress) {
         if let Some(own) = self.duties.get_mut(&duty) {
             own.holder.progress = progress;
         }
     }
 
     /// What is to be told to the staff since this was last asked.
-    pub fn events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Hands one on, to a member or to whoever comes first.
-    pub fn hand_on(&mut self, now: f64, key: DutyKey, to: Option<MemberId>) {
+    pub fn hand_over(&mut self, now: f64, key: DutyKey, to: Option<MemberId>) {
         self.give_up(now, key, to);
     }
 
@@ -139,10 +139,10 @@
         let settings = self.settings;
         let Some(own) = self.duties.get_mut(&key) else { return };
         let epoch = own.holder.may_act(now);
-        own.holder.hand_on(now, to, &settings);
+        own.holder.hand_over(now, to, &settings);
         let duty = own.duty.clone();
         if let Some(epoch) = epoch {
-            self.tell(Event::Lost(duty, epoch, Lost::HandedOn));
+            self.tell(Event::Lost(duty, epoch, LossReason::HandedOver));
         }
         self.speak(now, key);
     }
@@ -150,40 +150,42 @@
     // ---- Words
 
     /// Takes a word of a member of the configuration.
-    pub fn hear(&mut self, now: f64, from: MemberId, word: &Word) {
+    pub fn receive(&mut self, now: f64, from: MemberId, word: &Message) {
         if !self.members.contains(&from) || from == self.own {
             return;
         }
         match *word {
-            Word::Request { duty, epoch, seq, term_ms, progress, holds, after } => {
+            Message::Request { duty, epoch, seq, term_ms, progress, holds, after } => {
                 let term = f64::from(term_ms) / 1000.0;
-                let asked = Asked { by: from, duty, epoch, term, progress, holds, after };
+                let asked = LeaseRequest { by: from, duty, epoch, term, progress, holds, predecessor: after };
                 // An epoch is its asker's own: nobody asks under another's.
                 if epoch.member != from.0 {
                     return;
                 }
-                match self.acceptor.asked(now, &asked) {
-                    Some(Ok(())) => self.send(from, Word::Granted { duty, epoch, seq }),
-                    Some(Err((why, highest))) => self.send(from, Word::Refused { duty, epoch, highest, why }),
+                match self.acceptor.receive_request(now, &asked) {
+                    Some(Ok(())) => self.send(from, Message::Granted { duty, epoch, seq }),
+                    Some(Err((why, highest))) => {
+                        self.send(from, Message::Refused { duty, epoch, highest, why })
+                    }
                     None => {}
                 }
             }
-            Word::Granted { duty, epoch, seq } => self.granted(now, from, duty, epoch, seq),
-            Word::Refused { duty, epoch, highest, why } => {
-                self.acceptor.heard_of(duty, highest);
+            Message::Granted { duty, epoch, seq } => self.granted(now, from, duty, epoch, seq),
+            Message::Refused { duty, epoch, highest, why } => {
+                self.acceptor.observe_epoch(duty, highest);
                 self.refused(now, from, duty, epoch, highest, why);
             }
-            Word::Release { duty, epoch, to, used } => {
+            Message::Release { duty, epoch, to, used } => {
                 if epoch.member != from.0 {
                     return;
                 }
-                self.acceptor.released(now, duty, epoch, to, used);
+                self.acceptor.receive_release(now, duty, epoch, to, used);
                 let Some(own) = self.duties.get_mut(&duty) else { return };
                 if used {
-                    own.holder.heard_of(epoch);
+                    own.holder.observe_epoch(epoch);
                 }
                 if to == Some(self.own) && !self.leaving {
-                    own.holder.ask(now, Some(epoch));
+                    own.holder.request_lease(now, Some(epoch));
                     self.speak(now, duty);
                 }
             }
@@ -193,17 +195,17 @@
     fn granted(&mut self, now: f64, by: MemberId, key: DutyKey, epoch: Epoch, seq: u32) {
         let (settings, members) = (self.settings, self.members.len());
         let Some(own) = self.duties.get_mut(&key) else { return };
-        if own.holder.granted(now, by, epoch, seq, &settings, members) {
+        if own.holder.receive_grant(now, by, epoch, seq, &settings, members) {
             let duty = own.duty.clone();
-            self.tell(Event::Taken(duty, epoch));
+            self.tell(Event::Acquired(duty, epoch));
         }
     }
 
     fn refused(&mut self, now: f64, by: MemberId, key: DutyKey, epoch: Epoch, highest: Epoch, why: Refusal) {
         let (settings, members) = (self.settings, self.members.len());
         let Some(own) = self.duties.get_mut(&key) else { return };
-        own.holder.heard_of(highest);
-        if let Some(lost) = own.holder.refused(now, (by, epoch, why), &settings, members) {
+        own.holder.observe_epoch(highest);
+        if let Some(lost) = own.holder.receive_refusal(now, (by, epoch, why), &settings, members) {
             let duty = own.duty.clone();
             self.tell(Event::Lost(duty, epoch, lost));
         }
@@ -215,7 +217,7 @@
         // The own acceptor's answer may bring another word: a refusal that ends it.
         for _ in 0..4 {
             let Some(own) = self.duties.get_mut(&key) else { return };
-            let says = std::mem::take(&mut own.holder.says);
+            let says = std::mem::take(&mut own.holder.outgoing);
             if says.is_empty() {
                 return;
             }
@@ -226,30 +228,32 @@
         }
     }
 
-    fn say_to_all(&mut self, now: f64, duty: DutyKey, say: Say, progress: Progress) {
+    fn say_to_all(&mut self, now: f64, duty: DutyKey, say: ClaimMessage, progress: Progress) {
         let holds = self.may_act(now, duty).is_some();
         let word = match say {
-            Say::Request { epoch, seq, after } => {
+            ClaimMessage::Request { epoch, seq, predecessor: after } => {
                 let term_ms = (self.settings.term * 1000.0) as u32;
-                Word::Request { duty, epoch, seq, term_ms, progress, holds, after }
+                Message::Request { duty, epoch, seq, term_ms, progress, holds, after }
             }
-            Say::Release { epoch, to, used } => Word::Release { duty, epoch, to, used },
+            ClaimMessage::Release { epoch, to, used } => Message::Release { duty, epoch, to, used },
         };
         let others: Vec<MemberId> = self.members.iter().copied().filter(|m| *m != self.own).collect();
         for member in others {
             self.send(member, word.clone());
         }
         match say {
-            Say::Request { epoch, seq, after } => {
+            ClaimMessage::Request { epoch, seq, predecessor: after } => {
                 let term = self.settings.term;
-                let asked = Asked { by: self.own, duty, epoch, term, progress, holds, after };
-                match self.acceptor.asked(now, &asked) {
+                let asked =
+                    LeaseRequest { by: self.own, duty, epoch, term, progress, holds, predecessor: after };
+                match self.acceptor.receive_request(now, &asked) {
                     Some(Ok(())) => self.granted(now, self.own, duty, epoch, seq),
                     Some(Err((why, highest))) => {
                         let (settings, members) = (self.settings, self.members.len());
                         let Some(own) = self.duties.get_mut(&duty) else { return };
-                        own.holder.heard_of(highest);
-                        let lost = own.holder.refused(now, (self.own, epoch, why), &settings, members);
+                        own.holder.observe_epoch(highest);
+                        let lost =
+                            own.holder.receive_refusal(now, (self.own, epoch, why), &settings, members);
                         if let Some(lost) = lost {
                             let duty = own.duty.clone();
                             self.tell(Event::Lost(duty, epoch, lost));
@@ -258,11 +262,13 @@
                     None => {}
                 }
             }
-            Say::Release { epoch, to, used } => self.acceptor.released(now, duty, epoch, to, used),
+            ClaimMessage::Release { epoch, to, used } => {
+                self.acceptor.receive_release(now, duty, epoch, to, used)
+            }
         }
     }
 
-    fn send(&mut self, to: MemberId, word: Word) {
+    fn send(&mut self, to: MemberId, word: Message) {
         let waiting = self.waiting.entry(to).or_default();
         if waiting.len() < MOST_WAITING {
             waiting.push_back(word);
@@ -270,12 +276,12 @@
     }
 
     /// The next word to a member for which there is room.
-    pub fn say(&mut self, to: MemberId) -> Option<Word> {
+    pub fn next_message(&mut self, to: MemberId) -> Option<Message> {
         self.waiting.get_mut(&to)?.pop_front()
     }
 
     /// A link is down: what waits for it is old when it is up again.
-    pub fn unlinked(&mut self, member: MemberId) {
+    pub fn link_down(&mut self, member: MemberId) {
         self.waiting.remove(&member);
     }
 
@@ -305,26 +311,26 @@
 
     /// Asks for a duty that nobody holds, when it is this member's turn.
     fn try_for(&mut self, now: f64, key: DutyKey) {
-        let reserved = self.acceptor.reserved(now, key).is_some_and(|to| to != self.own);
+        let reserved = self.acceptor.reserved_for(now, key).is_some_and(|to| to != self.own);
         let held = reserved || self.acceptor.holder(now, key).is_some();
-        let highest = self.acceptor.highest(key);
+        let highest = self.acceptor.highest_epoch(key);
         let Some(own) = self.duties.get_mut(&key) else { return };
-        own.holder.heard_of(highest);
+        own.holder.observe_epoch(highest);
         own.free_since = match held {
             true => None,
             false => own.free_since.or(Some(now)),
         };
         let Some(since) = own.free_since.filter(|_| own.holder.is_idle()) else { return };
         // One that does not grant yet does not know whether others hold it.
-        if self.leaving || !self.acceptor.grants(now) {
+        if self.leaving || !self.acceptor.is_granting(now) {
             return;
         }
         let Some(rank) = self.order(now, key).iter().position(|m| *m == self.own) else { return };
-        if now - since < self.settings.step * rank as f64 {
+        if now - since < self.settings.candidate_delay * rank as f64 {
             return;
         }
         if let Some(own) = self.duties.get_mut(&key) {
-            own.holder.ask(now, None);
+            own.holder.request_lease(now, None);
         }
         self.speak(now, key);
     }
@@ -332,7 +338,7 @@
     /// The order of candidates of a duty, by what is granted here.
     fn order(&self, now: f64, key: DutyKey) -> Vec<MemberId> {
         let exclusive = self.duties.values().filter(|own| own.duty.kind == Kind::Exclusive).count();
-        order(key, &self.candidates, &self.held(now), exclusive)
+        candidate_order(key, &self.candidates, &self.held(now), exclusive)
     }
 
     fn held(&self, now: f64) -> BTreeMap<MemberId, usize> {
@@ -348,11 +354,11 @@
     /// Hands a duty on where this member holds too many for long enough.
     fn even_out(&mut self, now: f64) {
         let exclusive = self.duties.values().filter(|own| own.duty.kind == Kind::Exclusive).count();
-        if !too_many(self.own, &self.candidates, &self.held(now), exclusive) {
+        if !holds_too_many(self.own, &self.candidates, &self.held(now), exclusive) {
             return;
         }
         let settled =
-            |own: &&Own| own.holder.since().is_some_and(|since| now - since >= self.settings.settle);
+            |own: &&Own| own.holder.since().is_some_and(|since| now - since >= self.settings.min_hold);
         let Some(key) = self.duties.values().find(settled).map(|own| own.duty.key()) else { return };
         let to = self.order(now, key).into_iter().find(|m| *m != self.own);
         if to.is_some() {
@@ -363,12 +369,12 @@
     // ---- Reports
 
     /// Each duty as it is seen here.
-    pub fn snapshot(&self, now: f64) -> Vec<Row> {
-        let row = |(key, own): (&DutyKey, &Own)| Row {
+    pub fn snapshot(&self, now: f64) -> Vec<DutyStatus> {
+        let row = |(key, own): (&DutyKey, &Own)| DutyStatus {
             duty: own.duty.clone(),
             holder: self.acceptor.holder(now, *key),
-            acts: own.holder.may_act(now),
-            free_for: own.free_since.map(|since| now - since),
+            own_epoch: own.holder.may_act(now),
+            unheld_for: own.free_since.map(|since| now - since),
         };
         self.duties.iter().map(row).collect()
     }
@@ -376,21 +382,21 @@
 
 /// A duty as an operator or a test sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct DutyStatus {
     /// Which.
     pub duty: Duty,
     /// Who holds it, as far as is granted here.
     pub holder: Option<(MemberId, Epoch)>,
     /// The epoch under which this member may act.
-    pub acts: Option<Epoch>,
+    pub own_epoch: Option<Epoch>,
     /// For how long nobody holds it, as far as is granted here, in seconds.
-    pub free_for: Option<f64>,
+    pub unheld_for: Option<f64>,
 }
 
-impl fmt::Display for Row {
+impl fmt::Display for DutyStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ", self.duty)?;
-        match (self.acts, self.holder, self.free_for) {
+        match (self.own_epoch, self.holder, self.unheld_for) {
             (Some(epoch), ..) => write!(f, "held here under epoch {epoch}"),
             (_, Some((member, epoch)), _) => write!(f, "held by {:016x} under epoch {epoch}", member.0),
             (.., Some(free)) => write!(f, "held by nobody for {free:.1} s"),
--- a/crates/duties/src/spread.rs
+++ b/crates/duties/src/spread.rs
@@ -26,7 +26,7 @@
 
 /// The candidates of a duty, the first of whom is to hold it. One that holds its fair part of all duties already comes after
 /// those that do not, so that no member is given more than its part and one as long as others have room.
-pub fn order(
+pub fn candidate_order(
     duty: DutyKey,
     candidates: &[Candidate],
     held: &BTreeMap<MemberId, usize>,
@@ -47,7 +47,7 @@
 
 /// Whether a member holds so much more than its part that it is to hand a duty on: by more than one, so that nothing moves
 /// to and fro.
-pub fn too_many(
+pub fn holds_too_many(
     own: MemberId,
     candidates: &[Candidate],
     held: &BTreeMap<MemberId, usize>,
@@ -79,7 +79,7 @@
             let duties = 120;
             let mut held: BTreeMap<MemberId, usize> = BTreeMap::new();
             for n in 0..duties {
-                let to = order(DutyKey(n * 7919), &candidates, &held, duties as usize)[0];
+                let to = candidate_order(DutyKey(n * 7919), &candidates, &held, duties as usize)[0];
                 *held.entry(to).or_default() += 1;
             }
             let sum: f64 = weights.iter().sum();
@@ -87,7 +87,7 @@
                 let part = duties as f64 * c.weight / sum;
                 let got = held.get(&c.member).copied().unwrap_or(0) as f64;
                 assert!((got - part).abs() <= 0.25 * part + 2.0, "{got} of {part} with {weights:?}");
-                assert!(!too_many(c.member, &candidates, &held, duties as usize));
+                assert!(!holds_too_many(c.member, &candidates, &held, duties as usize));
             }
         }
     }
@@ -103,11 +103,11 @@
             turned.reverse();
             for key in keys {
                 let none = BTreeMap::new();
-                let before = order(DutyKey(key), &candidates, &none, 6);
-                prop_assert_eq!(&order(DutyKey(key), &turned, &none, 6), &before);
+                let before = candidate_order(DutyKey(key), &candidates, &none, 6);
+                prop_assert_eq!(&candidate_order(DutyKey(key), &turned, &none, 6), &before);
                 let left: Vec<MemberId> =
                     before.into_iter().filter(|m| *m != candidates[gone].member).collect();
-                prop_assert_eq!(order(DutyKey(key), &without, &none, 6), left);
+                prop_assert_eq!(candidate_order(DutyKey(key), &without, &none, 6), left);
             }
         }
     }
--- a/crates/faults/src/duties.rs
+++ b/crates/faults/src/duties.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use hollypaddle_duties::spread::Candidate;
-use hollypaddle_duties::{Duties, Duty, DutyKey, Epoch, Fence, Progress, Scope, Settings, Word};
+use hollypaddle_duties::{Duties, Duty, DutyKey, Epoch, Fence, Message, Progress, Scope, Settings};
 use hollypaddle_membership::MemberId;
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -69,7 +69,7 @@
 /// One direction between two members: what is on its way and when it comes.
 #[derive(Clone, Default)]
 struct Way {
-    items: VecDeque<(f64, Word)>,
+    items: VecDeque<(f64, Message)>,
     impairment: Impairment,
 }
 
@@ -158,7 +158,7 @@
         let local = self.clock(n);
         let plan = &self.plan;
         let from = match plan.planted {
-            Some(Planted::NoQuarantine) => local - plan.settings.kept_for(),
+            Some(Planted::NoQuarantine) => local - plan.settings.grant_duration(),
             _ => local,
         };
         let members: Vec<MemberId> = match plan.planted {
@@ -172,7 +172,7 @@
         let back = if self.nodes[n].lives % 3 == 2 { 3600.0 } else { 0.0 };
         let life = self.nodes[n].clock.life(self.now, back, self.rng.gen());
         let mut duties = Duties::new(from, id(n), life, plan.settings, &members);
-        duties.name(local, (0..plan.duties).map(duty));
+        duties.set_duties(local, (0..plan.duties).map(duty));
         self.nodes[n].duties = Some(duties);
         (self.nodes[n].paused, self.nodes[n].stuck) = (false, false);
     }
@@ -189,7 +189,7 @@
         }
         for m in 0..self.nodes.len() {
             if let Some(duties) = &mut self.nodes[m].duties {
-                duties.unlinked(id(n));
+                duties.link_down(id(n));
             }
         }
     }
@@ -256,7 +256,7 @@
             };
             self.nodes[n].paused.hash(state);
             for row in duties.snapshot(local) {
-                (row.holder, row.acts, row.free_for.is_some()).hash(state);
+                (row.holder, row.own_epoch, row.unheld_for.is_some()).hash(state);
             }
         }
         ((self.now / 0.1) as u64).hash(state);
@@ -311,7 +311,7 @@
         let local = self.clock(n);
         // Orders that left its last look before now take effect, the fence permitting.
         for (key, epoch, _) in std::mem::take(&mut self.nodes[n].about) {
-            let passed = self.fence.pass(key, epoch).is_ok() || self.plan.planted == Some(Planted::NoFence);
+            let passed = self.fence.check(key, epoch).is_ok() || self.plan.planted == Some(Planted::NoFence);
             self.refused += u64::from(!passed);
             if passed {
                 if self.done.iter().any(|(_, k, _, e)| *k == key && *e > epoch) {
@@ -326,7 +326,7 @@
         let count = self.plan.duties;
         let Some(duties) = &mut self.nodes[n].duties else { return };
         for k in 0..count {
-            duties.progress(duty(k).key(), Progress { mark, busy: true });
+            duties.set_progress(duty(k).key(), Progress { mark, busy: true });
         }
         duties.tick(local, &candidates);
         for m in (0..self.nodes.len()).filter(|m| *m != n) {
@@ -334,7 +334,7 @@
             let now = self.now;
             while let Some((_, word)) = way.items.pop_front_if(|(at, _)| *at <= now) {
                 if let Some(duties) = &mut self.nodes[n].duties {
-                    duties.hear(local, id(m), &word);
+                    duties.receive(local, id(m), &word);
                 }
             }
         }
@@ -344,9 +344,9 @@
         let Some(duties) = &mut self.nodes[n].duties else { return };
         let acting: Vec<(DutyKey, Epoch)> =
             (0..count).filter_map(|k| Some((duty(k).key(), duties.may_act(local, duty(k).key())?))).collect();
-        let _ = duties.events();
+        let _ = duties.take_events();
         for m in (0..self.nodes.len()).filter(|m| *m != n) {
-            while let Some(word) = self.nodes[n].duties.as_mut().and_then(|d| d.say(id(m))) {
+            while let Some(word) = self.nodes[n].duties.as_mut().and_then(|d| d.next_message(id(m))) {
                 self.words += 1;
                 if self.plan.loss > 0.0 && self.rng.gen_bool(self.plan.loss) {
                     continue;
@@ -384,7 +384,7 @@
             8 => self.start(a),
             _ => {
                 if let Some((duties, local)) = self.duties(a) {
-                    duties.hand_on(local, duty(0).key(), Some(id(b)));
+                    duties.hand_over(local, duty(0).key(), Some(id(b)));
                 }
             }
         }
--- a/crates/faults/src/tier/mod.rs
+++ b/crates/faults/src/tier/mod.rs
@@ -34,7 +34,7 @@
 use hollypaddle_membership::MemberId;
 use hollypaddle_relay::settings::Revision;
 use hollypaddle_relay::{Leaf, Relay};
-use hollypaddle_replica::record::{Place as ServerPlace, ServerFact, Topic};
+use hollypaddle_replica::record::{ServerFact, ServerState as ServerPlace, Topic};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/faults/src/tier/steps.rs
+++ b/crates/faults/src/tier/steps.rs
@@ -1,6 +1,6 @@
 //! The steps of scripts: how each is carried out, and how random ones are drawn.
 
-use hollypaddle_replica::record::{Place as ServerPlace, ServerFact};
+use hollypaddle_replica::record::{ServerFact, ServerState as ServerPlace};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
--- a/crates/faults/src/world/budget.rs
+++ b/crates/faults/src/world/budget.rs
@@ -3,7 +3,7 @@
 use hollypaddle_crossing::{
     Amount, BendSettings, ClassInfo, Crossing, District, Rate, Rule, Scope, Settings as Crossings,
 };
-use hollypaddle_lending::TERM;
+use hollypaddle_lending::LEASE_TERM_S;
 use hollypaddle_policy::{
     Candidate, Cause, Event as Heard, Gate, ListKind, Outcome, PoolEntry, PoolId, Readiness,
 };
@@ -57,12 +57,12 @@
         let (Some((crossing, shares)), Some(member)) = (&mut node.budget, &mut node.member) else { return };
         if local >= node.next_beat {
             node.next_beat = local + BUDGET_EVERY_S;
-            shares.beat(local, Some(member), Some(crossing));
+            shares.update(local, Some(member), Some(crossing));
             let part = 1.0 / self.plan.members as f64;
-            let own = shares.lending().own(local, key(&shared), part);
+            let own = shares.lending().own_part(local, key(&shared), part);
             let lent = shares.lending().lent(key(&shared));
             let leases = member.leases().into_iter().map(|(_, at, lent)| (at, f64::from(lent) / 1e6));
-            let valid = leases.clone().map(|(at, part)| (at + TERM, part)).filter(|l| local < l.0);
+            let valid = leases.clone().map(|(at, part)| (at + LEASE_TERM_S, part)).filter(|l| local < l.0);
             match self.plan.planted {
                 Some(Planted::LendsAndUses) => {
                     crossing.share(local, &Scope::default(), own + lent, valid.collect());
--- a/crates/faults/src/world/calls.rs
+++ b/crates/faults/src/world/calls.rs
@@ -1,7 +1,7 @@
 //! Calls: how they stand, end and are adopted, and what members know of them.
 
-use hollypaddle_replica::member::{Act, Event, How};
-use hollypaddle_replica::record::{CallFact, Origin, Place, ServerFact, ServerKey};
+use hollypaddle_replica::member::{CallAction, CatchUpOutcome, Event};
+use hollypaddle_replica::record::{CallFact, Origin, ServerFact, ServerKey, ServerState};
 use hollypaddle_replica::store::Store;
 use hollypaddle_replica::Member;
 use rand::Rng;
@@ -24,14 +24,14 @@
         let own = self.nodes[n].member.as_ref().map(|m| m.store());
         let version = |s: &Store, of: &Origin| s.stream(of).map_or(0, |s| s.version());
         let behind = own.is_some_and(|own| {
-            others.iter().any(|m| version(m.store(), &own.own()) < version(own, &own.own()))
+            others.iter().any(|m| version(m.store(), &own.own_origin()) < version(own, &own.own_origin()))
         });
         let since = self.now - SHARED;
         let mut lost = Vec::new();
         for (at, what) in &self.history.events {
             let is_lost = match what {
                 What::Stood(call, by) if *by == n && self.nodes[n].calls.contains_key(call) => {
-                    !others.iter().any(|m| m.store().call(*call).is_some())
+                    !others.iter().any(|m| m.store().standing_call(*call).is_some())
                 }
                 // Messages that still wait on a cut channel may bring the call and not its end.
                 What::Told(_, by) if *by == n => behind,
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn traffic(&mut self, n: usize, local: f64) {
-        let ready = self.nodes[n].member.as_ref().is_some_and(Member::ready);
+        let ready = self.nodes[n].member.as_ref().is_some_and(Member::is_caught_up);
         let ready = ready || self.plan.planted == Some(Planted::NoCatchUp);
         if !ready || !self.rng.gen_bool((self.plan.calls * STEP).clamp(0.0, 1.0)) {
             return;
@@ -61,9 +61,9 @@
         let lasts = self.rng.gen_range(0.2..6.0);
         let node = &mut self.nodes[n];
         let Some(member) = &mut node.member else { return };
-        member.stands(local, call, CallFact { server, class: 1 });
-        member.server(local, server, ServerFact { started_ms: 0, place: Place::Ready });
-        member.silent(local, server, 0, call.is_multiple_of(7).then_some(local));
+        member.call_established(local, call, CallFact { server, class: 1 });
+        member.record_server(local, server, ServerFact { started_ms: 0, place: ServerState::Ready });
+        member.record_silence(local, server, 0, call.is_multiple_of(7).then_some(local));
         node.calls.insert(call, server);
         self.standing.insert(call, (n, self.now + lasts));
         self.history.push(self.now, What::Stood(call, n));
@@ -71,12 +71,12 @@
 
     pub(super) fn act(&mut self, n: usize) {
         let Some(member) = &mut self.nodes[n].member else { return };
-        let (acts, events) = (member.acts(), member.events());
+        let (acts, events) = (member.take_call_actions(), member.take_events());
         let never_yields = self.plan.planted == Some(Planted::NeverYields);
         for act in acts {
             let node = &mut self.nodes[n];
             match act {
-                Act::Adopt(call, adopted) => {
+                CallAction::Adopt(call, adopted) => {
                     node.adopted.insert(call);
                     self.adopted += 1;
                     let owner = (0..self.nodes.len()).find(|m| id(*m) == adopted.origin.member);
@@ -86,15 +86,15 @@
                         self.check_adoption(n, call, owner);
                     }
                 }
-                Act::Yield(_) | Act::EndedElsewhere(_) if never_yields => {}
-                Act::Yield(call) => drop(node.adopted.remove(&call)),
-                Act::EndedElsewhere(call) => drop(node.calls.remove(&call)),
-                Act::Tell(call, _) => self.history.push(self.now, What::Told(call, n)),
+                CallAction::Yield(_) | CallAction::EndedElsewhere(_) if never_yields => {}
+                CallAction::Yield(call) => drop(node.adopted.remove(&call)),
+                CallAction::EndedElsewhere(call) => drop(node.calls.remove(&call)),
+                CallAction::DeliverEnd(call, _) => self.history.push(self.now, What::Told(call, n)),
             }
         }
         for event in events {
             match event {
-                Event::CaughtUp(How::Complete, _) => self.must_have_caught_up(n),
+                Event::CaughtUp(CatchUpOutcome::Complete, _) => self.must_have_caught_up(n),
                 Event::Member(hollypaddle_membership::view::Change::Gone(member, _)) => {
                     let gone = (0..self.nodes.len()).find(|m| id(*m) == member);
                     self.false_deaths += u64::from(gone.is_some_and(|m| self.nodes[m].acts()));
@@ -114,7 +114,7 @@
         let Some(member) = self.nodes[n].member.as_ref().filter(|_| own <= 1 && !cut) else { return };
         for (origin, version) in met {
             let held = member.store().stream(&origin).map_or(0, |s| s.version());
-            if held < version && !member.store().forgotten(&origin) && origin.member != id(n) {
+            if held < version && !member.store().is_forgotten(&origin) && origin.member != id(n) {
                 let what = format!("g{n} takes calls with {origin} at {held} of {version}");
                 self.broken.push(Broken("who takes calls holds what the others held as it came", what));
             }
@@ -131,9 +131,9 @@
         let Some(member) = &mut node.member else { return };
         let own = node.calls.remove(&call).is_some();
         // One that was started anew passes on the end of a call that it never heard of: it may have stood through it.
-        let earlier = node.lives > 1 && !member.store().over(call);
-        if own || earlier || node.adopted.contains(&call) || member.call(call).is_some() {
-            member.ended(local, call);
+        let earlier = node.lives > 1 && !member.store().is_call_over(call);
+        if own || earlier || node.adopted.contains(&call) || member.call_elsewhere(call).is_some() {
+            member.call_ended(local, call);
             node.adopted.remove(&call);
             self.history.push(self.now, What::Told(call, n));
         }
@@ -169,7 +169,7 @@
         let node = self.nodes.get_mut(n).filter(|node| node.acts())?;
         let (call, server) = (self.next_call, ServerKey(0));
         self.next_call += 1;
-        node.member.as_mut()?.stands(local, call, CallFact { server, class: 1 });
+        node.member.as_mut()?.call_established(local, call, CallFact { server, class: 1 });
         node.calls.insert(call, server);
         self.standing.insert(call, (n, f64::INFINITY));
         self.history.push(self.now, What::Stood(call, n));
--- a/crates/faults/src/world/network.rs
+++ b/crates/faults/src/world/network.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use hollypaddle_replica::Word;
+use hollypaddle_replica::Message;
 use rand::Rng;
 
 use super::{id, Planted, World, BASE_DELAY_S, CHANNEL_MESSAGES, DIAL_EVERY_S, GREETING_WITHIN_S};
@@ -35,7 +35,7 @@
         if node.links.remove(&peer).is_some() {
             node.next_dial[peer] = self.now + DIAL_EVERY_S;
             if let Some(member) = &mut node.member {
-                member.unlinked(id(peer));
+                member.link_down(id(peer));
             }
         }
     }
@@ -63,7 +63,7 @@
                     Packet::Close if link.is_some_and(|l| l.connection == connection) => self.unlink(n, peer),
                     Packet::Close => {}
                     Packet::Message(bytes) => {
-                        let Ok(message) = postcard::from_bytes::<Word>(&bytes) else {
+                        let Ok(message) = postcard::from_bytes::<Message>(&bytes) else {
                             self.broken.push(Broken("what is said can be read", format!("{bytes:?}")));
                             continue;
                         };
@@ -88,19 +88,19 @@
         connection: u64,
         link: Option<Link>,
         local: f64,
-        message: &Word,
+        message: &Message,
     ) {
         let Some(member) = &mut self.nodes[n].member else { return };
-        if let Word::Hello { .. } = message {
+        if let Message::Hello { .. } = message {
             // A new connection takes the place of one of which the end was not heard.
             let answers = link.is_none_or(|l| l.connection != connection);
             if answers && link.is_some_and(|l| l.connection > connection) {
                 return;
             }
             if answers && link.is_some() {
-                member.unlinked(id(peer));
+                member.link_down(id(peer));
             }
-            let greeted = member.greeted(local, message);
+            let greeted = member.receive_hello(local, message);
             let hello = member.hello(local, id(peer));
             let link = Link { connection, greeted: greeted.is_ok(), since: self.now };
             self.nodes[n].links.insert(peer, link);
@@ -116,7 +116,7 @@
         if !link.is_some_and(|l| l.connection == connection && l.greeted) {
             return;
         }
-        if member.hear(local, id(peer), message).is_err() {
+        if member.receive(local, id(peer), message).is_err() {
             self.unlink(n, peer);
             self.close(n, peer, connection);
         }
@@ -146,7 +146,7 @@
             if self.nodes[peer].member.is_none() {
                 let local = self.nodes[n].clock(self.now);
                 if let Some(member) = &mut self.nodes[n].member {
-                    member.refused(local, id(peer));
+                    member.link_refused(local, id(peer));
                 }
                 continue;
             }
@@ -160,18 +160,21 @@
         }
     }
 
-    pub(super) fn send(&mut self, from: usize, to: usize, connection: u64, message: &Word) {
+    pub(super) fn send(&mut self, from: usize, to: usize, connection: u64, message: &Message) {
         let Ok(bytes) = postcard::to_allocvec(message) else { return };
         self.bytes += bytes.len() as u64;
         let Some(channel) = self.channels.get_mut(&(from, to)) else { return };
         let at = self.now + BASE_DELAY_S + channel.impairment.delay_s;
-        if self.plan.loss > 0.0 && matches!(message, Word::Beat(_)) && self.rng.gen_bool(self.plan.loss) {
+        if self.plan.loss > 0.0
+            && matches!(message, Message::Heartbeat(_))
+            && self.rng.gen_bool(self.plan.loss)
+        {
             return;
         }
         // What comes later on a connection does not overtake.
         let at = channel.items.back().map_or(at, |(last, ..)| last.max(at));
         let at = at + channel.impairment.rate.map_or(0.0, |rate| bytes.len() as f64 / rate);
-        let carries = matches!(message, Word::Piece(_) | Word::Ask(_));
+        let carries = matches!(message, Message::Chunk(_) | Message::Request(_));
         if self.plan.chaos > 0.0 && carries && self.rng.gen_bool(self.plan.chaos) {
             match self.rng.gen_bool(0.5) {
                 true => channel.items.push_back((at, connection, Packet::Message(bytes.clone()))),
@@ -185,7 +188,8 @@
         for peer in self.nodes[n].links.keys().copied().collect::<Vec<_>>() {
             let Some(link) = self.nodes[n].links.get(&peer).copied().filter(|l| l.greeted) else { continue };
             while self.channels.get(&(n, peer)).is_some_and(|w| w.items.len() < CHANNEL_MESSAGES) {
-                let Some(mut message) = self.nodes[n].member.as_mut().and_then(|m| m.say(local, id(peer)))
+                let Some(mut message) =
+                    self.nodes[n].member.as_mut().and_then(|m| m.next_message(local, id(peer)))
                 else {
                     break;
                 };
@@ -195,8 +199,8 @@
         }
     }
 
-    pub(super) fn apply_planted(&mut self, message: &mut Word) {
-        let Word::Piece(piece) = message else { return };
+    pub(super) fn apply_planted(&mut self, message: &mut Message) {
+        let Message::Chunk(piece) = message else { return };
         match self.plan.planted {
             Some(Planted::NoTombstones) => piece.records.retain(|r| r.value.is_some()),
             Some(Planted::SkipsRecords) if piece.records.len() > 1 => drop(piece.records.remove(0)),
--- a/crates/faults/src/world/settled.rs
+++ b/crates/faults/src/world/settled.rs
@@ -2,7 +2,7 @@
 
 use hollypaddle_membership::view::State;
 use hollypaddle_replica::record::Origin;
-use hollypaddle_replica::store::{Store, LIVES};
+use hollypaddle_replica::store::{Store, MAX_INCARNATIONS_PER_MEMBER};
 use hollypaddle_replica::Member;
 
 use super::{id, World};
@@ -22,11 +22,11 @@
                     broken.push(Broken("whoever lives and is reached is alive to all", what));
                 }
             }
-            if !member.ready() {
+            if !member.is_caught_up() {
                 broken.push(Broken("nobody waits for ever", format!("g{n} is not ready")));
             }
             let streams = member.store().streams().count();
-            if streams > self.plan.members * LIVES {
+            if streams > self.plan.members * MAX_INCARNATIONS_PER_MEMBER {
                 broken.push(Broken("what is over leaves no growth", format!("g{n} holds {streams} streams")));
             }
         }
@@ -54,8 +54,8 @@
         let mut broken = Vec::new();
         for (n, member) in members {
             for (origin, stream) in member.store().streams() {
-                for (call, ..) in Store::calls(stream) {
-                    let known = !member.store().over(call);
+                for (call, ..) in Store::calls_in(stream) {
+                    let known = !member.store().is_call_over(call);
                     if known && !self.standing.contains_key(&call) {
                         // The server's notice reached nobody who knew of it: it comes on the owner's next connection.
                         let any = |of: &dyn Fn(&What) -> bool| self.history.events.iter().any(|(_, w)| of(w));
@@ -76,7 +76,7 @@
                 let what = format!("call {call:x} by {by:?}, its owner {own}");
                 broken.push(Broken("a call is seen to by one member alone", what));
             }
-            let known = members.iter().filter(|(_, m)| m.store().call(*call).is_some()).count();
+            let known = members.iter().filter(|(_, m)| m.store().standing_call(*call).is_some()).count();
             if known > 0 && known < members.len() {
                 let what = format!("call {call:x} is known to {known} of {}", members.len());
                 broken.push(Broken("what one knows all know", what));
--- a/crates/faults/tests/duties.rs
+++ b/crates/faults/tests/duties.rs
@@ -24,7 +24,7 @@
         world.fault(&mut rng);
     }
     world.heal();
-    let term = world.plan.settings.kept_for();
+    let term = world.plan.settings.grant_duration();
     world.pass(2.5 * term);
     let holders = world.holders(key());
     if holders.len() != 1 {
@@ -73,7 +73,7 @@
         for n in 0..4 {
             let Some(holder) = world.holders(key()).first().copied() else { continue };
             if let Some((duties, local)) = world.duties(holder) {
-                duties.hand_on(local, key(), Some(id(n)));
+                duties.hand_over(local, key(), Some(id(n)));
             }
             world.pass(1.0);
             let others: Vec<usize> = (0..4).filter(|m| *m != n).collect();
@@ -150,7 +150,7 @@
             world.gaps.clear();
             let to = (holder + 1) % members;
             let (duties, local) = world.duties(holder).unwrap();
-            duties.hand_on(local, key(), Some(id(to)));
+            duties.hand_over(local, key(), Some(id(to)));
             world.pass(2.0);
             assert_eq!(world.holders(key()), [to]);
             let gap = world.gaps[0].2 - world.gaps[0].1;
@@ -255,7 +255,7 @@
         (0..members).for_each(|n| world.kill(n));
         (0..members).for_each(|n| world.start(n));
         let s = Settings::default();
-        world.pass(s.kept_for() * 1.02 + 0.5);
+        world.pass(s.grant_duration() * 1.02 + 0.5);
         assert_eq!(world.holders(key()).len(), 1, "{members} members");
         assert!(world.broken.is_empty());
     }
@@ -299,7 +299,7 @@
             let life = hollypaddle_membership::Incarnation { number: 1, nonce: 1 };
             let all: Vec<_> = (0..8).map(id).collect();
             let duties = hollypaddle_duties::Duties::new(0.0, id(**n), life, Settings::default(), &all);
-            duties.is_mine(key, living.iter().map(|n| id(*n)))
+            duties.is_owner(key, living.iter().map(|n| id(*n)))
         };
         living.iter().filter(mine).count()
     };
--- a/crates/faults/tests/duties_model.rs
+++ b/crates/faults/tests/duties_model.rs
@@ -118,7 +118,7 @@
             Step::HandOn => {
                 let holder = world.holders(duty(0).key()).first().copied()?;
                 let (duties, local) = world.duties(holder)?;
-                duties.hand_on(local, duty(0).key(), Some(id((holder + 1) % MEMBERS)));
+                duties.hand_over(local, duty(0).key(), Some(id((holder + 1) % MEMBERS)));
                 world.pass(0.01);
             }
             Step::Short => world.pass(0.4),
@@ -142,7 +142,7 @@
                 model.settled.fetch_add(1, Ordering::Relaxed);
                 let mut world = state.world.clone();
                 world.heal();
-                let within = 2.5 * world.plan.settings.kept_for();
+                let within = 2.5 * world.plan.settings.grant_duration();
                 world.pass(within);
                 world.holders(duty(0).key()).len() == 1
             }),
--- a/crates/faults/tests/model.rs
+++ b/crates/faults/tests/model.rs
@@ -44,14 +44,14 @@
             let member = self.world.member(n);
             member.is_some().hash(state);
             let Some(member) = member else { continue };
-            member.ready().hash(state);
+            member.is_caught_up().hash(state);
             for row in member.snapshot() {
                 (row.origin, row.version, row.hash).hash(state);
             }
             for row in member.view().snapshot(self.world.now) {
                 (row.member, row.state.name(), row.linked).hash(state);
             }
-            member.seen_to(self.call).is_some().hash(state);
+            member.adopted_call(self.call).is_some().hash(state);
         }
         let told =
             self.world.history.events.iter().filter(|(_, w)| matches!(w, What::Told(..) | What::Ended(_)));
--- a/crates/faults/tests/tier.rs
+++ b/crates/faults/tests/tier.rs
@@ -6,7 +6,7 @@
 };
 use hollypaddle_relay::relay::SettingsError;
 use hollypaddle_relay::Timing;
-use hollypaddle_replica::record::{Place, Presence, ServerFact};
+use hollypaddle_replica::record::{Presence, ServerFact, ServerState};
 
 /// Rounds; `ROUNDS=2000` plays more.
 fn rounds() -> u64 {
@@ -352,8 +352,8 @@
 fn leaves_hear_of_servers_and_silences_whatever_relay_they_are_at() {
     let mut world = world(Plan::of(5, 30), 6);
     world.silence(7, 2, true);
-    world.tell(8, 1, Some(ServerFact { started_ms: 2000, place: Place::Draining }));
-    world.tell(9, 0, Some(ServerFact { started_ms: 1000, place: Place::Gone }));
+    world.tell(8, 1, Some(ServerFact { started_ms: 2000, place: ServerState::Draining }));
+    world.tell(9, 0, Some(ServerFact { started_ms: 1000, place: ServerState::Gone }));
     world.pass(1.0);
     assert_eq!(world.unsettled(), []);
     world.silence(7, 2, false);
@@ -370,7 +370,7 @@
     for _ in 0..30 {
         for _ in 0..60 {
             n += 1;
-            let fact = ServerFact { started_ms: 1000 + n, place: Place::Ready };
+            let fact = ServerFact { started_ms: 1000 + n, place: ServerState::Ready };
             world.tell(5 + (n % 12) as usize, (n * 7 % 300) as usize, Some(fact));
         }
         world.propose(0, &entries(n)).unwrap().unwrap();
@@ -390,7 +390,7 @@
     world.deafen(5, true);
     for n in 0..20u64 {
         for server in 0..100 {
-            let fact = ServerFact { started_ms: 2000 + n, place: Place::Ready };
+            let fact = ServerFact { started_ms: 2000 + n, place: ServerState::Ready };
             world.tell(7, server, Some(fact));
         }
         world.propose(0, &entries(n + 2)).unwrap().unwrap();
@@ -428,7 +428,7 @@
 fn what_a_leaf_said_last_and_was_lost_is_said_again() {
     let mut world = world(Plan::of(3, 12), 11);
     world.loss = 1.0;
-    world.tell(8, 0, Some(ServerFact { started_ms: 5000, place: Place::Draining }));
+    world.tell(8, 0, Some(ServerFact { started_ms: 5000, place: ServerState::Draining }));
     world.pass(0.3);
     world.loss = 0.0;
     assert_ne!(world.feeds_equal_the_model(), [], "nothing was lost");
@@ -508,7 +508,7 @@
         Planted::NoBudget,
         |w| {
             for n in 0..400u64 {
-                let fact = ServerFact { started_ms: 5000 + n, place: Place::Ready };
+                let fact = ServerFact { started_ms: 5000 + n, place: ServerState::Ready };
                 for server in 0..6 {
                     w.tell(5 + (n as usize % 6) * 34, server, Some(fact));
                 }
--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -388,7 +388,7 @@
             fleet.set_classes(ctx.class_names);
         }
         if let Some(conf) = fleet_without_relays(new) {
-            self.shares.get_or_insert_with(|| Shares::new(ctx.now, conf.lend)).change(conf.lend);
+            self.shares.get_or_insert_with(|| Shares::new(ctx.now, conf.lend)).set_max_lent_ratio(conf.lend);
         }
         Some(format!("fleet-{word}"))
     }
@@ -413,7 +413,7 @@
     fn on_heartbeat(&mut self, ctx: &mut ComponentContext, _: &Conf) {
         let member = self.joined.as_mut().map(Fleet::member);
         let crossing = ctx.gates.crossing.as_mut();
-        if self.shares.as_mut().is_some_and(|shares| !shares.beat(ctx.now, member, crossing)) {
+        if self.shares.as_mut().is_some_and(|shares| !shares.update(ctx.now, member, crossing)) {
             self.shares = None;
         }
         let (Some(fleet), Some(guard)) = (&mut self.joined, &mut ctx.gates.fleet) else { return };
--- a/crates/gatekeeper/src/node/events.rs
+++ b/crates/gatekeeper/src/node/events.rs
@@ -97,22 +97,22 @@
         Event::Conflict(origin, c) => {
             log::warn!(
                 member = name(origin.member).as_str(), life:% = origin.life, version = c.version,
-                key:? = c.key, held:? = c.held, told:? = c.told; "replica-conflict"
+                key:? = c.key, held:? = c.held, told:? = c.received; "replica-conflict"
             );
         }
-        Event::Differs(origin, from) => {
+        Event::CopyDiverged(origin, from) => {
             log::warn!(
                 member = name(origin.member).as_str(), life:% = origin.life, from = name(*from).as_str();
                 "replica-differs"
             );
         }
-        Event::Mended(origin) => {
+        Event::CopyRepaired(origin) => {
             log::info!(member = name(origin.member).as_str(), life:% = origin.life; "replica-mended");
         }
-        Event::Forgotten(origin, records) => {
+        Event::StreamForgotten(origin, records) => {
             log::info!(member = name(origin.member).as_str(), life:% = origin.life, records; "replica-forgotten");
         }
-        Event::LeftOut(records) => log::warn!(records; "replica-full"),
+        Event::RecordsLeftOut(records) => log::warn!(records; "replica-full"),
     }
 }
 
--- a/crates/gatekeeper/src/node/events/tests.rs
+++ b/crates/gatekeeper/src/node/events/tests.rs
@@ -1,7 +1,7 @@
 //! Which events of a fleet are logged.
 
 use hollypaddle_membership::Incarnation;
-use hollypaddle_replica::member::How;
+use hollypaddle_replica::member::CatchUpOutcome;
 
 use super::*;
 
@@ -17,8 +17,8 @@
 fn events_of_this_member_are_logged_after_any_number_of_others() {
     let incarnation = Incarnation { number: 1, nonce: 1 };
     let own = [
-        Event::CaughtUp(How::Complete, 0.4),
-        Event::CaughtUp(How::Late, 2.0),
+        Event::CaughtUp(CatchUpOutcome::Complete, 0.4),
+        Event::CaughtUp(CatchUpOutcome::Late, 2.0),
         Event::Member(MembershipChange::Resumed(3.0)),
         Event::Member(MembershipChange::Superseded(incarnation)),
     ];
@@ -44,7 +44,7 @@
         Event::Member(MembershipChange::Returned(member)),
         Event::Member(MembershipChange::Restarted(member, incarnation)),
         Event::Member(MembershipChange::IncarnationRaised(incarnation)),
-        Event::LeftOut(1),
+        Event::RecordsLeftOut(1),
     ];
     for event in &others {
         let mut limiter = FULL;
--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -9,9 +9,9 @@
 use hollypaddle_core::calls::{CallChange, Calls};
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_policy::{PoolEntry, PoolId};
-use hollypaddle_replica::adoption::Adopted;
+use hollypaddle_replica::adoption::AdoptedCall;
 use hollypaddle_replica::guard::Guard;
-use hollypaddle_replica::member::{Act, Event};
+use hollypaddle_replica::member::{CallAction, Event};
 use hollypaddle_replica::record::{class_key, CallFact, ServerKey, KINDS};
 use hollypaddle_replica::Member;
 use hollypaddle_service::figures::FleetFigures;
@@ -40,7 +40,7 @@
     observations: PeerObservations,
     /// Adopted calls whose server is not known here, and when they were adopted. The list may name the server late. After
     /// `lists_late` the server is considered gone and the call cut.
-    unplaced: BTreeMap<u64, (Adopted, f64)>,
+    unplaced: BTreeMap<u64, (AdoptedCall, f64)>,
     /// Ends of calls that are not known yet while this member catches up: arrival time, call, and whether it was cut.
     held_ends: VecDeque<(f64, u64, bool)>,
     log_limiter: EventLogLimiter,
@@ -96,7 +96,7 @@
     /// Applies the members and settings of a reloaded configuration.
     pub fn reconfigure(&mut self, now: f64, conf: &Conf, poller: &Poller) {
         let members: Vec<MemberId> = conf.members.iter().map(|m| MemberId::of(&m.name)).collect();
-        self.member.change(conf.settings, &members);
+        self.member.reconfigure(conf.settings, &members);
         self.peers.set_members(now, configured_members(conf), &mut self.member, poller);
         self.conf = conf.clone();
     }
@@ -123,30 +123,30 @@
 
     /// Whether this member has caught up.
     pub fn ready(&self) -> bool {
-        self.member.ready()
+        self.member.is_caught_up()
     }
 
     /// Returns when more may be sent to a member that waits for it, if any.
     pub fn next_send_at(&self) -> Option<f64> {
-        self.member.gives_at()
+        self.member.next_send_at()
     }
 
     /// Returns a call that another member reported as standing.
-    pub fn adopted_call(&self, id: u64) -> Option<Adopted> {
-        self.member.call(id)
+    pub fn adopted_call(&self, id: u64) -> Option<AdoptedCall> {
+        self.member.call_elsewhere(id)
     }
 
     /// Handles the end of a call that is not known here, as reported by a server; returns whether to send it to the caller now.
     /// That is so if the call was established through another gatekeeper, or possibly through an earlier process of this one
     /// (`earlier`) and no member has delivered its end yet.
     pub fn handle_unknown_end(&mut self, now: f64, id: u64, cut: bool, earlier: bool) -> bool {
-        if self.member.call(id).is_some() {
+        if self.member.call_elsewhere(id).is_some() {
             return true;
         }
-        if !earlier || self.member.store().told(id) {
+        if !earlier || self.member.store().is_end_delivered(id) {
             return false;
         }
-        let hold = !self.member.ready() && self.held_ends.len() < MAX_HELD_ENDS;
+        let hold = !self.member.is_caught_up() && self.held_ends.len() < MAX_HELD_ENDS;
         // Servers repeat an end on each new connection.
         if hold && !self.held_ends.iter().any(|(_, held, _)| *held == id) {
             self.held_ends.push_back((now, id, cut));
@@ -156,11 +156,11 @@
 
     /// Delivers the ends that were held, except those that another member has delivered.
     fn deliver_held_ends(&mut self, now: f64, calls: &mut Calls) {
-        let ready = self.member.ready();
+        let ready = self.member.is_caught_up();
         while let Some((_, id, cut)) =
             self.held_ends.pop_front_if(|(at, ..)| ready || now - *at >= HOLD_UNKNOWN_END_S)
         {
-            if !self.member.store().told(id) {
+            if !self.member.store().is_end_delivered(id) {
                 calls.report_end(id, cut);
             }
         }
@@ -179,9 +179,9 @@
     /// Hands ends over to members that have callers, if none are connected here.
     pub fn hand_over_ends(&mut self, now: f64, clients: &mut Clients) {
         let has_callers = clients.has_fallback_connection();
-        self.member.callers(has_callers);
+        self.member.set_has_callers(has_callers);
         if !has_callers && self.member.others_have_callers() {
-            clients.take_undelivered().for_each(|(id, cut)| self.member.owes(now, id, cut));
+            clients.take_undelivered().for_each(|(id, cut)| self.member.hand_over_end(now, id, cut));
         }
     }
 
@@ -202,8 +202,8 @@
     pub fn tick(&mut self, now: f64, guard: &mut Guard) -> bool {
         self.member.tick(now);
         let resumed = self.log_events(now);
-        self.held = (self.held || resumed) && !self.member.ready();
-        guard.hold(self.held);
+        self.held = (self.held || resumed) && !self.member.is_caught_up();
+        guard.set_hold(self.held);
         resumed
     }
 
@@ -226,8 +226,8 @@
         self.apply_actions(now, calls);
         self.adopt_unplaced(now, calls);
         self.deliver_held_ends(now, calls);
-        let lists_late = self.conf.settings.lists_late;
-        self.observations.update(now, &self.member.hearsay(), (list_at, lists_late), servers, guard)
+        let lists_late = self.conf.settings.max_list_delay;
+        self.observations.update(now, &self.member.peer_observations(), (list_at, lists_late), servers, guard)
     }
 
     /// Reports changes of calls, applies what follows from messages, and sends what is due on every link that has room.
@@ -245,12 +245,12 @@
                 CallChange::Established { id, class, pool, since } => {
                     if let Some(server) = self.reported.server_of(pool) {
                         let fact = CallFact { server, class: self.classes.get(class).copied().unwrap_or(0) };
-                        self.member.stands(since, id, fact);
+                        self.member.call_established(since, id, fact);
                     }
                 }
                 CallChange::Ended { id } => {
                     self.unplaced.remove(&id);
-                    self.member.ended(now, id);
+                    self.member.call_ended(now, id);
                 }
             }
         }
@@ -260,22 +260,22 @@
 
     /// Applies what other members report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
-        self.observations.overlay(entries, list_at, self.conf.settings.lists_late);
+        self.observations.overlay(entries, list_at, self.conf.settings.max_list_delay);
     }
 
     fn apply_actions(&mut self, now: f64, calls: &mut Calls) {
-        for action in self.member.acts() {
+        for action in self.member.take_call_actions() {
             match action {
-                Act::Adopt(id, call) => match self.pool_of(call.fact.server) {
+                CallAction::Adopt(id, call) => match self.pool_of(call.fact.server) {
                     Some(pool) => calls.adopt(id, pool, call.since),
                     None => drop(self.unplaced.insert(id, (call, now))),
                 },
-                Act::Yield(id) => {
+                CallAction::Yield(id) => {
                     self.unplaced.remove(&id);
                     calls.drop_adopted(id);
                 }
-                Act::EndedElsewhere(id) => calls.ended_elsewhere(id),
-                Act::Tell(id, cut) => calls.report_end(id, cut),
+                CallAction::EndedElsewhere(id) => calls.ended_elsewhere(id),
+                CallAction::DeliverEnd(id, cut) => calls.report_end(id, cut),
             }
         }
     }
@@ -289,7 +289,7 @@
                     calls.adopt(*id, pool, call.since);
                     placed.push(*id);
                 }
-                None if now - since >= self.conf.settings.lists_late => {
+                None if now - since >= self.conf.settings.max_list_delay => {
                     calls.report_end(*id, true);
                     placed.push(*id);
                 }
@@ -302,7 +302,7 @@
     /// Logs events, within the limit; returns whether this member was paused.
     fn log_events(&mut self, now: f64) -> bool {
         let mut resumed = false;
-        for event in self.member.events() {
+        for event in self.member.take_events() {
             resumed |= matches!(event, Event::Member(MembershipChange::Resumed(_)));
             if self.log_limiter.may_log_event(now, &event) {
                 log_member_event(&event, |id| self.peers.name(id));
@@ -327,8 +327,8 @@
             calls_adopted_now: calls.adopted_count() as u64,
             calls_adopted: counts.adopted,
             conflicts: counts.conflicts,
-            copies_differed: counts.differed,
-            copies_mended: counts.mended,
+            copies_differed: counts.diverged,
+            copies_mended: counts.repaired,
             records_left_out: counts.left_out,
             links_refused: self.peers.counts.refused,
             bytes_said: self.peers.counts.bytes_sent,
@@ -350,7 +350,7 @@
         };
         json!({
             "name": self.conf.members.iter().find(|m| MemberId::of(&m.name) == view.own_id()).map(|m| &m.name),
-            "life": view.incarnation().to_string(), "ready": self.member.ready(), "held": self.held,
+            "life": view.incarnation().to_string(), "ready": self.member.is_caught_up(), "held": self.held,
             "quorum": view.has_quorum(), "superseded": view.superseded(),
             "members": view.snapshot(now).iter().map(row).collect::<Vec<_>>(),
         })
@@ -358,7 +358,7 @@
 
     /// Returns the report on the replicated streams.
     pub fn report_replica(&self, calls: &Calls) -> Value {
-        let row = |r: &hollypaddle_replica::member::Row| {
+        let row = |r: &hollypaddle_replica::member::StreamStatus| {
             json!({
                 "member": self.peers.name(r.origin.member), "own": r.origin.member == self.member.view().own_id(),
                 "life": r.origin.life.to_string(), "version": r.version, "hash": format!("{:016x}", r.hash),
@@ -366,7 +366,7 @@
                 KINDS[4]: r.counts[4], KINDS[5]: r.counts[5], KINDS[6]: r.counts[6], "lag": r.lag,
             })
         };
-        let (given, taken, fetching) = self.member.caught();
+        let (given, taken, fetching) = self.member.catch_up_counts();
         let record_bytes = &self.peers.counts.by_kind.records;
         let records: serde_json::Map<String, Value> =
             KINDS.iter().zip(record_bytes).map(|(kind, bytes)| (kind.to_string(), json!(bytes))).collect();
--- a/crates/gatekeeper/src/node/observations.rs
+++ b/crates/gatekeeper/src/node/observations.rs
@@ -6,9 +6,9 @@
 use hollypaddle_platform::list::Readiness;
 use hollypaddle_policy::{PoolEntry, PoolId};
 use hollypaddle_relay::Leaf;
-use hollypaddle_replica::guard::{overlay, Guard};
-use hollypaddle_replica::record::{Place, ServerFact, ServerKey};
-use hollypaddle_replica::store::Said;
+use hollypaddle_replica::guard::{apply_observation, Guard};
+use hollypaddle_replica::record::{ServerFact, ServerKey, ServerState};
+use hollypaddle_replica::store::ServerObservation;
 use hollypaddle_replica::Member;
 
 use super::servers::Servers;
@@ -24,11 +24,11 @@
 
 impl ServerReporter for Member {
     fn report_server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
-        Member::server(self, at, server, fact);
+        Member::record_server(self, at, server, fact);
     }
 
     fn report_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
-        Member::silent(self, now, server, started_ms, since);
+        Member::record_silence(self, now, server, started_ms, since);
     }
 }
 
@@ -59,8 +59,8 @@
             missing.retain(|pool| *pool != known.pool);
             let server = ServerKey::of(known.name);
             let place = match known.listed.readiness {
-                Readiness::Ready => Place::Ready,
-                Readiness::Draining => Place::Draining,
+                Readiness::Ready => ServerState::Ready,
+                Readiness::Draining => ServerState::Draining,
             };
             let started_ms = (known.listed.started.max(0.0) * 1000.0) as u64;
             let (fact, silent) = (ServerFact { started_ms, place }, known.silent_at.is_some());
@@ -78,7 +78,7 @@
         let mut removed = Vec::new();
         for pool in missing {
             let Some((server, fact, _)) = self.0.remove(&pool) else { continue };
-            reporter.report_server(now, server, ServerFact { place: Place::Gone, ..fact });
+            reporter.report_server(now, server, ServerFact { place: ServerState::Gone, ..fact });
             reporter.report_silence(now, server, fact.started_ms, None);
             removed.push(server);
         }
@@ -98,7 +98,7 @@
 
 /// What other gatekeepers report of each server, and when this gatekeeper's list was received, as of the last update.
 pub struct PeerObservations {
-    by_pool: HashMap<PoolId, Said>,
+    by_pool: HashMap<PoolId, ServerObservation>,
     list_at: f64,
 }
 
@@ -113,7 +113,7 @@
     pub fn update(
         &mut self,
         now: f64,
-        observations: &BTreeMap<ServerKey, Said>,
+        observations: &BTreeMap<ServerKey, ServerObservation>,
         (list_at, late): (f64, f64),
         servers: &Servers,
         guard: &mut Guard,
@@ -123,23 +123,23 @@
             let observed = observations.get(&ServerKey::of(known.name));
             let started_ms = (known.listed.started.max(0.0) * 1000.0) as u64;
             let silent = observed.filter(|s| s.fact.started_ms >= started_ms).and_then(|s| s.silent);
-            guard.silence(now, known.pool, silent.map(|(at, _)| at), known.last_message_at);
+            guard.update_silence(now, known.pool, silent.map(|(at, _)| at), known.last_message_at);
             by_pool.extend(observed.map(|observed| (known.pool, *observed)));
         }
         let ready = servers.summaries().filter(|k| k.listed.readiness == Readiness::Ready).map(|k| k.pool);
-        guard.in_service(&ready.collect::<Vec<PoolId>>());
+        guard.set_in_service(&ready.collect::<Vec<PoolId>>());
         let old = std::mem::replace(&mut self.by_pool, by_pool);
         let old_list_at = std::mem::replace(&mut self.list_at, list_at);
         let entries = servers.pool_entries().into_iter();
-        let before = |e: &PoolEntry| overlay(*e, old.get(&e.pool), old_list_at, late);
-        let after = |e: &PoolEntry| overlay(*e, self.by_pool.get(&e.pool), list_at, late);
+        let before = |e: &PoolEntry| apply_observation(*e, old.get(&e.pool), old_list_at, late);
+        let after = |e: &PoolEntry| apply_observation(*e, self.by_pool.get(&e.pool), list_at, late);
         entries.filter(|e| before(e) != after(e)).map(|e| after(&e)).collect()
     }
 
     /// Applies what other gatekeepers report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64, late: f64) {
         for entry in entries {
-            *entry = overlay(*entry, self.by_pool.get(&entry.pool), list_at, late);
+            *entry = apply_observation(*entry, self.by_pool.get(&entry.pool), list_at, late);
         }
     }
 }
--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -16,7 +16,7 @@
 use hollypaddle_platform::connection::{Connection, Frame, Over};
 use hollypaddle_replica::member::Rejection;
 use hollypaddle_replica::record::KINDS;
-use hollypaddle_replica::{Member, Word};
+use hollypaddle_replica::{Member, Message};
 use postcard::ser_flavors::Size;
 
 use super::listen::bind;
@@ -48,7 +48,7 @@
 const MAX_MESSAGES_PER_ITERATION: usize = 32;
 
 /// A message in its frame.
-struct Framed(Word);
+struct Framed(Message);
 
 /// The error for a frame that exceeds the limit.
 #[derive(Debug, thiserror::Error)]
@@ -182,18 +182,18 @@
 
 impl BytesByKind {
     /// Counts a message that took this many bytes, including its frame.
-    pub fn count(&mut self, message: &Word, bytes: u64) {
+    pub fn count(&mut self, message: &Message, bytes: u64) {
         let counter = match message {
-            Word::Hello { .. } | Word::Leave => &mut self.greetings,
-            Word::Beat(heartbeat) => {
+            Message::Hello { .. } | Message::Leave => &mut self.greetings,
+            Message::Heartbeat(heartbeat) => {
                 let observations: u64 = heartbeat.observations.iter().map(encoded_size).sum();
                 self.observations += observations;
                 self.heartbeats += bytes.saturating_sub(observations);
                 return;
             }
-            Word::Digest(..) => &mut self.digests,
-            Word::Ask(_) => &mut self.requests,
-            Word::Piece(piece) => {
+            Message::Digest(..) => &mut self.digests,
+            Message::Request(_) => &mut self.requests,
+            Message::Chunk(piece) => {
                 let mut records = 0;
                 for record in &piece.records {
                     let bytes = encoded_size(record);
@@ -297,7 +297,7 @@
     /// Announces to all members that this one leaves.
     pub fn send_leave(&mut self, poller: &Poller) {
         for (key, link) in self.links.iter_mut().filter(|(_, link)| link.identified) {
-            link.send_message(*key, Word::Leave, poller, &mut self.counts);
+            link.send_message(*key, Message::Leave, poller, &mut self.counts);
         }
     }
 
@@ -347,16 +347,16 @@
         &mut self,
         now: f64,
         key: Key,
-        message: &Word,
+        message: &Message,
         member: &mut Member,
         poller: &Poller,
     ) -> Result<(), LinkError> {
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
         if let (true, Some(from)) = (link.identified, link.member) {
-            return Ok(member.hear(now, from, message)?);
+            return Ok(member.receive(now, from, message)?);
         }
         // Both members may have made a link at the same time: both keep the one made by the lower id.
-        if let Word::Hello { from, .. } = message {
+        if let Message::Hello { from, .. } = message {
             let existing = self.by_member.get(from).and_then(|key| self.links.get(key));
             let made_by_lower_id = |dialed: bool| dialed == (self.own < *from);
             let keeps =
@@ -367,10 +367,10 @@
             }
         }
         let Some(link) = self.links.get_mut(&key) else { return Ok(()) };
-        let sender = member.greeted(now, message);
+        let sender = member.receive_hello(now, message);
         // The member that makes the link sends its hello first. It is answered even if it is rejected, so that it learns which
         // incarnation of it is known here.
-        if let (false, Word::Hello { from, .. }) = (link.dialed, message) {
+        if let (false, Message::Hello { from, .. }) = (link.dialed, message) {
             if self.members.contains_key(from) {
                 link.send_message(key, member.hello(now, *from), poller, &mut self.counts);
             }
@@ -407,7 +407,7 @@
         let Some(of) = link.member else { return };
         if self.by_member.get(&of) == Some(&key) {
             self.by_member.remove(&of);
-            member.unlinked(of);
+            member.link_down(of);
         }
         if let Some(peer) = self.members.get_mut(&of) {
             peer.next_dial_at = now + peer.redial_delay;
@@ -468,7 +468,7 @@
         let Some(of) = self.links.get(&key).and_then(|link| link.member) else { return };
         let refused = error.kind() == ErrorKind::ConnectionRefused;
         if refused {
-            member.refused(now, of);
+            member.link_refused(now, of);
         }
         if let Some(peer) = self.members.get_mut(&of) {
             peer.redial_delay =
@@ -508,7 +508,7 @@
             }
             match connect_nonblocking(address).and_then(|stream| Ok((poller.add(&stream, true)?, stream))) {
                 Ok((key, stream)) => drop(self.links.insert(key, Link::new(now, stream, Some(id)))),
-                Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.refused(now, id),
+                Err(error) if error.kind() == ErrorKind::ConnectionRefused => member.link_refused(now, id),
                 // Out of descriptors, or no route: this says nothing about the member.
                 Err(error) => log::debug!(member = self.name(id).as_str(), error:%; "fleet-link-failed"),
             }
@@ -524,7 +524,7 @@
                 if link.connection.blocked() {
                     break;
                 }
-                let Some(message) = member.say(now, to) else { break };
+                let Some(message) = member.next_message(now, to) else { break };
                 if !link.send_message(key, message, poller, &mut self.counts) {
                     stuck.push(key);
                     break;
@@ -552,7 +552,7 @@
     }
 
     /// Sends a message; returns whether the link is still usable.
-    fn send_message(&mut self, key: Key, message: Word, poller: &Poller, counts: &mut Counts) -> bool {
+    fn send_message(&mut self, key: Key, message: Message, poller: &Poller, counts: &mut Counts) -> bool {
         let before = self.connection.queued();
         let framed = Framed(message);
         let sent = self.connection.send(&framed);
@@ -577,7 +577,7 @@
 mod tests {
     use super::*;
     use hollypaddle_membership::{view, Incarnation};
-    use hollypaddle_replica::catch_up::PieceError;
+    use hollypaddle_replica::catch_up::ChunkError;
 
     /// Each link error must have its own row on the page for on-call staff, and a text that says what to do.
     #[test]
@@ -586,14 +586,14 @@
         let incarnation = Incarnation { number: 7, nonce: 7 };
         let rejections = [
             Rejection::Protocol(1),
-            Rejection::NotForUs,
-            Rejection::OutOfPlace,
-            Rejection::Stranger,
+            Rejection::WrongRecipient,
+            Rejection::UnexpectedMessage,
+            Rejection::UnknownOrigin,
             Rejection::Membership(view::Rejection::NotAMember),
             Rejection::Membership(view::Rejection::StaleIncarnation(incarnation)),
-            Rejection::Piece(PieceError::Versions),
-            Rejection::Piece(PieceError::Kind),
-            Rejection::Piece(PieceError::TooMany),
+            Rejection::Chunk(ChunkError::InvalidVersions),
+            Rejection::Chunk(ChunkError::WrongKind),
+            Rejection::Chunk(ChunkError::TooManyRecords),
         ];
         let own = [LinkError::SecondLink, LinkError::AnotherMember, LinkError::Unreadable("x".into())];
         let all: Vec<LinkError> = own.into_iter().chain(rejections.map(LinkError::Rejected)).collect();
--- a/crates/gatekeeper/src/node/tests/said.rs
+++ b/crates/gatekeeper/src/node/tests/said.rs
@@ -1,9 +1,9 @@
 //! What is said on the links is told apart, and the parts are the whole.
 
 use hollypaddle_membership::{Heartbeat, Incarnation, MemberId, Observation};
-use hollypaddle_replica::catch_up::Piece;
+use hollypaddle_replica::catch_up::Chunk;
 use hollypaddle_replica::record::{Key, Origin, Record, ServerKey, Value, KINDS};
-use hollypaddle_replica::Word;
+use hollypaddle_replica::Message;
 
 use crate::node::peers::BytesByKind;
 
@@ -13,11 +13,11 @@
     Incarnation { number: 3, nonce: 1 << 40 }
 }
 
-fn beat(others: u64) -> Word {
+fn beat(others: u64) -> Message {
     let observation =
         |n| Observation { member: MemberId(n << 50), incarnation: life(), age_ms: 90, gone: false };
     let observations = (1..=others).map(observation).collect();
-    Word::Beat(Heartbeat {
+    Message::Heartbeat(Heartbeat {
         incarnation: life(),
         seq: 9,
         echo: None,
@@ -31,12 +31,12 @@
     Record { key, version, age_ms: 12, value }
 }
 
-fn piece(records: Vec<Record>) -> Word {
+fn piece(records: Vec<Record>) -> Message {
     let origin = Origin { member: MemberId(1 << 60), life: life() };
-    Word::Piece(Piece { origin, from: 0, upto: 9, base: None, horizon: 0, last: true, records })
+    Message::Chunk(Chunk { origin, after: 0, up_to: 9, base: None, horizon: 0, last: true, records })
 }
 
-fn counted(word: &Word) -> (BytesByKind, u64) {
+fn counted(word: &Message) -> (BytesByKind, u64) {
     let mut split = BytesByKind::default();
     let bytes = FRAME + postcard::to_allocvec(word).unwrap().len() as u64;
     split.count(word, bytes);
@@ -78,8 +78,8 @@
 #[test]
 fn what_is_said_first_and_last_counts_as_a_greeting() {
     for word in [
-        Word::Leave,
-        Word::Hello { protocol: 2, from: MemberId(1), to: MemberId(2), life: life(), known: None },
+        Message::Leave,
+        Message::Hello { protocol: 2, from: MemberId(1), to: MemberId(2), life: life(), known: None },
     ] {
         let (split, bytes) = counted(&word);
         assert_eq!((split.greetings, sum(&split)), (bytes, bytes));
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -305,7 +305,7 @@
         for server in self.reported.report_changes(now, ctx.servers, leaf.as_mut()) {
             self.removed_servers.push_back((now, server));
         }
-        let forget_after = self.conf.settings.forget;
+        let forget_after = self.conf.settings.forget_after;
         while let Some((_, server)) = self.removed_servers.pop_front_if(|(at, _)| now - *at >= forget_after) {
             let listed = self.reported.pool_of(server).is_some()
                 || self.removed_servers.iter().any(|(_, again)| *again == server);
@@ -314,7 +314,7 @@
             }
         }
         let Some(guard) = &mut ctx.gates.fleet else { return Vec::new() };
-        let lists_late = self.conf.settings.lists_late;
+        let lists_late = self.conf.settings.max_list_delay;
         self.observations.update(
             now,
             &leaf.peer_observations(now),
@@ -547,7 +547,7 @@
     /// Applies what other gatekeepers report to the entries of a list.
     pub fn overlay(&self, entries: &mut [PoolEntry], list_at: f64) {
         if let Some(joined) = &self.joined {
-            joined.observations.overlay(entries, list_at, joined.conf.settings.lists_late);
+            joined.observations.overlay(entries, list_at, joined.conf.settings.max_list_delay);
         }
     }
 
--- a/crates/hollow/src/leaves.rs
+++ b/crates/hollow/src/leaves.rs
@@ -14,7 +14,7 @@
 use hollypaddle_relay::leaf::{Event, Identity, Leaf};
 use hollypaddle_relay::placement::{NodeLocation, RelayLocation};
 use hollypaddle_relay::{Node, Timing};
-use hollypaddle_replica::record::{Place as ServerPlace, Presence, ServerFact, ServerKey, Topic};
+use hollypaddle_replica::record::{Presence, ServerFact, ServerKey, ServerState as ServerPlace, Topic};
 use serde::{Deserialize, Serialize};
 
 /// Between two reports that nobody asked for, in seconds.
--- a/crates/lending/src/lib.rs
+++ b/crates/lending/src/lib.rs
@@ -19,23 +19,23 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a lease counts for its borrower, in seconds: a cut member gives back what it borrowed within that.
-pub const TERM: f64 = 3.0;
+pub const LEASE_TERM_S: f64 = 3.0;
 /// A lender counts it for longer: clocks differ in pace by up to a hundredth each, and ages are told in milliseconds.
-pub const LENT_FOR: f64 = TERM * 1.04 + 0.1;
+pub const LENDER_TERM_S: f64 = LEASE_TERM_S * 1.04 + 0.1;
 /// A lease is given anew after so long: two words may be lost before it runs out.
-const RENEW: f64 = TERM / 3.0;
+const RENEW: f64 = LEASE_TERM_S / 3.0;
 /// Between two looks at who lends what to whom.
 const LOOK: f64 = 0.25;
 /// Most of its own part that a member ever lends, whatever is configured: as much is kept back by one that starts.
-pub const MOST: f64 = 0.9;
+pub const MAX_LENT_RATIO: f64 = 0.9;
 /// Borrowers of one budget at most, and budgets that are lent: what is remembered is bounded.
-pub const BORROWERS: usize = 8;
+pub const MAX_BORROWERS: usize = 8;
 /// Budgets that are shared at most; those beyond keep their even parts.
-pub const BUDGETS: usize = 64;
+pub const MAX_BUDGETS: usize = 64;
 /// Parts are told in millionths of the whole.
-pub const WHOLE: u32 = 1_000_000;
+pub const WHOLE_MILLIONTHS: u32 = 1_000_000;
 /// Parts of less than this are not worth a word.
-const LEAST: u32 = WHOLE / 500;
+const LEAST: u32 = WHOLE_MILLIONTHS / 500;
 
 /// A budget: the same at members that mean the same one. Where the figures differ, as while a configuration is rolled
 /// out, nothing is lent, as parts of different wholes would not sum to one.
@@ -59,12 +59,12 @@
     /// The part that would carry what is sent and turned away now, with some room.
     pub wanted: f64,
     /// It was overdrawn and is not paid back yet.
-    pub owes: bool,
+    pub overdrawn: bool,
 }
 
 /// What another member says that it wants beyond its own part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want {
+pub struct BudgetRequest {
     /// Who, in which life.
     pub member: MemberId,
     /// The life.
@@ -88,11 +88,11 @@
 
 /// What is to be told to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tell {
+pub enum Announcement {
     /// This member wants so much beyond its part, in millionths, or no more.
-    Wants(BudgetKey, Option<u32>),
+    Request(BudgetKey, Option<u32>),
     /// It lends to a member, or has stopped.
-    Lends(BudgetKey, MemberId, Option<Lease>),
+    Lease(BudgetKey, MemberId, Option<Lease>),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -133,7 +133,7 @@
 /// What one member lends and wants.
 #[derive(Clone, Debug)]
 pub struct Lending {
-    /// Most of its part that it lends, 0 to [`MOST`]; none turns it off.
+    /// Most of its part that it lends, 0 to [`MAX_LENT_RATIO`]; none turns it off.
     most: f64,
     /// Before this an earlier life's leases may still count.
     held_until: f64,
@@ -145,41 +145,42 @@
 impl Lending {
     /// Of a member that has just started.
     pub fn new(now: f64, most: f64) -> Lending {
-        let (held_until, books) = (now + LENT_FOR, BTreeMap::new());
-        Lending { most: most.clamp(0.0, MOST), held_until, next_look: now, serial: 0, books }
+        let (held_until, books) = (now + LENDER_TERM_S, BTreeMap::new());
+        Lending { most: most.clamp(0.0, MAX_LENT_RATIO), held_until, next_look: now, serial: 0, books }
     }
 
     /// Takes another bound; what is lent stays lent.
-    pub fn change(&mut self, most: f64) {
-        self.most = most.clamp(0.0, MOST);
+    pub fn set_max_lent_ratio(&mut self, most: f64) {
+        self.most = most.clamp(0.0, MAX_LENT_RATIO);
     }
 
     /// The part that is left of the own one, of a budget that has this part by the configuration.
-    pub fn own(&self, now: f64, budget: BudgetKey, part: f64) -> f64 {
-        let lent = self.books.get(&budget).map_or(0.0, |book| f64::from(book.lent()) / f64::from(WHOLE));
-        let most = if now < self.held_until { part * (1.0 - MOST) } else { part };
+    pub fn own_part(&self, now: f64, budget: BudgetKey, part: f64) -> f64 {
+        let lent =
+            self.books.get(&budget).map_or(0.0, |book| f64::from(book.lent()) / f64::from(WHOLE_MILLIONTHS));
+        let most = if now < self.held_until { part * (1.0 - MAX_LENT_RATIO) } else { part };
         (part - lent).clamp(0.0, most)
     }
 
     /// What is lent of a budget now, as a part of the whole.
     pub fn lent(&self, budget: BudgetKey) -> f64 {
-        self.books.get(&budget).map_or(0.0, |book| f64::from(book.lent()) / f64::from(WHOLE))
+        self.books.get(&budget).map_or(0.0, |book| f64::from(book.lent()) / f64::from(WHOLE_MILLIONTHS))
     }
 
     /// Budgets that are remembered, and leases that may count, for reports and bounds.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn remembered(&self) -> (usize, usize) {
         let grants = self.books.values().flat_map(|b| b.grants.values());
         (self.books.len(), grants.map(|g| g.out.len()).sum())
     }
 
     /// Whether it is time for a look.
-    pub fn due(&self, now: f64) -> bool {
+    pub fn is_due(&self, now: f64) -> bool {
         now >= self.next_look
     }
 
     /// Looks at what the own traffic asks and what others want, and returns what is to be told. What is lent by it is
-    /// gone from [`Lending::own`] when this returns, so before any word of it is said.
-    pub fn look(&mut self, now: f64, demands: &[Demand], wants: &[Want]) -> Vec<Tell> {
+    /// gone from [`Lending::own_part`] when this returns, so before any word of it is said.
+    pub fn update(&mut self, now: f64, demands: &[Demand], wants: &[BudgetRequest]) -> Vec<Announcement> {
         self.next_look = now + LOOK;
         let mut told = Vec::new();
         for book in self.books.values_mut() {
@@ -187,18 +188,18 @@
                 grant.out.retain(|(until, _)| now < *until);
             }
         }
-        let known = demands.iter().take(BUDGETS);
+        let known = demands.iter().take(MAX_BUDGETS);
         let kept: Vec<BudgetKey> = known.clone().map(|d| d.budget).collect();
         // A budget that is not there any more lends nothing further; what is out runs out.
         let gone: Vec<BudgetKey> = self.books.keys().filter(|key| !kept.contains(key)).copied().collect();
         for key in gone {
             let Some(book) = self.books.get_mut(&key) else { continue };
             if book.wants.take().is_some() {
-                told.push(Tell::Wants(key, None));
+                told.push(Announcement::Request(key, None));
             }
             for (member, grant) in &mut book.grants {
                 if grant.told.take().is_some() {
-                    told.push(Tell::Lends(key, *member, None));
+                    told.push(Announcement::Lease(key, *member, None));
                 }
             }
             book.grants.retain(|_, grant| !grant.out.is_empty());
@@ -214,10 +215,10 @@
     }
 
     /// Says what the own traffic lacks, where that has changed by enough.
-    fn want(&mut self, demand: &Demand, told: &mut Vec<Tell>) {
+    fn want(&mut self, demand: &Demand, told: &mut Vec<Announcement>) {
         let book = self.books.entry(demand.budget).or_default();
         book.part = demand.part;
-        let lacks = ((demand.wanted - demand.part).clamp(0.0, 1.0) * f64::from(WHOLE)) as u32;
+        let lacks = ((demand.wanted - demand.part).clamp(0.0, 1.0) * f64::from(WHOLE_MILLIONTHS)) as u32;
         let lacks = Some(lacks).filter(|lacks| *lacks >= LEAST && self.most > 0.0);
         let changed = match (book.wants, lacks) {
             (Some(was), Some(is)) => was.abs_diff(is) > was / 8,
@@ -225,24 +226,24 @@
         };
         if changed {
             book.wants = lacks;
-            told.push(Tell::Wants(demand.budget, lacks));
+            told.push(Announcement::Request(demand.budget, lacks));
         }
     }
 
     /// Divides what the own traffic leaves among those who want more, by what each wants.
-    fn lend(&mut self, now: f64, demand: &Demand, wants: &[Want], told: &mut Vec<Tell>) {
+    fn lend(&mut self, now: f64, demand: &Demand, wants: &[BudgetRequest], told: &mut Vec<Announcement>) {
         let (held, most, serial) = (now < self.held_until, self.most, &mut self.serial);
         let Some(book) = self.books.get_mut(&demand.budget) else { return };
-        let whole = f64::from(WHOLE);
+        let whole = f64::from(WHOLE_MILLIONTHS);
         let spare = (demand.part - demand.wanted).min(demand.part * most).max(0.0);
         // One that wants more itself, owes, or may have lent in an earlier life has nothing to spare.
-        let spare = if held || demand.owes || book.wants.is_some() { 0.0 } else { spare };
-        let mut asked: Vec<&Want> =
+        let spare = if held || demand.overdrawn || book.wants.is_some() { 0.0 } else { spare };
+        let mut asked: Vec<&BudgetRequest> =
             wants.iter().filter(|w| w.budget == demand.budget && w.part > 0).collect();
         asked.sort_by_key(|w| (std::cmp::Reverse(w.part), w.member));
-        asked.truncate(BORROWERS);
+        asked.truncate(MAX_BORROWERS);
         let sum: f64 = asked.iter().map(|w| f64::from(w.part)).sum();
-        let share = |want: &Want| {
+        let share = |want: &BudgetRequest| {
             let part = (spare * whole * f64::from(want.part) / sum).min(f64::from(want.part));
             Some((want.member, want.life, part as u32)).filter(|(.., part)| *part >= LEAST)
         };
@@ -251,14 +252,14 @@
         for (member, grant) in &mut book.grants {
             if grant.told.is_some() && !shares.iter().any(|(m, ..)| m == member) {
                 grant.told = None;
-                told.push(Tell::Lends(demand.budget, *member, None));
+                told.push(Announcement::Lease(demand.budget, *member, None));
             }
         }
         book.grants.retain(|_, grant| grant.told.is_some() || !grant.out.is_empty());
         for (member, life, part) in shares {
             // What others may still count of earlier leases is not there to be lent again.
             let part = part.min(bound.saturating_sub(book.lent_but_to(member)));
-            let full = book.grants.len() >= 2 * BORROWERS;
+            let full = book.grants.len() >= 2 * MAX_BORROWERS;
             if part < LEAST || full && !book.grants.contains_key(&member) {
                 continue;
             }
@@ -277,8 +278,8 @@
             (grant.told, grant.renew_at) = (Some(lease), now + RENEW);
             // A later lease of as much or more takes the place of those before it.
             grant.out.retain(|(_, out)| *out > part);
-            grant.out.push_back((now + LENT_FOR, part));
-            told.push(Tell::Lends(demand.budget, member, Some(lease)));
+            grant.out.push_back((now + LENDER_TERM_S, part));
+            told.push(Announcement::Lease(demand.budget, member, Some(lease)));
         }
     }
 }
--- a/crates/measure/src/duties.rs
+++ b/crates/measure/src/duties.rs
@@ -56,7 +56,7 @@
         let lives = |a: usize, b: usize| !apart || some.contains(&a) == some.contains(&b);
         let holds = |n: &usize| {
             let living = (0..members).filter(|m| lives(*n, *m)).map(id);
-            all[*n].is_mine(duty(0).key(), living)
+            all[*n].is_owner(duty(0).key(), living)
         };
         let count = some.iter().chain(&others).filter(|n| holds(n)).count();
         doubled += if count > 1 { STEP } else { 0.0 };
@@ -84,7 +84,7 @@
         let mut world = settled(members, seed);
         let from = holder(&world);
         if let Some((duties, local)) = world.duties(from) {
-            duties.hand_on(local, key, Some(id((from + 1) % members)));
+            duties.hand_over(local, key, Some(id((from + 1) % members)));
         }
         world.pass(3.0);
         gap(&world) / (2.0 * WAY)
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -271,7 +271,7 @@
     back.fault(Fault::Kill(members - 1));
     back.pass(3.0);
     back.fault(Fault::Start(members - 1));
-    let ready = |w: &World| w.member(members - 1).is_some_and(|m| m.ready());
+    let ready = |w: &World| w.member(members - 1).is_some_and(|m| m.is_caught_up());
     Copies { members, bytes, converges, returns: until(&mut back, 20.0, ready) }
 }
 
--- a/crates/relay/src/leaf.rs
+++ b/crates/relay/src/leaf.rs
@@ -11,9 +11,9 @@
 
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::record::{
-    Key, LeafFact, Origin, Place as ServerPlace, Presence, ServerFact, ServerKey, Topic, Value,
+    Key, LeafFact, Origin, Presence, ServerFact, ServerKey, ServerState as ServerPlace, Topic, Value,
 };
-use hollypaddle_replica::store::Said;
+use hollypaddle_replica::store::ServerObservation;
 use hollypaddle_replica::stream::Stream;
 
 use crate::budget::ByteBudget;
@@ -298,18 +298,18 @@
 
     /// What the leaves of the own topic, this one included, report of the servers, as merged by the relays. Silences
     /// count only while a relay is connected, or was a moment ago.
-    pub fn peer_observations(&self, now: f64) -> BTreeMap<ServerKey, Said> {
+    pub fn peer_observations(&self, now: f64) -> BTreeMap<ServerKey, ServerObservation> {
         let fresh = now - self.last_heard_at <= MAX_SILENCE_REPORT_AGE_S;
         let from = self.servers.state().map_or(self.identity.id, |c| c.origin.member);
-        let mut all: BTreeMap<ServerKey, Said> = BTreeMap::new();
+        let mut all: BTreeMap<ServerKey, ServerObservation> = BTreeMap::new();
         for (key, at, value) in self.servers.stream().range(..) {
             let (server, said) = match (key, value) {
                 (Key::TopicServer(_, server), Value::Server(fact)) => {
-                    (server, Said { at, fact, silent: None })
+                    (server, ServerObservation { at, fact, silent: None })
                 }
                 (Key::TopicSilent(_, server), Value::Silent(started_ms)) if fresh => {
                     let fact = ServerFact { started_ms, place: ServerPlace::Ready };
-                    (server, Said { at: f64::NEG_INFINITY, fact, silent: Some((at, from)) })
+                    (server, ServerObservation { at: f64::NEG_INFINITY, fact, silent: Some((at, from)) })
                 }
                 _ => continue,
             };
@@ -548,7 +548,7 @@
         now: f64,
         id: LinkId,
         feed: Feed,
-        piece: &hollypaddle_replica::catch_up::Piece,
+        piece: &hollypaddle_replica::catch_up::Chunk,
     ) -> Result<(), LinkError> {
         let lag = self.links.get(&id).map_or(0.0, |l| (now - l.answered_ping_sent_at).max(0.0));
         let copy = match feed {
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -5,9 +5,9 @@
 //! known kind that cannot be decoded, or that leaves bytes over, closes its link.
 
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_replica::catch_up::Piece;
+use hollypaddle_replica::catch_up::Chunk;
 use hollypaddle_replica::record::{Origin, Topic};
-use hollypaddle_replica::Word;
+use hollypaddle_replica::Message as MeshMessage;
 use serde::{Deserialize, Serialize};
 
 use crate::settings::{Part, Revision};
@@ -128,7 +128,7 @@
     /// The leaf is attached to another relay now; the link stays as its second choice.
     Detach,
     /// What changed in a stream: one of the relay's feeds, sent to a leaf, or a leaf's own stream, sent to its relay.
-    Records(Feed, Piece),
+    Records(Feed, Chunk),
     /// The receiver of a stream asks for it again, from the state of its copy on.
     Resync(Feed, Option<CopyState>),
     /// What the relay holds.
@@ -152,7 +152,7 @@
     /// The sender is shutting down.
     Leave,
     /// Between relays: a message of the replication among the members of a mesh.
-    Mesh(Word),
+    Mesh(MeshMessage),
     /// Between relays: which settings are in force as far as the sender knows, and which ones it has stored as
     /// proposed.
     Holds {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -26,7 +26,7 @@
 use hollypaddle_replica::member::{self, Member};
 use hollypaddle_replica::record::{join_servers, Key, LeafFact, Origin, Presence, ServerKey, Topic, Value};
 use hollypaddle_replica::stream::Stream;
-use hollypaddle_replica::{Settings as MeshSettings, Word};
+use hollypaddle_replica::{Message as MeshMessage, Settings as MeshSettings};
 
 use crate::budget::ByteBudget;
 use crate::leaf_limit::LeafLimit;
@@ -370,7 +370,7 @@
     /// Applies relays, writer and times of a new configuration.
     pub fn reconfigure(&mut self, now: f64, identity: Identity, mesh: MeshSettings, timing: Timing) {
         let all: Vec<MemberId> = identity.relays.iter().map(|r| r.relay).collect();
-        self.member.change(mesh, &all);
+        self.member.reconfigure(mesh, &all);
         let unlisted: Vec<LinkId> =
             (self.peers.iter()).filter(|(r, _)| !all.contains(r)).filter_map(|(_, p)| p.link).collect();
         unlisted.into_iter().for_each(|link| self.close_link(now, link));
@@ -397,7 +397,7 @@
 
     /// Whether this relay knows what the other relays knew when it met them, or has waited long enough for it.
     pub fn ready(&self) -> bool {
-        self.member.ready()
+        self.member.is_caught_up()
     }
 
     /// Events for the log since the last call.
--- a/crates/relay/src/relay/feeds.rs
+++ b/crates/relay/src/relay/feeds.rs
@@ -6,7 +6,7 @@
     /// Whether a stream counts: it is of the present incarnation of its relay, and that relay is not gone.
     pub(super) fn is_current(&self, origin: &Origin) -> bool {
         if origin.member == self.identity.id {
-            return *origin == self.member.store().own();
+            return *origin == self.member.store().own_origin();
         }
         let view = self.member.view();
         !matches!(view.state(origin.member), State::Gone(_))
@@ -63,7 +63,7 @@
             // again.
             all |= after > 0 && after < stream.horizon() || after >= version;
             while after < version {
-                let (records, upto, last) = stream.piece(now, after);
+                let (records, upto, last) = stream.changes_after(now, after);
                 keys.extend(records.iter().map(|r| r.key));
                 after = upto;
                 if last {
--- a/crates/relay/src/relay/fleet_settings.rs
+++ b/crates/relay/src/relay/fleet_settings.rs
@@ -49,7 +49,7 @@
         if 2 * reachable <= total {
             return Err(SettingsError::NoMajority { reachable, total });
         }
-        if !self.member.ready() {
+        if !self.member.is_caught_up() {
             return Err(SettingsError::CatchingUp);
         }
         let mark = self.propose_on(now, wanted)?;
--- a/crates/relay/src/relay/leaves.rs
+++ b/crates/relay/src/relay/leaves.rs
@@ -91,7 +91,7 @@
             if self.shutting_down {
                 return self.refuse(now, id, leaf, Refusal::Shedding, self.timing.refused_retry_s);
             }
-            if !self.member.ready() {
+            if !self.member.is_caught_up() {
                 return self.refuse(now, id, leaf, Refusal::CatchingUp, CATCHING_UP_RETRY_S);
             }
             let here = known.is_some_and(|a| a.link.is_some());
@@ -159,8 +159,8 @@
             return;
         }
         let mut feeds = TopicFeeds::default();
-        feeds.servers.reaches(self.min_feed_version, self.min_feed_version);
-        feeds.leaves.reaches(self.min_feed_version, self.min_feed_version);
+        feeds.servers.advance_to(self.min_feed_version, self.min_feed_version);
+        feeds.leaves.advance_to(self.min_feed_version, self.min_feed_version);
         self.topics.insert(topic, feeds);
         for key in self.keys_of(topic) {
             self.refresh_key(now, &key);
--- a/crates/relay/src/relay/links.rs
+++ b/crates/relay/src/relay/links.rs
@@ -74,7 +74,7 @@
                 let timing = self.timing;
                 let Some(peer) = self.peers.get_mut(&relay) else { return };
                 if refused {
-                    self.member.refused(now, relay);
+                    self.member.link_refused(now, relay);
                 }
                 if peer.link == Some(id) || peer.link.is_none() {
                     // A refused link is retried soon, so that a refusing address is known quickly; after other
@@ -89,7 +89,7 @@
                 if peer.link == Some(id) {
                     (peer.link, peer.held_revisions, peer.sent_revisions) = (None, None, None);
                     (peer.outgoing, peer.pushed, peer.incoming) = (None, None, [None, None]);
-                    self.member.unlinked(relay);
+                    self.member.link_down(relay);
                 }
             }
         }
@@ -110,7 +110,7 @@
         let all: Vec<(LinkId, bool)> =
             self.links.iter().map(|(id, l)| (*id, matches!(l.peer, LinkPeer::Relay(_, true)))).collect();
         for (id, relay) in all {
-            let message = if relay { Message::Mesh(Word::Leave) } else { Message::Leave };
+            let message = if relay { Message::Mesh(MeshMessage::Leave) } else { Message::Leave };
             self.queue(now, id, message);
         }
     }
--- a/crates/relay/src/relay/mesh.rs
+++ b/crates/relay/src/relay/mesh.rs
@@ -4,8 +4,13 @@
 
 impl Relay {
     /// Handles the first message of another relay on a link.
-    pub(super) fn handle_mesh_hello(&mut self, now: f64, id: LinkId, word: &Word) -> Result<(), LinkError> {
-        let Word::Hello { from, .. } = word else { return Err(LinkError::OutOfPlace) };
+    pub(super) fn handle_mesh_hello(
+        &mut self,
+        now: f64,
+        id: LinkId,
+        word: &MeshMessage,
+    ) -> Result<(), LinkError> {
+        let MeshMessage::Hello { from, .. } = word else { return Err(LinkError::OutOfPlace) };
         let from = *from;
         let own = self.identity.id;
         // Both relays may have opened a link at the same time: both keep the one opened by the relay with the lower
@@ -23,7 +28,7 @@
                 return Err(LinkError::NotForUs);
             }
         }
-        let greeted = self.member.greeted(now, word);
+        let greeted = self.member.receive_hello(now, word);
         // The relay that opened the link says hello first. It gets an answer even if it is refused, so that it learns
         // which incarnation of it is known here.
         if !dialed && self.peers.contains_key(&from) {
@@ -71,7 +76,7 @@
             let name = self.names.get(&leaf).cloned().unwrap_or_default();
             return Some(Message::TurnedDown { leaf, name, version, reason });
         }
-        self.member.say(now, relay).map(Message::Mesh)
+        self.member.next_message(now, relay).map(Message::Mesh)
     }
 
     /// Reports to the writer, and to the log, that a leaf rejected a change.
@@ -96,7 +101,7 @@
     ) -> Result<(), LinkError> {
         match message {
             Message::Mesh(word) => {
-                self.member.hear(now, relay, word)?;
+                self.member.receive(now, relay, word)?;
                 self.apply_membership_changes(now);
             }
             Message::Holds { in_force, proposed } => self.handle_holds(now, relay, *in_force, *proposed),
--- a/crates/relay/src/relay/timers.rs
+++ b/crates/relay/src/relay/timers.rs
@@ -6,7 +6,7 @@
     /// Applies the changes in the membership of the mesh of relays.
     pub(super) fn apply_membership_changes(&mut self, now: f64) {
         let mut changed = false;
-        for event in self.member.events() {
+        for event in self.member.take_events() {
             changed |= matches!(
                 event,
                 member::Event::Member(
@@ -19,7 +19,7 @@
             self.record_event(Event::Mesh(event));
         }
         // Relays report no calls to each other, so there is none to adopt.
-        self.member.acts();
+        self.member.take_call_actions();
         if changed {
             self.refresh_all(now);
         }
@@ -40,8 +40,8 @@
         // again it is told soon.
         let quorum = 2 * (1 + self.mutually_connected(now).len()) > self.peers.len() + 1;
         self.quorum_since = quorum.then(|| self.quorum_since.unwrap_or(now));
-        let certain =
-            self.quorum_since.is_some_and(|since| now - since >= t.gone_after_close_s) && self.member.ready();
+        let certain = self.quorum_since.is_some_and(|since| now - since >= t.gone_after_close_s)
+            && self.member.is_caught_up();
         let mut late_links = Vec::new();
         for (id, link) in &self.links {
             let silent = now - link.last_heard_at;
--- a/crates/relay/src/stream_copy.rs
+++ b/crates/relay/src/stream_copy.rs
@@ -3,7 +3,7 @@
 //! Messages on one link arrive in order, so the sender keeps a version and the copy accepts only a piece that begins
 //! at its own version. A sound link cannot cause a gap; if one is found anyway, the stream is sent again.
 
-use hollypaddle_replica::catch_up::Piece;
+use hollypaddle_replica::catch_up::Chunk;
 use hollypaddle_replica::record::{Key, Origin};
 use hollypaddle_replica::stream::Stream;
 
@@ -47,7 +47,7 @@
     }
 
     /// Returns the next piece to send and moves the cursor past it.
-    pub fn next_piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Piece {
+    pub fn next_piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Chunk {
         // Tombstones that were dropped before they were sent: the receiver needs the whole stream.
         if self.after < stream.horizon() && self.base.is_none_or(|base| base < stream.horizon()) {
             *self = Cursor::from_start();
@@ -55,11 +55,11 @@
         if self.base == Some(u64::MAX) {
             self.base = Some(stream.version());
         }
-        let (records, upto, last) = stream.piece_of(now, self.after, MAX_PIECE_RECORDS);
-        let piece = Piece {
+        let (records, upto, last) = stream.limited_changes_after(now, self.after, MAX_PIECE_RECORDS);
+        let piece = Chunk {
             origin,
-            from: self.after,
-            upto,
+            after: self.after,
+            up_to: upto,
             base: self.base,
             horizon: stream.horizon(),
             last,
@@ -104,12 +104,12 @@
     }
 
     /// Applies a piece that was in transit for at most `lag` seconds. Returns the keys that may have changed.
-    pub fn apply(&mut self, now: f64, lag: f64, piece: &Piece) -> Result<Vec<Key>, PieceError> {
+    pub fn apply(&mut self, now: f64, lag: f64, piece: &Chunk) -> Result<Vec<Key>, PieceError> {
         if piece.check().is_err() {
             return Err(PieceError::Malformed);
         }
         let whole = piece.base.is_some();
-        if whole && piece.from == 0 {
+        if whole && piece.after == 0 {
             self.incoming = Some((piece.origin, Stream::default()));
         }
         let stream = match &mut self.incoming {
@@ -117,7 +117,7 @@
             _ if !whole && self.origin == Some(piece.origin) => &mut self.stream,
             _ => return Err(PieceError::Gap),
         };
-        if stream.version() != piece.from {
+        if stream.version() != piece.after {
             self.incoming = None;
             return Err(PieceError::Gap);
         }
@@ -127,8 +127,8 @@
             stream.apply(at, record);
             keys.push(record.key);
         }
-        stream.reaches(piece.upto, piece.horizon);
-        if stream.held() > MAX_COPY_RECORDS {
+        stream.advance_to(piece.up_to, piece.horizon);
+        if stream.len_with_tombstones() > MAX_COPY_RECORDS {
             self.incoming = None;
             return Err(PieceError::Malformed);
         }
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -2,14 +2,14 @@
 
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_relay::stream_copy::{Cursor, StreamCopy, MAX_PIECE_RECORDS};
-use hollypaddle_replica::record::{Key, Origin, Place, ServerFact, ServerKey, Value};
-use hollypaddle_replica::stream::{Stream, TOMBSTONES};
+use hollypaddle_replica::record::{Key, Origin, ServerFact, ServerKey, ServerState, Value};
+use hollypaddle_replica::stream::{Stream, MAX_TOMBSTONES};
 use proptest::prelude::*;
 
 const ORIGIN: Origin = Origin { member: MemberId(1), life: Incarnation { number: 1, nonce: 1 } };
 
 fn write(stream: &mut Stream, server: u64, value: Option<u64>) {
-    let value = value.map(|started_ms| Value::Server(ServerFact { started_ms, place: Place::Ready }));
+    let value = value.map(|started_ms| Value::Server(ServerFact { started_ms, place: ServerState::Ready }));
     stream.write(1.0, Key::Server(ServerKey(server)), value);
 }
 
@@ -80,7 +80,7 @@
     assert!(equal(&copy, &stream));
     // The first hundred are withdrawn, and so much after them that nobody remembers it.
     (0..100).for_each(|n| write(&mut stream, n, None));
-    for n in 0..TOMBSTONES as u64 + 10 {
+    for n in 0..MAX_TOMBSTONES as u64 + 10 {
         write(&mut stream, 1000 + n, Some(1));
         write(&mut stream, 1000 + n, None);
     }
--- a/crates/replica/src/adoption.rs
+++ b/crates/replica/src/adoption.rs
@@ -17,7 +17,7 @@
 
 /// A call that this member is to see to in place of its origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Adopted {
+pub struct AdoptedCall {
     /// Whose it was.
     pub origin: Origin,
     /// Since when it stands.
@@ -28,49 +28,49 @@
 
 /// Who sees to the calls of a life of a member that took them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heir {
+pub enum CallOwner {
     /// That life itself.
-    Itself,
+    Origin,
     /// A later life of the same member.
-    Later(MemberId),
+    LaterIncarnation(MemberId),
     /// One of the living, for each call.
-    Living,
+    LiveMembers,
 }
 
 /// Who sees to the calls of a stream.
-pub fn heir(origin: &Origin, view: &Membership) -> Heir {
+pub fn call_owner(origin: &Origin, view: &Membership) -> CallOwner {
     let gone = matches!(view.state(origin.member), State::Gone(_));
     match view.incarnation_of(origin.member) {
-        _ if gone => Heir::Living,
-        Some(life) if life > origin.life => Heir::Later(origin.member),
-        _ => Heir::Itself,
+        _ if gone => CallOwner::LiveMembers,
+        Some(life) if life > origin.life => CallOwner::LaterIncarnation(origin.member),
+        _ => CallOwner::Origin,
     }
 }
 
 /// Whether this member may begin to see to calls of an origin. Guards against a member without a majority that takes over the
 /// calls of one that it merely does not hear, and that goes on where others hear it.
-pub fn may_begin(origin: &Origin, view: &Membership) -> bool {
+pub fn may_adopt(origin: &Origin, view: &Membership) -> bool {
     origin.member == view.own_id() || view.quorum_is_stable() || view.process_ended(origin.member)
 }
 
 /// The calls that are the own member's to see to.
-pub fn adopted(store: &Store, view: &Membership) -> BTreeMap<u64, Adopted> {
-    let (own, owned) = (view.own_id(), store.stream(&store.own()));
+pub fn calls_to_adopt(store: &Store, view: &Membership) -> BTreeMap<u64, AdoptedCall> {
+    let (own, owned) = (view.own_id(), store.stream(&store.own_origin()));
     let living: Vec<(MemberId, u64)> = view.live_members().map(|m| (m, m.0)).collect();
     let mut all = BTreeMap::new();
-    for (origin, stream) in store.streams().filter(|(o, _)| **o != store.own()) {
-        let mine = match heir(origin, view) {
-            Heir::Itself => continue,
-            Heir::Later(member) if member != own => continue,
-            Heir::Later(_) => None,
-            Heir::Living => Some(&living),
+    for (origin, stream) in store.streams().filter(|(o, _)| **o != store.own_origin()) {
+        let mine = match call_owner(origin, view) {
+            CallOwner::Origin => continue,
+            CallOwner::LaterIncarnation(member) if member != own => continue,
+            CallOwner::LaterIncarnation(_) => None,
+            CallOwner::LiveMembers => Some(&living),
         };
-        for (id, since, fact) in Store::calls(stream) {
+        for (id, since, fact) in Store::calls_in(stream) {
             let is_mine = mine.is_none_or(|living| owner(id, living.iter().copied()) == Some(own));
             // One that raised its incarnation has them in its present stream, too.
             let has = owned.is_some_and(|s| s.get(&Key::Call(id)).is_some());
-            if is_mine && !has && !store.over(id) {
-                all.insert(id, Adopted { origin: *origin, since, fact });
+            if is_mine && !has && !store.is_call_over(id) {
+                all.insert(id, AdoptedCall { origin: *origin, since, fact });
             }
         }
     }
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -16,11 +16,11 @@
 
 use crate::record::{Key, Origin, Record};
 use crate::store::Store;
-use crate::stream::{Conflict, Stream, PIECE};
+use crate::stream::{Conflict, Stream, MAX_CHUNK_RECORDS};
 
 /// What a member holds of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct StreamDigest {
     /// Which.
     pub origin: Origin,
     /// Up to which version.
@@ -31,7 +31,7 @@
 
 /// A question for what is lacking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ChunkRequest {
     /// Of which stream.
     pub origin: Origin,
     /// What came after this version.
@@ -42,13 +42,13 @@
 
 /// A part of a stream: all that changed after one version, up to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// Of which stream.
     pub origin: Origin,
     /// After this version.
-    pub from: u64,
+    pub after: u64,
     /// Up to this one.
-    pub upto: u64,
+    pub up_to: u64,
     /// Set in a whole stream: the giver's version as its first piece left.
     pub base: Option<u64>,
     /// The giver's horizon.
@@ -61,79 +61,79 @@
 
 /// Why a piece was not taken, and its link is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PieceError {
+pub enum ChunkError {
     /// Its versions make no sense.
     #[error(
         "a piece whose versions make no sense: nothing of it was taken, the rest is fetched from others; see whether that \
          member runs the same version of the program"
     )]
-    Versions,
+    InvalidVersions,
     /// A value is not of its key's kind.
     #[error(
         "a piece with a value that is not of its key's kind: nothing of it was taken, the rest is fetched from others; see \
          whether that member runs the same version of the program"
     )]
-    Kind,
+    WrongKind,
     /// The stream has more records than may be.
     #[error(
         "a stream of more records than `records` allows here: its calls are not known here and cannot be adopted; give all \
          members the same `records`, above the calls that stand at one"
     )]
-    TooMany,
+    TooManyRecords,
 }
 
-impl PieceError {
+impl ChunkError {
     /// In a word, for the log and the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
-            PieceError::Versions => "piece-versions",
-            PieceError::Kind => "piece-kind",
-            PieceError::TooMany => "piece-too-many-records",
+            ChunkError::InvalidVersions => "piece-versions",
+            ChunkError::WrongKind => "piece-kind",
+            ChunkError::TooManyRecords => "piece-too-many-records",
         }
     }
 }
 
-impl Piece {
+impl Chunk {
     /// Whether its versions rise and its values are of their keys' kinds.
-    pub fn check(&self) -> Result<(), PieceError> {
+    pub fn check(&self) -> Result<(), ChunkError> {
         let versions = self.records.iter().map(|r| r.version);
         let rising = self.records.windows(2).all(|pair| pair[0].version < pair[1].version);
-        let within = versions.clone().all(|v| v > self.from && v <= self.upto);
-        if !rising || !within || self.upto < self.from || self.records.len() > PIECE {
-            return Err(PieceError::Versions);
+        let within = versions.clone().all(|v| v > self.after && v <= self.up_to);
+        if !rising || !within || self.up_to < self.after || self.records.len() > MAX_CHUNK_RECORDS {
+            return Err(ChunkError::InvalidVersions);
         }
         match self.records.iter().all(|r| r.value.is_none_or(|value| value.fits(&r.key))) {
             true => Ok(()),
-            false => Err(PieceError::Kind),
+            false => Err(ChunkError::WrongKind),
         }
     }
 }
 
 /// What is to be said to a member next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Say {
+pub enum Outgoing {
     /// A question.
-    Ask(Ask),
+    Request(ChunkRequest),
     /// A part of a stream.
-    Piece(Piece),
+    Chunk(Chunk),
 }
 
 /// What taking a piece came to.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct Applied {
     /// The keys that it brought.
     pub keys: Vec<Key>,
     /// What contradicted what was held.
     pub conflicts: Vec<Conflict>,
     /// Copies that differed are equal again, or will be.
-    pub mended: bool,
+    pub repaired: bool,
 }
 
 /// What a digest came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Compared {
+pub enum Mismatch {
     /// Its copy of this stream differs from the own one, though both are of one version.
-    Differs(Origin),
+    Diverged(Origin),
     /// It holds more of the own stream than there is.
     Ahead(u64),
 }
@@ -142,19 +142,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// A giver that brings nothing for so long is replaced, in seconds.
-    pub patience: f64,
+    pub source_timeout: f64,
     /// Bytes a second for catch-up, to all members together.
-    pub rate: f64,
+    pub bytes_per_s: f64,
     /// Records of one stream at most.
-    pub most: usize,
+    pub max_records: usize,
     /// Own changes are told to a member so far apart at least, in seconds: the first at once, what follows it together.
     /// Each word wakes its member, and under load those wakings were most of what a link cost a set-up.
-    pub together: f64,
+    pub push_interval: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { patience: 1.0, rate: 4e6, most: 100_000, together: 0.02 }
+        Settings { source_timeout: 1.0, bytes_per_s: 4e6, max_records: 100_000, push_interval: 0.02 }
     }
 }
 
@@ -168,13 +168,13 @@
 #[derive(Clone, Default)]
 struct Peer {
     /// What it holds, as it said last.
-    held: BTreeMap<Origin, Held>,
+    held: BTreeMap<Origin, StreamDigest>,
     /// Up to which version the own stream was told on this link, once it was level.
     level: Option<u64>,
     /// When changes of it were told last.
     pushed_at: Option<f64>,
     serves: VecDeque<Serve>,
-    asks: VecDeque<Ask>,
+    asks: VecDeque<ChunkRequest>,
 }
 
 #[derive(Clone)]
@@ -201,30 +201,30 @@
     /// Bytes that may be given now, as of then.
     tokens: (f64, f64),
     /// Records given and taken in catch-up, for reports.
-    pub given: u64,
+    pub records_sent: u64,
     /// The same, taken.
-    pub taken: u64,
+    pub records_received: u64,
 }
 
 impl CatchUp {
     /// Nobody is linked yet.
     pub fn new(now: f64, settings: Settings) -> CatchUp {
         let (peers, fetches) = (BTreeMap::new(), BTreeMap::new());
-        CatchUp { settings, peers, fetches, tokens: (0.0, now), given: 0, taken: 0 }
+        CatchUp { settings, peers, fetches, tokens: (0.0, now), records_sent: 0, records_received: 0 }
     }
 
     /// Takes settings read anew.
-    pub fn change(&mut self, settings: Settings) {
+    pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
     /// A link is up.
-    pub fn linked(&mut self, member: MemberId) {
+    pub fn link_up(&mut self, member: MemberId) {
         self.peers.insert(member, Peer::default());
     }
 
     /// A link is down; whoever else has it goes on with what it gave.
-    pub fn unlinked(&mut self, member: MemberId) {
+    pub fn link_down(&mut self, member: MemberId) {
         self.peers.remove(&member);
         for fetch in self.fetches.values_mut().filter(|f| f.from == Some(member)) {
             fetch.from = None;
@@ -232,44 +232,47 @@
     }
 
     /// What a member said last that it holds of a stream.
-    pub fn held_by(&self, member: MemberId, origin: &Origin) -> Option<Held> {
+    pub fn held_by(&self, member: MemberId, origin: &Origin) -> Option<StreamDigest> {
         self.peers.get(&member)?.held.get(origin).copied()
     }
 
     /// When more may be said, if somebody waits for it: the rest of a stream, or own changes since the last ones.
-    pub fn gives_at(&self, store: &Store) -> Option<f64> {
+    pub fn next_send_at(&self, store: &Store) -> Option<f64> {
         let waits = self.peers.values().any(|peer| !peer.serves.is_empty());
         let (left, then) = self.tokens;
-        let gives = waits.then(|| then + (-left).max(0.0) / self.settings.rate);
-        let version = store.stream(&store.own()).map_or(0, Stream::version);
+        let gives = waits.then(|| then + (-left).max(0.0) / self.settings.bytes_per_s);
+        let version = store.stream(&store.own_origin()).map_or(0, Stream::version);
         let behind = self.peers.values().filter(|peer| peer.level.is_some_and(|level| level < version));
-        let tells = behind.filter_map(|peer| Some(peer.pushed_at? + self.settings.together));
+        let tells = behind.filter_map(|peer| Some(peer.pushed_at? + self.settings.push_interval));
         gives.into_iter().chain(tells).reduce(f64::min)
     }
 
     /// Streams on their way in.
-    pub fn fetching(&self) -> usize {
+    pub fn fetches_in_progress(&self) -> usize {
         self.fetches.len()
     }
 
     /// What is held here.
-    pub fn digest(store: &Store) -> Vec<Held> {
-        let held =
-            |(origin, s): (&Origin, &Stream)| Held { origin: *origin, version: s.version(), hash: s.hash() };
+    pub fn digest(store: &Store) -> Vec<StreamDigest> {
+        let held = |(origin, s): (&Origin, &Stream)| StreamDigest {
+            origin: *origin,
+            version: s.version(),
+            hash: s.hash(),
+        };
         store.streams().map(held).collect()
     }
 
     /// Takes a member's word of what it holds. `heard` tells whether a stream's origin is heard here in that life.
-    pub fn heard_digest(
+    pub fn receive_digest(
         &mut self,
         now: f64,
         from: MemberId,
-        held: &[Held],
+        held: &[StreamDigest],
         store: &Store,
         heard: impl Fn(&Origin) -> bool,
-    ) -> Vec<Compared> {
+    ) -> Vec<Mismatch> {
         let mut compared = Vec::new();
-        let own = store.own();
+        let own = store.own_origin();
         let mut differing = Vec::new();
         let Some(peer) = self.peers.get_mut(&from) else { return compared };
         peer.held = held.iter().map(|h| (h.origin, *h)).collect();
@@ -278,7 +281,7 @@
             let (version, hash) = mine.map_or((0, 0), |s| (s.version(), s.hash()));
             if h.origin == own {
                 if h.version > version {
-                    compared.push(Compared::Ahead(h.version));
+                    compared.push(Mismatch::Ahead(h.version));
                 } else if h.version == version && h.hash == hash && peer.level.is_none() {
                     peer.level = Some(version);
                 }
@@ -289,7 +292,7 @@
                 let (from_origin, lives) = (h.origin.member == from, heard(&h.origin));
                 // The origin's own copy counts, and it is asked when it says what it holds.
                 if from_origin || !lives {
-                    compared.push(Compared::Differs(h.origin));
+                    compared.push(Mismatch::Diverged(h.origin));
                     differing.push((h.origin, !from_origin));
                 }
             }
@@ -297,7 +300,7 @@
         for (origin, merge) in differing {
             self.fetch(now, from, origin, 0, Some(0), merge);
         }
-        self.look(now, store, heard);
+        self.poll(now, store, heard);
         compared
     }
 
@@ -312,7 +315,7 @@
     ) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         peer.asks.retain(|ask| ask.origin != origin);
-        peer.asks.push_back(Ask { origin, after, base });
+        peer.asks.push_back(ChunkRequest { origin, after, base });
         let fetch = self.fetches.entry(origin).or_insert(Fetch {
             from: None,
             at: now,
@@ -325,11 +328,11 @@
     }
 
     /// Asks for what is lacking, and asks others where a giver has stopped. Called now and then.
-    pub fn look(&mut self, now: f64, store: &Store, heard: impl Fn(&Origin) -> bool) {
-        let own = store.own();
+    pub fn poll(&mut self, now: f64, store: &Store, heard: impl Fn(&Origin) -> bool) {
+        let own = store.own_origin();
         let mut best: BTreeMap<Origin, (bool, u64, MemberId)> = BTreeMap::new();
         for (&member, peer) in &self.peers {
-            for held in peer.held.values().filter(|h| h.origin != own && !store.forgotten(&h.origin)) {
+            for held in peer.held.values().filter(|h| h.origin != own && !store.is_forgotten(&h.origin)) {
                 // An origin that is heard brings its own changes; to ask others for them would double them. One that
                 // is not heard may have a link that still looks open, and offers what it held long ago.
                 let is_origin = held.origin.member == member && heard(&held.origin);
@@ -342,14 +345,14 @@
             }
         }
         self.fetches.retain(|origin, fetch| {
-            let stalled = fetch.from.is_none() || now - fetch.at >= self.settings.patience;
+            let stalled = fetch.from.is_none() || now - fetch.at >= self.settings.source_timeout;
             // Nobody has it any more, or it came another way.
-            !stalled || best.contains_key(origin) && !store.forgotten(origin)
+            !stalled || best.contains_key(origin) && !store.is_forgotten(origin)
         });
         for (origin, (_, version, member)) in best {
             let mine = store.stream(&origin).map_or(0, Stream::version);
             match self.fetches.get(&origin) {
-                Some(f) if f.from.is_some() && now - f.at < self.settings.patience => {}
+                Some(f) if f.from.is_some() && now - f.at < self.settings.source_timeout => {}
                 Some(f) => {
                     // Goes on from where the last giver stopped.
                     let (after, base, merge) = (f.after, f.base, f.merge);
@@ -364,12 +367,12 @@
     }
 
     /// Takes a question.
-    pub fn heard_ask(&mut self, from: MemberId, ask: &Ask, store: &Store) {
+    pub fn receive_request(&mut self, from: MemberId, ask: &ChunkRequest, store: &Store) {
         let (Some(peer), Some(stream)) = (self.peers.get_mut(&from), store.stream(&ask.origin)) else {
             return;
         };
         // What it lacks is on its way already: the origin tells its changes from there.
-        let told = ask.origin == store.own() && peer.level == Some(ask.after) && ask.base.is_none();
+        let told = ask.origin == store.own_origin() && peer.level == Some(ask.after) && ask.base.is_none();
         if told && ask.after >= stream.horizon() {
             return;
         }
@@ -389,41 +392,41 @@
     }
 
     /// Takes a part of a stream, of which the word may be so much older than it says; none where that is not known yet.
-    pub fn heard_piece(
+    pub fn receive_chunk(
         &mut self,
         now: f64,
         lag: Option<f64>,
         from: MemberId,
-        piece: &Piece,
+        piece: &Chunk,
         store: &mut Store,
-    ) -> Result<Taken, PieceError> {
+    ) -> Result<Applied, ChunkError> {
         piece.check()?;
-        let mut taken = Taken::default();
-        let most = self.settings.most;
+        let mut taken = Applied::default();
+        let most = self.settings.max_records;
         let at = |r: &Record| match (lag, r.key) {
             // A lease must not be counted for longer than its lender does without: of unknown age it is worth nothing.
             (None, Key::Lent(..)) => f64::NEG_INFINITY,
             _ => now - lag.unwrap_or(0.0) - f64::from(r.age_ms) / 1000.0,
         };
-        let Some(copy) = store.copy(piece.origin) else { return Ok(taken) };
+        let Some(copy) = store.copy_mut(piece.origin) else { return Ok(taken) };
         let fetch = self.fetches.get_mut(&piece.origin).filter(|f| f.from == Some(from));
         match (piece.base, fetch) {
             (None, fetch) => {
                 // A gap: what lies in it is asked for when the next digest shows it.
-                if piece.from > copy.version() {
+                if piece.after > copy.version() {
                     return Ok(taken);
                 }
                 for record in &piece.records {
                     taken.conflicts.extend(copy.apply(at(record), record));
                     taken.keys.push(record.key);
                 }
-                copy.reaches(piece.upto, 0);
-                if copy.held() > most + crate::stream::TOMBSTONES {
-                    return Err(PieceError::TooMany);
+                copy.advance_to(piece.up_to, 0);
+                if copy.len_with_tombstones() > most + crate::stream::MAX_TOMBSTONES {
+                    return Err(ChunkError::TooManyRecords);
                 }
                 if let Some(fetch) = fetch {
-                    self.taken += piece.records.len() as u64;
-                    (fetch.at, fetch.after) = (now, piece.upto);
+                    self.records_received += piece.records.len() as u64;
+                    (fetch.at, fetch.after) = (now, piece.up_to);
                     if piece.last {
                         self.fetches.remove(&piece.origin);
                     }
@@ -432,26 +435,26 @@
             // Not asked for any more.
             (Some(_), None) => {}
             (Some(base), Some(fetch)) => {
-                if piece.from == 0 {
+                if piece.after == 0 {
                     (fetch.incoming, fetch.base, fetch.after) = (Some(Stream::default()), Some(base), 0);
                 }
-                let Some(incoming) = fetch.incoming.as_mut().filter(|_| fetch.after == piece.from) else {
+                let Some(incoming) = fetch.incoming.as_mut().filter(|_| fetch.after == piece.after) else {
                     return Ok(taken);
                 };
                 for record in &piece.records {
                     taken.conflicts.extend(incoming.apply(at(record), record));
                 }
-                if incoming.held() > most + crate::stream::TOMBSTONES {
+                if incoming.len_with_tombstones() > most + crate::stream::MAX_TOMBSTONES {
                     self.fetches.remove(&piece.origin);
-                    return Err(PieceError::TooMany);
+                    return Err(ChunkError::TooManyRecords);
                 }
-                self.taken += piece.records.len() as u64;
-                (fetch.at, fetch.after) = (now, piece.upto);
+                self.records_received += piece.records.len() as u64;
+                (fetch.at, fetch.after) = (now, piece.up_to);
                 if piece.last {
-                    incoming.reaches(piece.upto.max(base), piece.horizon);
+                    incoming.advance_to(piece.up_to.max(base), piece.horizon);
                     let (whole, merge) = (std::mem::take(incoming), fetch.merge);
                     taken.keys.extend(whole.range(..).map(|(key, ..)| key));
-                    taken.mended = copy.version() == whole.version() && copy.hash() != whole.hash();
+                    taken.repaired = copy.version() == whole.version() && copy.hash() != whole.hash();
                     match merge {
                         true => taken.conflicts.extend(copy.merge(&whole)),
                         // A change told meanwhile is not lost: what the origin says next starts from here.
@@ -465,35 +468,35 @@
     }
 
     /// What is to be said to a member, if anything is.
-    pub fn say(&mut self, now: f64, to: MemberId, store: &Store) -> Option<Say> {
+    pub fn next_outgoing(&mut self, now: f64, to: MemberId, store: &Store) -> Option<Outgoing> {
         let (left, then) = self.tokens;
-        let rate = self.settings.rate;
+        let rate = self.settings.bytes_per_s;
         // A piece at a time: what a set-up waits for it is one piece, however much is lacking.
-        let room = PIECE as f64 * RECORD_BYTES;
+        let room = MAX_CHUNK_RECORDS as f64 * RECORD_BYTES;
         self.tokens = ((left + (now - then).max(0.0) * rate).min(room), now);
         let peer = self.peers.get_mut(&to)?;
         if let Some(ask) = peer.asks.pop_front() {
-            return Some(Say::Ask(ask));
+            return Some(Outgoing::Request(ask));
         }
-        let own = store.own();
+        let own = store.own_origin();
         if let (Some(level), Some(stream)) = (peer.level, store.stream(&own)) {
             if level < stream.horizon() {
                 // It is behind what is still known: it asks when it sees that.
                 peer.level = None;
             } else if stream.version() > level
-                && peer.pushed_at.is_none_or(|at| now - at >= self.settings.together)
+                && peer.pushed_at.is_none_or(|at| now - at >= self.settings.push_interval)
             {
-                let (records, upto, last) = stream.piece(now, level);
+                let (records, upto, last) = stream.changes_after(now, level);
                 peer.level = Some(upto);
                 // What does not fit into one piece goes on with the next.
                 if last {
                     peer.pushed_at = Some(now);
                 }
                 let (from, horizon) = (level, stream.horizon());
-                return Some(Say::Piece(Piece {
+                return Some(Outgoing::Chunk(Chunk {
                     origin: own,
-                    from,
-                    upto,
+                    after: from,
+                    up_to: upto,
                     base: None,
                     horizon,
                     last,
@@ -512,15 +515,15 @@
             Some(base) if base < stream.horizon() => (0, Some(stream.version())),
             same => (after, same),
         };
-        let (records, upto, last) = stream.piece(now, after);
+        let (records, upto, last) = stream.changes_after(now, after);
         self.tokens.0 -= records.len() as f64 * RECORD_BYTES;
-        self.given += records.len() as u64;
+        self.records_sent += records.len() as u64;
         match last {
             false => peer.serves.push_back(Serve { origin, after: upto, base }),
             true if origin == own => peer.level = Some(upto),
             true => {}
         }
         let horizon = stream.horizon();
-        Some(Say::Piece(Piece { origin, from: after, upto, base, horizon, last, records }))
+        Some(Outgoing::Chunk(Chunk { origin, after, up_to: upto, base, horizon, last, records }))
     }
 }
--- a/crates/replica/src/guard.rs
+++ b/crates/replica/src/guard.rs
@@ -10,11 +10,11 @@
 
 use hollypaddle_policy::{Candidate, Denial, Event, Gate, PoolEntry, PoolId, Readiness};
 
-use crate::record::Place;
-use crate::store::Said;
+use crate::record::ServerState;
+use crate::store::ServerObservation;
 
 /// A word that a server is silent counts for so long, in seconds; who still finds it so says it again.
-pub const SILENCE_COUNTS: f64 = 3.0;
+pub const SILENCE_VALIDITY_S: f64 = 3.0;
 /// A call that is turned away because this member does not know what holds may come again after so long.
 const HELD: f64 = 0.5;
 /// One turned away for hearsay of silence.
@@ -31,41 +31,41 @@
     /// Set-ups that were denied, and calls turned away for it.
     pub denied: u64,
     /// Calls turned away.
-    pub turned_away: u64,
+    pub calls_refused: u64,
 }
 
 impl Guard {
     /// Nothing may be sent, or it may again.
-    pub fn hold(&mut self, hold: bool) {
+    pub fn set_hold(&mut self, hold: bool) {
         self.hold = hold;
     }
 
     /// Whether nothing may be sent.
-    pub fn holds(&self) -> bool {
+    pub fn is_holding(&self) -> bool {
         self.hold
     }
 
     /// Takes what others say of a pool's silence: since when that counts; the own member heard it last at `heard`.
-    pub fn silence(&mut self, now: f64, pool: PoolId, said: Option<f64>, heard: f64) {
-        match said.filter(|at| now - at < SILENCE_COUNTS && heard <= *at) {
+    pub fn update_silence(&mut self, now: f64, pool: PoolId, said: Option<f64>, heard: f64) {
+        match said.filter(|at| now - at < SILENCE_VALIDITY_S && heard <= *at) {
             Some(at) => drop(self.silent.insert(pool, at)),
             None => drop(self.silent.remove(&pool)),
         }
     }
 
     /// The own member heard a pool.
-    pub fn heard(&mut self, pool: PoolId) {
+    pub fn server_answered(&mut self, pool: PoolId) {
         self.silent.remove(&pool);
     }
 
     /// Takes the pools that are in service: one that is not there any more is forgotten.
-    pub fn in_service(&mut self, pools: &[PoolId]) {
+    pub fn set_in_service(&mut self, pools: &[PoolId]) {
         self.silent.retain(|pool, _| pools.contains(pool));
         self.elsewhere = pools.iter().any(|pool| !self.silent.contains_key(pool));
     }
 
     /// Pools that are denied now.
-    pub fn silent(&self) -> usize {
+    pub fn silent_servers(&self) -> usize {
         self.silent.len()
     }
 }
@@ -74,7 +74,7 @@
     fn on_event(&mut self, _: f64, event: &Event) {
         // Its own word ends what others say.
         if let Event::Established { pool, .. } | Event::Load { pool, .. } = event {
-            self.heard(*pool);
+            self.server_answered(*pool);
         }
     }
 
@@ -82,7 +82,7 @@
         let denial = if self.hold {
             Denial { reason: "fleet-catching-up", retry_after: HELD }
         } else if self.elsewhere
-            && self.silent.get(&candidate.pool).is_some_and(|at| now - at < SILENCE_COUNTS)
+            && self.silent.get(&candidate.pool).is_some_and(|at| now - at < SILENCE_VALIDITY_S)
         {
             Denial { reason: "fleet-silent-server", retry_after: SILENT }
         } else {
@@ -95,23 +95,28 @@
     fn on_sent(&mut self, _: f64, _: &Candidate) {}
 
     fn on_refused(&mut self, _: f64, _: &Candidate, _: &Denial) {
-        self.turned_away += 1;
+        self.calls_refused += 1;
     }
 }
 
 /// A line of the own list, as of then, with what others know: the later start, and the worse place of that start. What
 /// they heard longer before the own list was last heard than lists come late counts for nothing: that list knows as much
 /// by now. Their start is in Unix milliseconds as the own list's is.
-pub fn overlay(entry: PoolEntry, said: Option<&Said>, own_at: f64, lists_late: f64) -> PoolEntry {
+pub fn apply_observation(
+    entry: PoolEntry,
+    said: Option<&ServerObservation>,
+    own_at: f64,
+    lists_late: f64,
+) -> PoolEntry {
     let Some(said) = said.filter(|said| said.at > own_at - lists_late) else { return entry };
     let (theirs, own) = (said.fact.started_ms as f64 / 1000.0, entry.ready_at);
     if theirs < own {
         return entry;
     }
     let place = match said.fact.place {
-        Place::Ready => Readiness::Ready,
+        ServerState::Ready => Readiness::Ready,
         // Only the own list takes a server away; what it holds of one that is gone must still find it.
-        Place::Draining | Place::Gone => Readiness::Draining,
+        ServerState::Draining | ServerState::Gone => Readiness::Draining,
     };
     let rank = |r: Readiness| match r {
         Readiness::Ready => 0,
@@ -130,8 +135,12 @@
     use crate::record::ServerFact;
     use hollypaddle_membership::MemberId;
 
-    fn said(started_ms: u64, place: Place) -> Said {
-        Said { at: 10.0, fact: ServerFact { started_ms, place }, silent: Some((0.0, MemberId(1))) }
+    fn said(started_ms: u64, place: ServerState) -> ServerObservation {
+        ServerObservation {
+            at: 10.0,
+            fact: ServerFact { started_ms, place },
+            silent: Some((0.0, MemberId(1))),
+        }
     }
 
     fn entry(ready_at: f64, readiness: Readiness) -> PoolEntry {
@@ -141,19 +150,19 @@
     #[test]
     fn hearsay_restricts_and_never_opens() {
         use Readiness::{Draining, Gone, Ready};
-        let of = |own: PoolEntry, s: Said| overlay(own, Some(&s), 9.0, 2.0).readiness;
-        let later = overlay(entry(5.0, Ready), Some(&said(5000, Place::Draining)), 12.5, 2.0);
+        let of = |own: PoolEntry, s: ServerObservation| apply_observation(own, Some(&s), 9.0, 2.0).readiness;
+        let later = apply_observation(entry(5.0, Ready), Some(&said(5000, ServerState::Draining)), 12.5, 2.0);
         assert_eq!(later.readiness, Ready, "the own list was heard since");
-        let later = overlay(entry(5.0, Ready), Some(&said(5000, Place::Draining)), 12.5, 7.0);
+        let later = apply_observation(entry(5.0, Ready), Some(&said(5000, ServerState::Draining)), 12.5, 7.0);
         assert_eq!(later.readiness, Draining, "where lists come later, it may not know yet");
-        assert_eq!(of(entry(5.0, Ready), said(5000, Place::Draining)), Draining);
-        assert_eq!(of(entry(5.0, Ready), said(5000, Place::Gone)), Draining);
-        assert_eq!(of(entry(5.0, Draining), said(5000, Place::Ready)), Draining);
-        assert_eq!(of(entry(5.0, Gone), said(6000, Place::Ready)), Gone);
-        assert_eq!(of(entry(5.0, Ready), said(4000, Place::Gone)), Ready, "of an earlier start");
-        let restarted = overlay(entry(5.0, Ready), Some(&said(9000, Place::Ready)), 9.0, 2.0);
+        assert_eq!(of(entry(5.0, Ready), said(5000, ServerState::Draining)), Draining);
+        assert_eq!(of(entry(5.0, Ready), said(5000, ServerState::Gone)), Draining);
+        assert_eq!(of(entry(5.0, Draining), said(5000, ServerState::Ready)), Draining);
+        assert_eq!(of(entry(5.0, Gone), said(6000, ServerState::Ready)), Gone);
+        assert_eq!(of(entry(5.0, Ready), said(4000, ServerState::Gone)), Ready, "of an earlier start");
+        let restarted = apply_observation(entry(5.0, Ready), Some(&said(9000, ServerState::Ready)), 9.0, 2.0);
         assert_eq!((restarted.readiness, restarted.ready_at), (Ready, 9.0), "cold, as of its later start");
-        assert_eq!(overlay(entry(5.0, Ready), None, 9.0, 2.0), entry(5.0, Ready));
+        assert_eq!(apply_observation(entry(5.0, Ready), None, 9.0, 2.0), entry(5.0, Ready));
     }
 
     #[test]
@@ -161,19 +170,19 @@
         let mut guard = Guard::default();
         let candidate =
             Candidate { call: 1, class: 0, pool: PoolId(1), attempt: 0, first_tried: 0.0, last_resort: true };
-        guard.silence(10.0, PoolId(1), Some(9.5), 9.0);
-        guard.in_service(&[PoolId(1), PoolId(2)]);
+        guard.update_silence(10.0, PoolId(1), Some(9.5), 9.0);
+        guard.set_in_service(&[PoolId(1), PoolId(2)]);
         assert_eq!(guard.may_send(10.0, &candidate).unwrap_err().reason, "fleet-silent-server");
-        guard.in_service(&[PoolId(1)]);
+        guard.set_in_service(&[PoolId(1)]);
         assert!(guard.may_send(10.0, &candidate).is_ok(), "the last door");
-        guard.in_service(&[PoolId(1), PoolId(2)]);
-        assert!(guard.may_send(9.5 + SILENCE_COUNTS, &candidate).is_ok(), "old");
-        guard.silence(10.0, PoolId(1), Some(9.5), 9.6);
+        guard.set_in_service(&[PoolId(1), PoolId(2)]);
+        assert!(guard.may_send(9.5 + SILENCE_VALIDITY_S, &candidate).is_ok(), "old");
+        guard.update_silence(10.0, PoolId(1), Some(9.5), 9.6);
         assert!(guard.may_send(10.0, &candidate).is_ok(), "heard since");
-        guard.silence(10.0, PoolId(1), Some(9.5), 9.0);
+        guard.update_silence(10.0, PoolId(1), Some(9.5), 9.0);
         guard.on_event(10.1, &Event::Load { pool: PoolId(1), report: Default::default() });
         assert!(guard.may_send(10.1, &candidate).is_ok(), "heard now");
-        guard.hold(true);
+        guard.set_hold(true);
         assert_eq!(guard.may_send(10.2, &candidate).unwrap_err().reason, "fleet-catching-up");
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -22,4 +22,4 @@
 pub mod store;
 pub mod stream;
 
-pub use member::{Member, Settings, Word};
+pub use member::{Member, Message, Settings};
