--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -1,23 +1,23 @@
 //! A member of a fleet, without its sockets: words in, words out.
 //!
-//! The front hands in what came from other members ([`Member::hear`]) and the time ([`Member::tick`]), says what it knows
-//! itself ([`Member::server`], [`Member::stands`], [`Member::ended`]), and asks for the next word to each member for which
-//! its link has room ([`Member::say`]). Nothing is queued here for a member that takes nothing: a word is made as it is
+//! The front hands in what came from other members ([`Member::receive`]) and the time ([`Member::tick`]), says what it knows
+//! itself ([`Member::record_server`], [`Member::call_established`], [`Member::call_ended`]), and asks for the next word to each member for which
+//! its link has room ([`Member::next_message`]). Nothing is queued here for a member that takes nothing: a word is made as it is
 //! asked for, of the newest state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use hollypaddle_lending::{BudgetKey, Tell, Want};
+use hollypaddle_lending::{Announcement, BudgetKey, BudgetRequest};
 use hollypaddle_membership::view::{Change, Membership, State};
 use hollypaddle_membership::{view, Heartbeat, Incarnation, MemberId};
 use hollypaddle_ownership::owner;
 use serde::{Deserialize, Serialize};
 
-use crate::adoption::{self, Adopted};
-use crate::catch_up::{self, Ask, CatchUp, Compared, Held, Piece, PieceError, Say};
-use crate::record::{CallFact, Key, Origin, Place, ServerFact, ServerKey, Value, KINDS};
-use crate::store::{Said, Store};
+use crate::adoption::{self, AdoptedCall};
+use crate::catch_up::{self, CatchUp, Chunk, ChunkError, ChunkRequest, Mismatch, Outgoing, StreamDigest};
+use crate::record::{CallFact, Key, Origin, ServerFact, ServerKey, ServerState, Value, KINDS};
+use crate::store::{ServerObservation, Store};
 use crate::stream::Conflict;
 
 /// The version of what members say to each other; others are not understood.
@@ -41,15 +41,15 @@
     /// Of catch-up.
     pub catch_up: catch_up::Settings,
     /// Between two digests to a member.
-    pub digest: f64,
+    pub digest_interval: f64,
     /// A start waits so long at most until it has caught up.
-    pub within: f64,
+    pub catch_up_timeout: f64,
     /// Members that cannot be reached by then are not waited for.
-    pub grace: f64,
+    pub unreachable_grace: f64,
     /// The stream of a life that has ended is forgotten after so long.
-    pub forget: f64,
+    pub forget_after: f64,
     /// What the resolver has to tell may come so much later at one gatekeeper than at another.
-    pub lists_late: f64,
+    pub max_list_delay: f64,
 }
 
 impl Default for Settings {
@@ -57,19 +57,19 @@
         Settings {
             membership: view::Settings::default(),
             catch_up: catch_up::Settings::default(),
-            digest: 0.5,
-            within: 2.0,
-            grace: 0.5,
-            forget: 120.0,
+            digest_interval: 0.5,
+            catch_up_timeout: 2.0,
+            unreachable_grace: 0.5,
+            forget_after: 120.0,
             // The platform counts a word as told after so long, whether it came or not.
-            lists_late: 7.0,
+            max_list_delay: 7.0,
         }
     }
 }
 
 /// What members say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// The first on a link, each way.
     Hello {
         /// The version of the protocol.
@@ -84,13 +84,13 @@
         known: Option<(Incarnation, u32)>,
     },
     /// All the time.
-    Beat(Heartbeat),
+    Heartbeat(Heartbeat),
     /// What the speaker holds, and below which incarnation each member's streams are over.
-    Digest(Vec<Held>, Vec<(MemberId, u64)>),
+    Digest(Vec<StreamDigest>, Vec<(MemberId, u64)>),
     /// A question for what is lacking.
-    Ask(Ask),
+    Request(ChunkRequest),
     /// A part of a stream.
-    Piece(Piece),
+    Chunk(Chunk),
     /// The speaker ends.
     Leave,
 }
@@ -108,25 +108,25 @@
     #[error(
         "meant for another member: two members' addresses are mixed up in a block `fleet`; compare the files"
     )]
-    NotForUs,
+    WrongRecipient,
     /// It comes a second time, or too early.
     #[error(
         "a word that has no place there: a stranger, or a fault; if it is a member's address, file the line with the \
          maintainers"
     )]
-    OutOfPlace,
+    UnexpectedMessage,
     /// A stream of nobody in the configuration.
     #[error(
         "a stream of no member: the other one's file names a member that this one's does not; send SIGHUP to all after a \
          change"
     )]
-    Stranger,
+    UnknownOrigin,
     /// Of membership.
     #[error(transparent)]
     Membership(#[from] view::Rejection),
     /// Of a piece.
     #[error(transparent)]
-    Piece(#[from] PieceError),
+    Chunk(#[from] ChunkError),
 }
 
 impl Rejection {
@@ -134,18 +134,18 @@
     pub fn name(&self) -> &'static str {
         match self {
             Rejection::Protocol(_) => "protocol",
-            Rejection::NotForUs => "not-for-us",
-            Rejection::OutOfPlace => "out-of-place",
-            Rejection::Stranger => "stranger",
+            Rejection::WrongRecipient => "not-for-us",
+            Rejection::UnexpectedMessage => "out-of-place",
+            Rejection::UnknownOrigin => "stranger",
             Rejection::Membership(rejection) => rejection.name(),
-            Rejection::Piece(error) => error.name(),
+            Rejection::Chunk(error) => error.name(),
         }
     }
 }
 
 /// How a member came to take calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum CatchUpOutcome {
     /// It holds what those held that it reached.
     Complete,
     /// Nobody could be reached.
@@ -160,30 +160,30 @@
     /// Of a member.
     Member(Change),
     /// It takes calls, so long after its start or its pause.
-    CaughtUp(How, f64),
+    CaughtUp(CatchUpOutcome, f64),
     /// Two contents under one version.
     Conflict(Origin, Conflict),
     /// A copy differed from another's though all messages came.
-    Differs(Origin, MemberId),
+    CopyDiverged(Origin, MemberId),
     /// It is mended.
-    Mended(Origin),
+    CopyRepaired(Origin),
     /// A stream that is over was dropped, with so many records.
-    Forgotten(Origin, usize),
+    StreamForgotten(Origin, usize),
     /// Records were not published, for want of room.
-    LeftOut(u64),
+    RecordsLeftOut(u64),
 }
 
 /// What the front is to do about a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum CallAction {
     /// See to a call of a member that is gone.
-    Adopt(u64, Adopted),
+    Adopt(u64, AdoptedCall),
     /// A call seen to so far is another's again, or over.
     Yield(u64),
     /// An own call was ended by another member, which has told its caller.
     EndedElsewhere(u64),
     /// Tell the end of a call, and whether it was cut, in place of a member that has no caller to tell it to.
-    Tell(u64, bool),
+    DeliverEnd(u64, bool),
 }
 
 /// What a start, or the time after a pause, waits for.
@@ -191,7 +191,7 @@
 struct Resync {
     since: f64,
     /// What each member said that it holds, as of after `since`.
-    goals: BTreeMap<MemberId, Vec<Held>>,
+    goals: BTreeMap<MemberId, Vec<StreamDigest>>,
 }
 
 /// A member.
@@ -209,7 +209,7 @@
     /// Since when each stream's life has ended.
     ended: BTreeMap<Origin, f64>,
     /// The calls seen to, and whether that has to be looked at again.
-    adopted: BTreeMap<u64, Adopted>,
+    adopted: BTreeMap<u64, AdoptedCall>,
     stale: bool,
     /// Whether a majority was heard, as of the last turn.
     has_quorum: bool,
@@ -218,7 +218,7 @@
     /// Where the last sweep of ended calls stopped.
     swept: u64,
     events: Vec<Event>,
-    acts: Vec<Act>,
+    acts: Vec<CallAction>,
     /// Counted since the start.
     pub counts: Counts,
 }
@@ -229,9 +229,11 @@
     /// Records found with two contents under one version.
     pub conflicts: u64,
     /// Copies that differed though all messages came.
-    pub differed: u64,
+    #[serde(rename = "differed")]
+    pub diverged: u64,
     /// Copies mended.
-    pub mended: u64,
+    #[serde(rename = "mended")]
+    pub repaired: u64,
     /// Records that were not published for want of room.
     pub left_out: u64,
     /// Events that were not told, as too many came at once.
@@ -239,9 +241,11 @@
     /// Calls adopted.
     pub adopted: u64,
     /// Ends handed to members that have callers, and told in place of others.
-    pub owed: u64,
+    #[serde(rename = "owed")]
+    pub ends_handed_over: u64,
     /// The latter.
-    pub told: u64,
+    #[serde(rename = "told")]
+    pub ends_delivered_for_others: u64,
 }
 
 impl Member {
@@ -276,11 +280,11 @@
     }
 
     /// Takes members and settings of a configuration read anew.
-    pub fn change(&mut self, settings: Settings, members: &[MemberId]) {
+    pub fn reconfigure(&mut self, settings: Settings, members: &[MemberId]) {
         self.settings = settings;
-        self.catch_up.change(settings.catch_up);
+        self.catch_up.reconfigure(settings.catch_up);
         self.view.set_members(members.iter().copied());
-        self.store.keep(members);
+        self.store.retain_members(members);
         self.stale = true;
     }
 
@@ -295,27 +299,27 @@
     }
 
     /// When more may be said to a member that waits for it, if one does.
-    pub fn gives_at(&self) -> Option<f64> {
-        self.catch_up.gives_at(&self.store)
+    pub fn next_send_at(&self) -> Option<f64> {
+        self.catch_up.next_send_at(&self.store)
     }
 
     /// Records given and taken in catch-up, and streams on their way in.
-    pub fn caught(&self) -> (u64, u64, usize) {
-        (self.catch_up.given, self.catch_up.taken, self.catch_up.fetching())
+    pub fn catch_up_counts(&self) -> (u64, u64, usize) {
+        (self.catch_up.records_sent, self.catch_up.records_received, self.catch_up.fetches_in_progress())
     }
 
     /// Whether it knows what the others held when it met them, or has waited for that long enough.
-    pub fn ready(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.resync.is_none()
     }
 
     /// What is to be told to the staff since this was last asked.
-    pub fn events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
     /// What is to be done about calls since this was last asked.
-    pub fn acts(&mut self) -> Vec<Act> {
+    pub fn take_call_actions(&mut self) -> Vec<CallAction> {
         std::mem::take(&mut self.acts)
     }
 
@@ -329,12 +333,12 @@
     // ---- What is known here
 
     /// What the own list says of a server, as of then.
-    pub fn server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
+    pub fn record_server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
         self.write(at, Key::Server(server), Value::Server(fact));
     }
 
     /// A server of that start is silent since then, or it is not.
-    pub fn silent(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
+    pub fn record_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
         match since {
             Some(at) => self.write(at, Key::Silent(server), Value::Silent(started_ms)),
             None => _ = self.store.own_stream().write(now, Key::Silent(server), None),
@@ -342,29 +346,29 @@
     }
 
     /// A call stands since then.
-    pub fn stands(&mut self, at: f64, id: u64, fact: CallFact) {
+    pub fn call_established(&mut self, at: f64, id: u64, fact: CallFact) {
         self.write(at, Key::Call(id), Value::Call(fact));
     }
 
     /// A call is over: an own one is withdrawn, the end of another's is recorded.
-    pub fn ended(&mut self, now: f64, id: u64) {
+    pub fn call_ended(&mut self, now: f64, id: u64) {
         let own = self.store.own_stream().write(now, Key::Call(id), None);
         // A stream of an earlier life may say that it stands, too. And one that is back may end a call of which it
         // hears only later that it stood.
-        if self.store.call(id).is_some() || !own && now - self.started < self.settings.forget {
+        if self.store.standing_call(id).is_some() || !own && now - self.started < self.settings.forget_after {
             self.write(now, Key::Over(id), Value::Over);
         }
         self.adopted.remove(&id);
     }
 
     /// A call that stands through another member, as far as is known.
-    pub fn call(&self, id: u64) -> Option<Adopted> {
-        let (origin, since, fact) = self.store.call(id)?;
-        (origin != self.store.own()).then_some(Adopted { origin, since, fact })
+    pub fn call_elsewhere(&self, id: u64) -> Option<AdoptedCall> {
+        let (origin, since, fact) = self.store.standing_call(id)?;
+        (origin != self.store.own_origin()).then_some(AdoptedCall { origin, since, fact })
     }
 
     /// A call that this member sees to in place of one that is gone.
-    pub fn seen_to(&self, id: u64) -> Option<&Adopted> {
+    pub fn adopted_call(&self, id: u64) -> Option<&AdoptedCall> {
         self.adopted.get(&id)
     }
 
@@ -377,14 +381,14 @@
     }
 
     fn write(&mut self, at: f64, key: Key, value: Value) {
-        let most = self.settings.catch_up.most;
+        let most = self.settings.catch_up.max_records;
         let stream = self.store.own_stream();
         if stream.get(&key).is_none() && stream.len() >= most {
             self.counts.left_out += 1;
             // Told at each doubling.
             if self.counts.left_out.is_power_of_two() {
                 let count = self.counts.left_out;
-                self.tell(Event::LeftOut(count));
+                self.tell(Event::RecordsLeftOut(count));
             }
             return;
         }
@@ -392,8 +396,8 @@
     }
 
     /// What the others that are heard say of the servers.
-    pub fn hearsay(&self) -> BTreeMap<ServerKey, Said> {
-        self.store.servers(|origin| self.heard(origin))
+    pub fn peer_observations(&self) -> BTreeMap<ServerKey, ServerObservation> {
+        self.store.peer_observations(|origin| self.heard(origin))
     }
 
     /// Whether a stream's origin is heard here, in that life.
@@ -402,7 +406,7 @@
     }
 
     /// Callers are there to whom the end of any call can be told, or there are none.
-    pub fn callers(&mut self, callers: bool) {
+    pub fn set_has_callers(&mut self, callers: bool) {
         // What others owe may be this member's to tell now.
         self.stale |= self.view.set_callers(callers);
     }
@@ -413,23 +417,23 @@
     }
 
     /// An end was heard and there is no caller to tell it to: one of those who have some is to do it.
-    pub fn owes(&mut self, now: f64, id: u64, cut: bool) {
-        self.counts.owed += 1;
+    pub fn hand_over_end(&mut self, now: f64, id: u64, cut: bool) {
+        self.counts.ends_handed_over += 1;
         self.write(now, Key::Owed(id), Value::Owed(cut));
     }
 
     /// Tells what others owe, as far as that is this member's to do: of those with callers one does it, by rendezvous
     /// hashing. Two that see others with callers may both do it, which costs a doubled word.
     fn tell_owed(&mut self) {
-        let owed = self.store.owed();
+        let owed = self.store.owed_ends();
         self.told.retain(|id| owed.contains_key(id));
         let own = self.view.own_id();
         let may: Vec<(MemberId, u64)> = self.view.members_with_callers().map(|m| (m, m.0)).collect();
         for (id, cut) in owed {
             if !self.told.contains(&id) && owner(id, may.iter().copied()) == Some(own) {
-                self.counts.told += 1;
+                self.counts.ends_delivered_for_others += 1;
                 self.told.insert(id);
-                self.acts.push(Act::Tell(id, cut));
+                self.acts.push(CallAction::DeliverEnd(id, cut));
             }
         }
     }
@@ -437,10 +441,10 @@
     // ---- Budgets
 
     /// Tells the others what this member wants of a budget, or lends of its part.
-    pub fn lends(&mut self, now: f64, tell: Tell) {
+    pub fn announce_lending(&mut self, now: f64, tell: Announcement) {
         let (key, value) = match tell {
-            Tell::Wants(budget, part) => (Key::Want(budget), part.map(Value::Want)),
-            Tell::Lends(budget, to, lease) => (Key::Lent(budget, to), lease.map(Value::Lent)),
+            Announcement::Request(budget, part) => (Key::Want(budget), part.map(Value::Want)),
+            Announcement::Lease(budget, to, lease) => (Key::Lent(budget, to), lease.map(Value::Lent)),
         };
         match value {
             Some(value) => self.write(now, key, value),
@@ -449,8 +453,8 @@
     }
 
     /// What the others that are heard want of budgets.
-    pub fn wants(&self) -> Vec<Want> {
-        self.store.wants(|origin| self.heard(origin))
+    pub fn budget_requests(&self) -> Vec<BudgetRequest> {
+        self.store.budget_requests(|origin| self.heard(origin))
     }
 
     /// What is lent to this member: of which budget, as of when, and how much in millionths.
@@ -461,56 +465,62 @@
     // ---- Links
 
     /// The first word on a link to a member.
-    pub fn hello(&self, now: f64, to: MemberId) -> Word {
+    pub fn hello(&self, now: f64, to: MemberId) -> Message {
         let known = self.view.known_incarnation_of(now, to);
-        Word::Hello { protocol: PROTOCOL, from: self.view.own_id(), to, life: self.view.incarnation(), known }
+        Message::Hello {
+            protocol: PROTOCOL,
+            from: self.view.own_id(),
+            to,
+            life: self.view.incarnation(),
+            known,
+        }
     }
 
     /// Reads the first word on a link: who speaks.
-    pub fn greeted(&mut self, now: f64, word: &Word) -> Result<MemberId, Rejection> {
-        let Word::Hello { protocol, from, to, life, known } = *word else {
-            return Err(Rejection::OutOfPlace);
+    pub fn receive_hello(&mut self, now: f64, word: &Message) -> Result<MemberId, Rejection> {
+        let Message::Hello { protocol, from, to, life, known } = *word else {
+            return Err(Rejection::UnexpectedMessage);
         };
         if protocol != PROTOCOL {
             return Err(Rejection::Protocol(protocol));
         }
         if to != self.view.own_id() || from == to {
-            return Err(Rejection::NotForUs);
+            return Err(Rejection::WrongRecipient);
         }
         self.view.link_up(now, from, life, known)?;
-        self.catch_up.linked(from);
+        self.catch_up.link_up(from);
         self.next_digest.insert(from, now);
         self.settle(now);
         Ok(from)
     }
 
     /// A link is down.
-    pub fn unlinked(&mut self, member: MemberId) {
+    pub fn link_down(&mut self, member: MemberId) {
         self.view.link_down(member);
-        self.catch_up.unlinked(member);
+        self.catch_up.link_down(member);
         self.next_digest.remove(&member);
     }
 
     /// A member's address refused a link.
-    pub fn refused(&mut self, now: f64, member: MemberId) {
+    pub fn link_refused(&mut self, now: f64, member: MemberId) {
         self.view.link_refused(now, member);
     }
 
     /// Takes a word of a member; an error ends its link.
-    pub fn hear(&mut self, now: f64, from: MemberId, word: &Word) -> Result<(), Rejection> {
+    pub fn receive(&mut self, now: f64, from: MemberId, word: &Message) -> Result<(), Rejection> {
         match word {
-            Word::Hello { .. } => return Err(Rejection::OutOfPlace),
-            Word::Beat(beat) => self.view.receive_heartbeat(now, from, beat)?,
-            Word::Digest(held, floors) => self.digest(now, from, held, floors),
-            Word::Ask(ask) => self.catch_up.heard_ask(from, ask, &self.store),
-            Word::Piece(piece) => self.piece(now, from, piece)?,
-            Word::Leave => self.view.member_left(now, from),
+            Message::Hello { .. } => return Err(Rejection::UnexpectedMessage),
+            Message::Heartbeat(beat) => self.view.receive_heartbeat(now, from, beat)?,
+            Message::Digest(held, floors) => self.digest(now, from, held, floors),
+            Message::Request(ask) => self.catch_up.receive_request(from, ask, &self.store),
+            Message::Chunk(piece) => self.piece(now, from, piece)?,
+            Message::Leave => self.view.member_left(now, from),
         }
         self.settle(now);
         Ok(())
     }
 
-    fn digest(&mut self, now: f64, from: MemberId, held: &[Held], floors: &[(MemberId, u64)]) {
+    fn digest(&mut self, now: f64, from: MemberId, held: &[StreamDigest], floors: &[(MemberId, u64)]) {
         for (member, floor) in floors {
             // Nobody but this member says when its own life is over.
             if self.view.incarnation_of(*member).is_some() && *member != self.view.own_id() {
@@ -518,8 +528,8 @@
             }
         }
         let view = &self.view;
-        let known = |h: &&Held| view.incarnation_of(h.origin.member).is_some();
-        let held: Vec<Held> = held.iter().filter(known).copied().collect();
+        let known = |h: &&StreamDigest| view.incarnation_of(h.origin.member).is_some();
+        let held: Vec<StreamDigest> = held.iter().filter(known).copied().collect();
         let fresh = self.resync.as_ref().is_some_and(|r| {
             // What was on its way before counts for nothing: it must have been said after an own beat was heard.
             self.view.last_echoed_at(from).is_some_and(|at| at >= r.since)
@@ -528,15 +538,15 @@
             resync.goals.entry(from).or_insert_with(|| held.clone());
         }
         let compared =
-            self.catch_up.heard_digest(now, from, &held, &self.store, |origin| heard(view, origin));
+            self.catch_up.receive_digest(now, from, &held, &self.store, |origin| heard(view, origin));
         for compared in compared {
             match compared {
-                Compared::Differs(origin) => {
-                    self.counts.differed += 1;
-                    self.tell(Event::Differs(origin, from));
+                Mismatch::Diverged(origin) => {
+                    self.counts.diverged += 1;
+                    self.tell(Event::CopyDiverged(origin, from));
                 }
                 // Somebody wrote to this life's stream before us: another life is needed.
-                Compared::Ahead(_) => self.relive(now),
+                Mismatch::Ahead(_) => self.relive(now),
             }
         }
     }
@@ -546,7 +556,7 @@
         // Also where a word told of the last one there is.
         life.number = life.number.saturating_add(1);
         self.view.set_incarnation(life);
-        self.store.relive(life);
+        self.store.set_own_incarnation(life);
         self.tell(Event::Member(Change::IncarnationRaised(life)));
         self.renew_links(now);
     }
@@ -555,59 +565,59 @@
     fn renew_links(&mut self, now: f64) {
         let members: Vec<MemberId> = self.next_digest.keys().copied().collect();
         for member in members {
-            self.catch_up.unlinked(member);
-            self.catch_up.linked(member);
+            self.catch_up.link_down(member);
+            self.catch_up.link_up(member);
             self.next_digest.insert(member, now);
         }
     }
 
-    fn piece(&mut self, now: f64, from: MemberId, piece: &Piece) -> Result<(), Rejection> {
+    fn piece(&mut self, now: f64, from: MemberId, piece: &Chunk) -> Result<(), Rejection> {
         if self.view.incarnation_of(piece.origin.member).is_none() {
-            return Err(Rejection::Stranger);
+            return Err(Rejection::UnknownOrigin);
         }
         let lag = self.view.lag(now, from);
-        let taken = self.catch_up.heard_piece(now, lag, from, piece, &mut self.store)?;
+        let taken = self.catch_up.receive_chunk(now, lag, from, piece, &mut self.store)?;
         for conflict in taken.conflicts {
             self.counts.conflicts += 1;
             self.tell(Event::Conflict(piece.origin, conflict));
         }
-        if taken.mended {
-            self.counts.mended += 1;
-            self.tell(Event::Mended(piece.origin));
+        if taken.repaired {
+            self.counts.repaired += 1;
+            self.tell(Event::CopyRepaired(piece.origin));
         }
         let ended = taken.keys.iter().filter_map(|key| match key {
             Key::Over(id) => Some(*id),
             _ => None,
         });
         for id in ended {
-            if self.store.over(id) && self.store.own_stream().get(&Key::Call(id)).is_some() {
-                self.acts.push(Act::EndedElsewhere(id));
+            if self.store.is_call_over(id) && self.store.own_stream().get(&Key::Call(id)).is_some() {
+                self.acts.push(CallAction::EndedElsewhere(id));
                 self.store.own_stream().write(now, Key::Call(id), None);
             }
         }
         // What changes the calls of those that are gone, or ends some that are seen to.
         self.stale |= !taken.keys.is_empty()
-            && (adoption::heir(&piece.origin, &self.view) != adoption::Heir::Itself
+            && (adoption::call_owner(&piece.origin, &self.view) != adoption::CallOwner::Origin
                 || taken.keys.iter().any(|key| matches!(key, Key::Over(_) | Key::Owed(_))));
         Ok(())
     }
 
     /// The next word to a member for which there is room, if there is one.
-    pub fn say(&mut self, now: f64, to: MemberId) -> Option<Word> {
+    pub fn next_message(&mut self, now: f64, to: MemberId) -> Option<Message> {
         if self.view.superseded() || !self.next_digest.contains_key(&to) {
             return None;
         }
         if let Some(beat) = self.view.next_heartbeat(now, to, self.resync.is_none()) {
-            return Some(Word::Beat(beat));
+            return Some(Message::Heartbeat(beat));
         }
-        match self.catch_up.say(now, to, &self.store) {
-            Some(Say::Ask(ask)) => return Some(Word::Ask(ask)),
-            Some(Say::Piece(piece)) => return Some(Word::Piece(piece)),
+        match self.catch_up.next_outgoing(now, to, &self.store) {
+            Some(Outgoing::Request(ask)) => return Some(Message::Request(ask)),
+            Some(Outgoing::Chunk(piece)) => return Some(Message::Chunk(piece)),
             None => {}
         }
         let due = self.next_digest.get_mut(&to).filter(|at| now >= **at)?;
-        *due = now + self.settings.digest;
-        Some(Word::Digest(CatchUp::digest(&self.store), self.store.floors().collect()))
+        *due = now + self.settings.digest_interval;
+        Some(Message::Digest(CatchUp::digest(&self.store), self.store.floors().collect()))
     }
 
     // ---- Time
@@ -622,7 +632,7 @@
         if now >= self.next_look {
             self.next_look = now + LOOK;
             let view = &self.view;
-            self.catch_up.look(now, &self.store, |origin| heard(view, origin));
+            self.catch_up.poll(now, &self.store, |origin| heard(view, origin));
             if std::mem::take(&mut self.stale) {
                 self.adopt();
                 self.tell_owed();
@@ -640,7 +650,7 @@
         for change in self.view.take_changes() {
             match change {
                 Change::IncarnationRaised(life) => {
-                    self.store.relive(life);
+                    self.store.set_own_incarnation(life);
                     self.renew_links(now);
                 }
                 Change::Resumed(_) => {
@@ -660,9 +670,9 @@
         let settled = self.view.peers().all(|member| {
             let state = self.view.state(member);
             let linked = self.view.is_linked(member) && matches!(state, State::Alive);
-            let holds = |h: &Held| {
+            let holds = |h: &StreamDigest| {
                 let mine = self.store.stream(&h.origin).map_or(0, |s| s.version());
-                h.origin == self.store.own() || self.store.forgotten(&h.origin) || mine >= h.version
+                h.origin == self.store.own_origin() || self.store.is_forgotten(&h.origin) || mine >= h.version
             };
             match resync.goals.get(&member) {
                 Some(goals) if linked => {
@@ -671,13 +681,13 @@
                 }
                 _ if linked => false,
                 // Nobody is there, or nobody comes: a restart of all must not wait for itself.
-                _ => self.view.refuses_links(member) || waited >= self.settings.grace,
+                _ => self.view.refuses_links(member) || waited >= self.settings.unreachable_grace,
             }
         });
         let how = match (settled, reached) {
-            (true, 0) => How::Alone,
-            (true, _) => How::Complete,
-            (false, _) if waited >= self.settings.within => How::Late,
+            (true, 0) => CatchUpOutcome::Alone,
+            (true, _) => CatchUpOutcome::Complete,
+            (false, _) if waited >= self.settings.catch_up_timeout => CatchUpOutcome::Late,
             _ => return,
         };
         self.resync = None;
@@ -685,14 +695,14 @@
     }
 
     fn adopt(&mut self) {
-        let mut new = adoption::adopted(&self.store, &self.view);
-        new.retain(|id, call| self.adopted.contains_key(id) || adoption::may_begin(&call.origin, &self.view));
+        let mut new = adoption::calls_to_adopt(&self.store, &self.view);
+        new.retain(|id, call| self.adopted.contains_key(id) || adoption::may_adopt(&call.origin, &self.view));
         for id in self.adopted.keys().filter(|id| !new.contains_key(id)) {
-            self.acts.push(Act::Yield(*id));
+            self.acts.push(CallAction::Yield(*id));
         }
         for (id, call) in new.iter().filter(|(id, _)| !self.adopted.contains_key(id)) {
             self.counts.adopted += 1;
-            self.acts.push(Act::Adopt(*id, *call));
+            self.acts.push(CallAction::Adopt(*id, *call));
         }
         self.adopted = new;
     }
@@ -700,25 +710,27 @@
     /// Forgets what is over: streams of lives that ended long ago, and ends of calls that no stream has any more.
     fn sweep(&mut self, now: f64) {
         let view = &self.view;
-        let over = |o: &Origin| *o != self.store.own() && adoption::heir(o, view) != adoption::Heir::Itself;
+        let over = |o: &Origin| {
+            *o != self.store.own_origin() && adoption::call_owner(o, view) != adoption::CallOwner::Origin
+        };
         let over: Vec<Origin> = self.store.streams().map(|(o, _)| *o).filter(over).collect();
         self.ended.retain(|origin, _| over.contains(origin));
         for origin in over {
             let since = *self.ended.entry(origin).or_insert(now);
             // As long as a member may come back in that life its stream stays, up to the bound.
             let later = self.view.incarnation_of(origin.member).is_some_and(|life| life > origin.life);
-            if now - since >= self.settings.forget && later {
+            if now - since >= self.settings.forget_after && later {
                 self.forget(origin.member, origin.life.number.saturating_add(1));
             }
         }
-        for (member, floor) in self.store.excess() {
+        for (member, floor) in self.store.excess_incarnations() {
             self.forget(member, floor);
         }
-        let old = now - self.settings.forget;
+        let old = now - self.settings.forget_after;
         // A server that left the list long ago comes back under no list, and so need not be told of.
         let servers = Key::Server(ServerKey(0))..=Key::Server(ServerKey(u64::MAX));
         let gone = |(key, at, value): (Key, f64, Value)| {
-            let left = matches!(value, Value::Server(fact) if fact.place == Place::Gone);
+            let left = matches!(value, Value::Server(fact) if fact.place == ServerState::Gone);
             (left && at < old).then_some(key)
         };
         let gone: Vec<Key> = self.store.own_stream().range(servers).filter_map(gone).collect();
@@ -739,7 +751,7 @@
             .collect();
         self.swept = if ends.len() < SWEPT { u64::MAX } else { ends.last().map_or(u64::MAX, |e| e.0) };
         for (id, _) in ends.into_iter().filter(|(_, at)| *at < old) {
-            let own = self.store.own();
+            let own = self.store.own_origin();
             let stands = self.store.streams().any(|(o, s)| *o != own && s.get(&Key::Call(id)).is_some());
             if !stands {
                 self.store.own_stream().write(now, Key::Over(id), None);
@@ -752,20 +764,20 @@
         let present = self.view.incarnation_of(member).map_or(0, |life| life.number);
         for (origin, records) in self.store.forget(member, below.min(present)) {
             self.stale = true;
-            self.tell(Event::Forgotten(origin, records));
+            self.tell(Event::StreamForgotten(origin, records));
         }
     }
 
     // ---- Reports
 
     /// What is held of each stream: who looks at it sees in one line what lags.
-    pub fn snapshot(&self) -> Vec<Row> {
+    pub fn snapshot(&self) -> Vec<StreamStatus> {
         let lag = |member: MemberId| {
-            let own = self.store.own();
+            let own = self.store.own_origin();
             let version = self.store.stream(&own)?.version();
             Some(version - self.catch_up.held_by(member, &own)?.version.min(version))
         };
-        let row = |(origin, stream): (&Origin, &crate::stream::Stream)| Row {
+        let row = |(origin, stream): (&Origin, &crate::stream::Stream)| StreamStatus {
             origin: *origin,
             version: stream.version(),
             hash: stream.hash(),
@@ -785,7 +797,7 @@
 
 /// A stream as an operator or a test sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct StreamStatus {
     /// Whose.
     pub origin: Origin,
     /// Up to which version it is held.
@@ -798,7 +810,7 @@
     pub lag: Option<u64>,
 }
 
-impl fmt::Display for Row {
+impl fmt::Display for StreamStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} version {}", self.origin, self.version)?;
         for (name, count) in KINDS.iter().zip(self.counts) {
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -98,7 +98,7 @@
 
 /// Whether a server takes new calls, as its list has it. Greater is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Place {
+pub enum ServerState {
     /// In service.
     Ready,
     /// It takes nothing new.
@@ -114,7 +114,7 @@
     /// compares among members.
     pub started_ms: u64,
     /// Whether it takes new calls.
-    pub place: Place,
+    pub place: ServerState,
 }
 
 /// A call that stands.
@@ -208,7 +208,7 @@
 
 /// A hash of a record's content: equal copies have equal ones. Of two contents under one version the greater hash
 /// wins, as good a rule as any that all follow.
-pub fn content(key: &Key, version: u64, value: &Option<Value>) -> u64 {
+pub fn content_hash(key: &Key, version: u64, value: &Option<Value>) -> u64 {
     let mut room = [0; 96];
     // The longest content is under 70 bytes; one that had no room would count as empty at every member alike.
     let bytes = postcard::to_slice(&(key, version, value), &mut room).map(|b| &*b).unwrap_or_default();
@@ -219,7 +219,7 @@
 /// the younger word counts. Commutative, associative and idempotent; `at` is the time of the evidence.
 pub fn join_servers(a: (f64, ServerFact), b: (f64, ServerFact)) -> (f64, ServerFact) {
     let rank = |(at, fact): &(f64, ServerFact)| {
-        let gone = fact.place == Place::Gone;
+        let gone = fact.place == ServerState::Gone;
         // Of the same moment the worse word counts, so that the order does not matter.
         (fact.started_ms, gone, if gone { f64::INFINITY } else { *at }, fact.place)
     };
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -3,14 +3,14 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-use hollypaddle_lending::{BudgetKey, Want};
+use hollypaddle_lending::{BudgetKey, BudgetRequest};
 use hollypaddle_membership::{Incarnation, MemberId};
 
-use crate::record::{join_servers, CallFact, Key, Origin, Place, ServerFact, ServerKey, Value};
+use crate::record::{join_servers, CallFact, Key, Origin, ServerFact, ServerKey, ServerState, Value};
 use crate::stream::Stream;
 
 /// Lives of one member of which streams are held at most.
-pub const LIVES: usize = 3;
+pub const MAX_INCARNATIONS_PER_MEMBER: usize = 3;
 
 /// All streams.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
 }
 
 /// What is known of a call: its origin, since when it stands, and where.
-pub type Known = (Origin, f64, CallFact);
+pub type KnownCall = (Origin, f64, CallFact);
 
 impl Store {
     /// The own stream alone.
@@ -31,13 +31,13 @@
     }
 
     /// The own stream's origin.
-    pub fn own(&self) -> Origin {
+    pub fn own_origin(&self) -> Origin {
         self.own
     }
 
     /// Gives the own stream another life, with all that it says under new versions. What others may have of it
     /// under the old one stays, as a copy: what ends is to be known as over there, too.
-    pub fn relive(&mut self, life: Incarnation) {
+    pub fn set_own_incarnation(&mut self, life: Incarnation) {
         let old = self.streams.get(&self.own).cloned().unwrap_or_default();
         if old.version() == 0 {
             self.streams.remove(&self.own);
@@ -61,8 +61,8 @@
     }
 
     /// A copy to take changes into; none where it is forgotten, or the own one, which takes none.
-    pub fn copy(&mut self, origin: Origin) -> Option<&mut Stream> {
-        match origin == self.own || self.forgotten(&origin) {
+    pub fn copy_mut(&mut self, origin: Origin) -> Option<&mut Stream> {
+        match origin == self.own || self.is_forgotten(&origin) {
             true => None,
             false => Some(self.streams.entry(origin).or_default()),
         }
@@ -70,7 +70,7 @@
 
     /// Puts a whole copy in place of what was held.
     pub fn install(&mut self, origin: Origin, stream: Stream) {
-        if origin != self.own && !self.forgotten(&origin) {
+        if origin != self.own && !self.is_forgotten(&origin) {
             self.streams.insert(origin, stream);
         }
     }
@@ -81,7 +81,7 @@
     }
 
     /// Whether a stream is over and forgotten.
-    pub fn forgotten(&self, origin: &Origin) -> bool {
+    pub fn is_forgotten(&self, origin: &Origin) -> bool {
         self.floors.get(&origin.member).is_some_and(|floor| origin.life.number < *floor)
     }
 
@@ -103,21 +103,21 @@
     }
 
     /// Drops what belongs to nobody in the configuration any more.
-    pub fn keep(&mut self, members: &[MemberId]) {
+    pub fn retain_members(&mut self, members: &[MemberId]) {
         let own = self.own;
         self.streams.retain(|o, _| *o == own || members.contains(&o.member));
         self.floors.retain(|m, _| members.contains(m));
     }
 
     /// Streams of one member beyond so many lives: the floor that leaves the latest.
-    pub fn excess(&self) -> Vec<(MemberId, u64)> {
+    pub fn excess_incarnations(&self) -> Vec<(MemberId, u64)> {
         let mut lives: BTreeMap<MemberId, Vec<u64>> = BTreeMap::new();
         for origin in self.streams.keys() {
             lives.entry(origin.member).or_default().push(origin.life.number);
         }
         let over = |(member, all): (MemberId, Vec<u64>)| {
-            let floor = *all.get(all.len().checked_sub(LIVES)?)?;
-            (all.len() > LIVES).then_some((member, floor))
+            let floor = *all.get(all.len().checked_sub(MAX_INCARNATIONS_PER_MEMBER)?)?;
+            (all.len() > MAX_INCARNATIONS_PER_MEMBER).then_some((member, floor))
         };
         lives.into_iter().filter_map(over).collect()
     }
@@ -125,28 +125,28 @@
     // ---- What follows
 
     /// Whether a call is known to be over: an end wins over standing, whoever says it.
-    pub fn over(&self, id: u64) -> bool {
+    pub fn is_call_over(&self, id: u64) -> bool {
         self.streams.values().any(|stream| stream.get(&Key::Over(id)).is_some())
     }
 
     /// Whether a call is known to be over and its caller was told: by an end that somebody recorded, or as its origin has
     /// withdrawn it.
-    pub fn told(&self, id: u64) -> bool {
-        self.over(id) || self.streams.values().any(|stream| stream.withdrew(&Key::Call(id)))
+    pub fn is_end_delivered(&self, id: u64) -> bool {
+        self.is_call_over(id) || self.streams.values().any(|stream| stream.is_withdrawn(&Key::Call(id)))
     }
 
     /// A call that stands, as its origin said and nobody ended.
-    pub fn call(&self, id: u64) -> Option<Known> {
+    pub fn standing_call(&self, id: u64) -> Option<KnownCall> {
         let said = |(origin, stream): (&Origin, &Stream)| match stream.get(&Key::Call(id)) {
             Some((at, Value::Call(fact))) => Some((*origin, at, fact)),
             _ => None,
         };
         let known = self.streams.iter().find_map(said)?;
-        (!self.over(id)).then_some(known)
+        (!self.is_call_over(id)).then_some(known)
     }
 
     /// The calls of a stream.
-    pub fn calls(stream: &Stream) -> impl Iterator<Item = (u64, f64, CallFact)> + '_ {
+    pub fn calls_in(stream: &Stream) -> impl Iterator<Item = (u64, f64, CallFact)> + '_ {
         let call = |(key, at, value)| match (key, value) {
             (Key::Call(id), Value::Call(fact)) => Some((id, at, fact)),
             _ => None,
@@ -155,7 +155,7 @@
     }
 
     /// Ends that others owe to callers whom they do not reach, and whether they were cut.
-    pub fn owed(&self) -> BTreeMap<u64, bool> {
+    pub fn owed_ends(&self) -> BTreeMap<u64, bool> {
         let owed = Key::Owed(0)..=Key::Owed(u64::MAX);
         let others = self.streams.iter().filter(|(o, _)| **o != self.own);
         let all = others.flat_map(|(_, stream)| stream.range(owed.clone()));
@@ -167,13 +167,13 @@
     }
 
     /// What others want of budgets beyond their parts. Only streams that `counts` passes are heard.
-    pub fn wants(&self, counts: impl Fn(&Origin) -> bool) -> Vec<Want> {
+    pub fn budget_requests(&self, counts: impl Fn(&Origin) -> bool) -> Vec<BudgetRequest> {
         let mut all = Vec::new();
         for (origin, stream) in self.streams.iter().filter(|(o, _)| **o != self.own && counts(o)) {
             let wants = Key::Want(BudgetKey(0))..=Key::Want(BudgetKey(u64::MAX));
             all.extend(stream.range(wants).filter_map(|(key, _, value)| match (key, value) {
                 (Key::Want(budget), Value::Want(part)) => {
-                    Some(Want { member: origin.member, life: origin.life, budget, part })
+                    Some(BudgetRequest { member: origin.member, life: origin.life, budget, part })
                 }
                 _ => None,
             }));
@@ -204,18 +204,23 @@
 
     /// What others know of the servers, joined; of each, who says that it is silent, and since when. Only streams
     /// that `counts` passes are heard.
-    pub fn servers(&self, counts: impl Fn(&Origin) -> bool) -> BTreeMap<ServerKey, Said> {
-        let mut all: BTreeMap<ServerKey, Said> = BTreeMap::new();
+    pub fn peer_observations(
+        &self,
+        counts: impl Fn(&Origin) -> bool,
+    ) -> BTreeMap<ServerKey, ServerObservation> {
+        let mut all: BTreeMap<ServerKey, ServerObservation> = BTreeMap::new();
         for (origin, stream) in self.streams.iter().filter(|(o, _)| **o != self.own && counts(o)) {
             let servers = Key::Server(ServerKey(0))..=Key::Silent(ServerKey(u64::MAX));
             for (key, at, value) in stream.range(servers) {
                 let (server, said) = match (key, value) {
-                    (Key::Server(server), Value::Server(fact)) => (server, Said { at, fact, silent: None }),
+                    (Key::Server(server), Value::Server(fact)) => {
+                        (server, ServerObservation { at, fact, silent: None })
+                    }
                     (Key::Silent(server), Value::Silent(started_ms)) => {
                         // It tells of a start, and nothing of its place.
-                        let fact = ServerFact { started_ms, place: Place::Ready };
+                        let fact = ServerFact { started_ms, place: ServerState::Ready };
                         let silent = Some((at, origin.member));
-                        (server, Said { at: f64::NEG_INFINITY, fact, silent })
+                        (server, ServerObservation { at: f64::NEG_INFINITY, fact, silent })
                     }
                     _ => continue,
                 };
@@ -229,7 +234,7 @@
 
 /// What others say of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
+pub struct ServerObservation {
     /// When the evidence of its place was.
     pub at: f64,
     /// Place and start, joined.
@@ -238,9 +243,9 @@
     pub silent: Option<(f64, MemberId)>,
 }
 
-impl Said {
+impl ServerObservation {
     /// Joins what two say. Commutative, associative and idempotent.
-    pub fn join(&self, other: &Said) -> Said {
+    pub fn join(&self, other: &ServerObservation) -> ServerObservation {
         let (at, fact) = join_servers((self.at, self.fact), (other.at, other.fact));
         // A silence is of one start of the server; a later start ends it.
         let silent = match self.fact.started_ms.cmp(&other.fact.started_ms) {
@@ -251,6 +256,6 @@
                 (a, b) => b.or(a),
             },
         };
-        Said { at, fact, silent }
+        ServerObservation { at, fact, silent }
     }
 }
--- a/crates/replica/src/stream.rs
+++ b/crates/replica/src/stream.rs
@@ -6,12 +6,12 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::record::{content, Key, Record, Value, KINDS};
+use crate::record::{content_hash, Key, Record, Value, KINDS};
 
 /// Tombstones kept in a stream.
-pub const TOMBSTONES: usize = 4096;
+pub const MAX_TOMBSTONES: usize = 4096;
 /// Records in a piece at most: about 10 KiB, under a frame's limit and a short matter for a turn.
-pub const PIECE: usize = 256;
+pub const MAX_CHUNK_RECORDS: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Entry {
@@ -31,7 +31,7 @@
     /// What was held.
     pub held: Option<Value>,
     /// What was told.
-    pub told: Option<Value>,
+    pub received: Option<Value>,
 }
 
 /// A stream.
@@ -78,7 +78,7 @@
     }
 
     /// Records and tombstones.
-    pub fn held(&self) -> usize {
+    pub fn len_with_tombstones(&self) -> usize {
         self.records.len()
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Whether it said something of a key and has withdrawn that, as far back as tombstones are kept.
-    pub fn withdrew(&self, key: &Key) -> bool {
+    pub fn is_withdrawn(&self, key: &Key) -> bool {
         self.records.get(key).is_some_and(|entry| entry.value.is_none())
     }
 
@@ -119,18 +119,18 @@
         // One version is one change of one record: another key under it is a second writer's.
         if let Some(other) = self.order.get(&version).copied().filter(|other| *other != key) {
             let held = self.records.get(&other).and_then(|e| e.value);
-            if content(&key, version, &value) > content(&other, version, &held) {
+            if content_hash(&key, version, &value) > content_hash(&other, version, &held) {
                 self.remove(&other);
                 self.place(key, entry);
             }
-            return Some(Conflict { key, version, held, told: value });
+            return Some(Conflict { key, version, held, received: value });
         }
         match self.records.get(&key) {
             Some(held) if held.version > version => None,
             Some(held) if held.version == version && held.value == value => None,
             Some(held) if held.version == version => {
-                let conflict = Conflict { key, version, held: held.value, told: value };
-                if content(&key, version, &value) > content(&key, version, &held.value) {
+                let conflict = Conflict { key, version, held: held.value, received: value };
+                if content_hash(&key, version, &value) > content_hash(&key, version, &held.value) {
                     self.place(key, entry);
                 }
                 Some(conflict)
@@ -148,13 +148,13 @@
         let Some(old) = self.records.remove(key) else { return };
         self.order.remove(&old.version);
         if old.value.is_some() {
-            self.hash = self.hash.wrapping_sub(content(key, old.version, &old.value));
+            self.hash = self.hash.wrapping_sub(content_hash(key, old.version, &old.value));
             self.counts[key.kind()] -= 1;
         }
     }
 
     /// All changes up to this version have been taken.
-    pub fn reaches(&mut self, version: u64, horizon: u64) {
+    pub fn advance_to(&mut self, version: u64, horizon: u64) {
         self.version = self.version.max(version);
         self.horizon = self.horizon.max(horizon.min(self.version));
     }
@@ -165,12 +165,12 @@
         self.order.insert(entry.version, key);
         match entry.value {
             Some(_) => {
-                self.hash = self.hash.wrapping_add(content(&key, entry.version, &entry.value));
+                self.hash = self.hash.wrapping_add(content_hash(&key, entry.version, &entry.value));
                 self.counts[key.kind()] += 1;
             }
             None => self.graves.push_back((entry.version, key)),
         }
-        while self.graves.len() > TOMBSTONES {
+        while self.graves.len() > MAX_TOMBSTONES {
             let Some((version, key)) = self.graves.pop_front() else { break };
             let grave = |e: &Entry| e.version == version && e.value.is_none();
             if self.records.get(&key).is_some_and(grave) {
@@ -183,12 +183,12 @@
 
     /// What changed after a version, in the order of versions: a piece of it, up to which version that goes, and
     /// whether it is the last. Tombstones go with it.
-    pub fn piece(&self, now: f64, after: u64) -> (Vec<Record>, u64, bool) {
-        self.piece_of(now, after, PIECE)
+    pub fn changes_after(&self, now: f64, after: u64) -> (Vec<Record>, u64, bool) {
+        self.limited_changes_after(now, after, MAX_CHUNK_RECORDS)
     }
 
     /// The same, of so many records at most.
-    pub fn piece_of(&self, now: f64, after: u64, most: usize) -> (Vec<Record>, u64, bool) {
+    pub fn limited_changes_after(&self, now: f64, after: u64, most: usize) -> (Vec<Record>, u64, bool) {
         let mut left = self.order.range(after.saturating_add(1)..);
         let mut records = Vec::new();
         for (&version, key) in left.by_ref().take(most) {
@@ -212,7 +212,7 @@
                 conflicts.extend(self.apply(entry.at, &record));
             }
         }
-        self.reaches(other.version, other.horizon);
+        self.advance_to(other.version, other.horizon);
         conflicts
     }
 }
--- a/crates/replica/tests/adoption.rs
+++ b/crates/replica/tests/adoption.rs
@@ -31,7 +31,7 @@
         let mut members: Vec<Member> = (0..MEMBERS).map(start).collect();
         for (a, b) in (0..MEMBERS).flat_map(|a| (0..MEMBERS).map(move |b| (a, b))).filter(|(a, b)| a != b) {
             let hello = members[b].hello(0.0, id(a));
-            members[a].greeted(0.0, &hello).unwrap();
+            members[a].receive_hello(0.0, &hello).unwrap();
         }
         Fleet { members, now: 0.0, cut: Vec::new(), down: Vec::new() }
     }
@@ -48,22 +48,22 @@
 
     fn speak(&mut self, from: usize, to: usize) {
         if self.down.contains(&to) {
-            return self.members[from].refused(self.now, id(to));
+            return self.members[from].link_refused(self.now, id(to));
         }
-        while let Some(word) = self.members[from].say(self.now, id(to)) {
+        while let Some(word) = self.members[from].next_message(self.now, id(to)) {
             if !self.cut.contains(&(from, to)) {
-                self.members[to].hear(self.now, id(from), &word).unwrap();
+                self.members[to].receive(self.now, id(from), &word).unwrap();
             }
         }
     }
 
     fn kill(&mut self, n: usize) {
         self.down.push(n);
-        (0..MEMBERS).filter(|peer| *peer != n).for_each(|peer| self.members[peer].unlinked(id(n)));
+        (0..MEMBERS).filter(|peer| *peer != n).for_each(|peer| self.members[peer].link_down(id(n)));
     }
 
     fn seen_to_by(&self, n: usize) -> usize {
-        (0..CALLS).filter(|call| self.members[n].seen_to(*call).is_some()).count()
+        (0..CALLS).filter(|call| self.members[n].adopted_call(*call).is_some()).count()
     }
 
     /// Calls stand at the first member, which is then heard by nobody and gone; the second one loses its majority.
@@ -71,7 +71,7 @@
         let mut fleet = Fleet::new();
         fleet.pass(1.0);
         for call in 0..CALLS {
-            fleet.members[0].stands(fleet.now, call, CallFact { server: ServerKey(1), class: 1 });
+            fleet.members[0].call_established(fleet.now, call, CallFact { server: ServerKey(1), class: 1 });
         }
         fleet.pass(1.0);
         fleet.cut.extend((1..MEMBERS).map(|peer| (0, peer)));
@@ -106,7 +106,7 @@
     let mut fleet = Fleet::new();
     fleet.pass(1.0);
     for call in 0..CALLS {
-        fleet.members[0].stands(fleet.now, call, CallFact { server: ServerKey(1), class: 1 });
+        fleet.members[0].call_established(fleet.now, call, CallFact { server: ServerKey(1), class: 1 });
     }
     fleet.pass(1.0);
     fleet.cut.extend([(2, 1), (3, 1), (4, 1)]);
--- a/crates/replica/tests/laws.rs
+++ b/crates/replica/tests/laws.rs
@@ -3,22 +3,24 @@
 use std::collections::BTreeMap;
 
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_replica::catch_up::{Ask, CatchUp, Compared, Held, Piece, Say, Settings};
+use hollypaddle_replica::catch_up::{
+    CatchUp, Chunk, ChunkRequest, Mismatch, Outgoing, Settings, StreamDigest,
+};
 use hollypaddle_replica::record::{
-    join_servers, CallFact, Key, Origin, Place, Record, ServerFact, ServerKey, Value,
+    join_servers, CallFact, Key, Origin, Record, ServerFact, ServerKey, ServerState, Value,
 };
-use hollypaddle_replica::store::{Said, Store};
-use hollypaddle_replica::stream::{Stream, PIECE, TOMBSTONES};
+use hollypaddle_replica::store::{ServerObservation, Store};
+use hollypaddle_replica::stream::{Stream, MAX_CHUNK_RECORDS, MAX_TOMBSTONES};
 use proptest::prelude::*;
 
 fn fact() -> impl Strategy<Value = ServerFact> {
-    let place = prop_oneof![Just(Place::Ready), Just(Place::Draining), Just(Place::Gone)];
+    let place = prop_oneof![Just(ServerState::Ready), Just(ServerState::Draining), Just(ServerState::Gone)];
     (0u64..3, place).prop_map(|(started_ms, place)| ServerFact { started_ms, place })
 }
 
-fn said() -> impl Strategy<Value = Said> {
+fn said() -> impl Strategy<Value = ServerObservation> {
     let silent = proptest::option::of((0u8..4, 0u64..3));
-    (0u8..4, fact(), silent).prop_map(|(at, fact, silent)| Said {
+    (0u8..4, fact(), silent).prop_map(|(at, fact, silent)| ServerObservation {
         at: f64::from(at),
         fact,
         silent: silent.map(|(at, member)| (f64::from(at), MemberId(member))),
@@ -34,8 +36,8 @@
         prop_assert_eq!(a.join(&a), a);
         let joined = a.join(&b).fact;
         prop_assert_eq!(joined.started_ms, a.fact.started_ms.max(b.fact.started_ms), "the later start");
-        if a.fact.place == Place::Gone && a.fact.started_ms == joined.started_ms {
-            prop_assert_eq!(joined.place, Place::Gone, "gone never turns back");
+        if a.fact.place == ServerState::Gone && a.fact.started_ms == joined.started_ms {
+            prop_assert_eq!(joined.place, ServerState::Gone, "gone never turns back");
         }
         let pair = join_servers((a.at, a.fact), (b.at, b.fact));
         prop_assert_eq!(pair.1, joined);
@@ -84,20 +86,20 @@
         order in prop::collection::vec((0usize..60, 0usize..60), 0..120),
     ) {
         let (mut source, mut copy) = (Stream::default(), Stream::default());
-        let mut told: Vec<Piece> = Vec::new();
+        let mut told: Vec<Chunk> = Vec::new();
         for (key, value) in &changes {
             let before = source.version();
             source.write(0.0, *key, *value);
-            let (records, upto, last) = source.piece(0.0, before);
-            told.push(Piece { origin: origin(1), from: before, upto, base: None, horizon: 0, last, records });
+            let (records, upto, last) = source.changes_after(0.0, before);
+            told.push(Chunk { origin: origin(1), after: before, up_to: upto, base: None, horizon: 0, last, records });
         }
         // As a lossy, repeating way brings them: a piece counts only where it leaves no gap.
         for (from, to) in order {
             for at in [from, to] {
                 let Some(piece) = told.get(at) else { continue };
-                if piece.from <= copy.version() {
+                if piece.after <= copy.version() {
                     prop_assert!(piece.records.iter().all(|r| copy.apply(0.0, r).is_none()));
-                    copy.reaches(piece.upto, 0);
+                    copy.advance_to(piece.up_to, 0);
                 }
             }
             let then: BTreeMap<Key, Value> = holds(&copy);
@@ -106,10 +108,10 @@
             }
             prop_assert!(then.iter().all(|(key, value)| value.fits(key)));
         }
-        let (records, upto, last) = source.piece(0.0, copy.version());
+        let (records, upto, last) = source.changes_after(0.0, copy.version());
         prop_assert!(last);
         prop_assert!(records.iter().all(|r| copy.apply(0.0, r).is_none()));
-        copy.reaches(upto, source.horizon());
+        copy.advance_to(upto, source.horizon());
         prop_assert_eq!(holds(&copy), replay(&changes));
         prop_assert_eq!((copy.version(), copy.hash()), (source.version(), source.hash()));
         prop_assert_eq!(copy.counts().iter().sum::<usize>(), replay(&changes).len());
@@ -133,40 +135,40 @@
             asker: (Store::new(origin(2)), CatchUp::new(0.0, Settings::default())),
             now: 0.0,
         };
-        pair.giver.1.linked(ASKER);
-        pair.asker.1.linked(GIVER);
+        pair.giver.1.link_up(ASKER);
+        pair.asker.1.link_up(GIVER);
         pair
     }
 
-    fn digest(&mut self) -> Vec<Compared> {
-        let held: Vec<Held> = CatchUp::digest(&self.giver.0);
-        self.asker.1.heard_digest(self.now, GIVER, &held, &self.asker.0, |_| true)
+    fn digest(&mut self) -> Vec<Mismatch> {
+        let held: Vec<StreamDigest> = CatchUp::digest(&self.giver.0);
+        self.asker.1.receive_digest(self.now, GIVER, &held, &self.asker.0, |_| true)
     }
 
-    fn asked(&mut self) -> Option<Ask> {
-        match self.asker.1.say(self.now, GIVER, &self.asker.0) {
-            Some(Say::Ask(ask)) => Some(ask),
+    fn asked(&mut self) -> Option<ChunkRequest> {
+        match self.asker.1.next_outgoing(self.now, GIVER, &self.asker.0) {
+            Some(Outgoing::Request(ask)) => Some(ask),
             _ => None,
         }
     }
 
-    fn piece(&mut self) -> Option<Piece> {
+    fn piece(&mut self) -> Option<Chunk> {
         self.now += 0.1;
-        match self.giver.1.say(self.now, ASKER, &self.giver.0) {
-            Some(Say::Piece(piece)) => Some(piece),
+        match self.giver.1.next_outgoing(self.now, ASKER, &self.giver.0) {
+            Some(Outgoing::Chunk(piece)) => Some(piece),
             _ => None,
         }
     }
 
     /// Lets them talk until nothing is left to say; returns the pieces that went.
-    fn run(&mut self) -> Vec<Piece> {
+    fn run(&mut self) -> Vec<Chunk> {
         self.digest();
         while let Some(ask) = self.asked() {
-            self.giver.1.heard_ask(ASKER, &ask, &self.giver.0);
+            self.giver.1.receive_request(ASKER, &ask, &self.giver.0);
         }
         let mut pieces = Vec::new();
         while let Some(piece) = self.piece() {
-            self.asker.1.heard_piece(self.now, Some(0.0), GIVER, &piece, &mut self.asker.0).unwrap();
+            self.asker.1.receive_chunk(self.now, Some(0.0), GIVER, &piece, &mut self.asker.0).unwrap();
             pieces.push(piece);
             assert!(pieces.len() < 10_000, "it never ends");
         }
@@ -196,7 +198,7 @@
 #[test]
 fn one_within_the_reach_of_the_log_gets_the_changes_alone() {
     let mut pair = Pair::new(giver(1000));
-    assert_eq!(pair.run().len(), 1000usize.div_ceil(PIECE));
+    assert_eq!(pair.run().len(), 1000usize.div_ceil(MAX_CHUNK_RECORDS));
     assert!(pair.level());
     (0..40).for_each(|n| write(&mut pair.giver.0, Key::Call(n), None));
     let pieces = pair.run();
@@ -216,7 +218,10 @@
     assert!(pair.level());
     (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Call(n), None));
     let kept = pair.giver.0.stream(&origin(1)).unwrap();
-    assert!(kept.horizon() > 0 && kept.held() <= 1000 + TOMBSTONES, "tombstones have a bound");
+    assert!(
+        kept.horizon() > 0 && kept.len_with_tombstones() <= 1000 + MAX_TOMBSTONES,
+        "tombstones have a bound"
+    );
     // The origin tells changes from where the copy was, which its log does not reach any more.
     let pieces = pair.run();
     assert!(!pieces.is_empty() && pieces.iter().all(|p| p.base.is_some()), "the whole");
@@ -233,11 +238,11 @@
         (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Over(n), None));
         pair.digest();
         let ask = pair.asked().unwrap();
-        pair.giver.1.heard_ask(ASKER, &ask, &pair.giver.0);
+        pair.giver.1.receive_request(ASKER, &ask, &pair.giver.0);
         for _ in 0..5 {
             let piece = pair.piece().unwrap();
             assert!(piece.base.is_some());
-            pair.asker.1.heard_piece(pair.now, Some(0.0), GIVER, &piece, &mut pair.asker.0).unwrap();
+            pair.asker.1.receive_chunk(pair.now, Some(0.0), GIVER, &piece, &mut pair.asker.0).unwrap();
         }
         assert!(
             pair.asker.0.stream(&origin(1)).is_none_or(Stream::is_empty),
@@ -251,27 +256,27 @@
             (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Over(n), None));
         }
         let other = MemberId(3);
-        pair.asker.1.unlinked(GIVER);
-        pair.asker.1.linked(other);
+        pair.asker.1.link_down(GIVER);
+        pair.asker.1.link_up(other);
         let mut third = CatchUp::new(0.0, Settings::default());
-        third.linked(ASKER);
+        third.link_up(ASKER);
         let held = CatchUp::digest(&pair.giver.0);
         // The origin is not heard any more.
-        pair.asker.1.heard_digest(pair.now, other, &held, &pair.asker.0, |_| false);
-        let ask = match pair.asker.1.say(pair.now, other, &pair.asker.0) {
-            Some(Say::Ask(ask)) => ask,
+        pair.asker.1.receive_digest(pair.now, other, &held, &pair.asker.0, |_| false);
+        let ask = match pair.asker.1.next_outgoing(pair.now, other, &pair.asker.0) {
+            Some(Outgoing::Request(ask)) => ask,
             said => panic!("it asks the other, not {said:?}"),
         };
         assert!(ask.after > 0 && ask.base.is_some(), "the rest of it");
-        third.heard_ask(ASKER, &ask, &pair.giver.0);
+        third.receive_request(ASKER, &ask, &pair.giver.0);
         let mut first = None;
         while let Some(said) = {
             pair.now += 0.1;
-            third.say(pair.now, ASKER, &pair.giver.0)
+            third.next_outgoing(pair.now, ASKER, &pair.giver.0)
         } {
-            let Say::Piece(piece) = said else { continue };
-            first.get_or_insert(piece.from);
-            pair.asker.1.heard_piece(pair.now, Some(0.0), other, &piece, &mut pair.asker.0).unwrap();
+            let Outgoing::Chunk(piece) = said else { continue };
+            first.get_or_insert(piece.after);
+            pair.asker.1.receive_chunk(pair.now, Some(0.0), other, &piece, &mut pair.asker.0).unwrap();
         }
         assert_eq!(first == Some(0), dropped, "from where it stopped, or anew if that cannot be told");
         assert!(pair.level(), "dropped {dropped}");
@@ -291,7 +296,7 @@
     }
     pair.asker.0.install(origin(1), bent);
     assert!(!pair.level());
-    assert_eq!(pair.digest(), [Compared::Differs(origin(1))]);
+    assert_eq!(pair.digest(), [Mismatch::Diverged(origin(1))]);
     pair.run();
     assert!(pair.level(), "mended");
     assert_eq!(pair.digest(), []);
@@ -317,17 +322,17 @@
     assert_eq!((x.hash(), holds(&x)), (y.hash(), holds(&y)), "whoever takes from whom");
     let mut store = Store::new(origin(1));
     store.install(gone, x);
-    assert!(store.call(1).is_some());
+    assert!(store.standing_call(1).is_some());
 }
 
 #[test]
 fn what_makes_no_sense_is_refused_and_changes_nothing() {
     let mut pair = Pair::new(giver(3));
     let record = |version, key, value| Record { key, version, age_ms: 0, value };
-    let piece = |from, upto, records| Piece {
+    let piece = |from, upto, records| Chunk {
         origin: origin(1),
-        from,
-        upto,
+        after: from,
+        up_to: upto,
         base: None,
         horizon: 0,
         last: true,
@@ -340,17 +345,20 @@
         piece(0, 2, vec![record(3, key, value)]),
         piece(5, 2, vec![]),
         piece(0, 5, vec![record(1, Key::Server(ServerKey(1)), value)]),
-        piece(0, 1000, (1..=PIECE as u64 + 1).map(|v| record(v, Key::Call(v), value)).collect()),
+        piece(0, 1000, (1..=MAX_CHUNK_RECORDS as u64 + 1).map(|v| record(v, Key::Call(v), value)).collect()),
     ] {
-        assert!(pair.asker.1.heard_piece(0.0, Some(0.0), GIVER, &bad, &mut pair.asker.0).is_err(), "{bad:?}");
+        assert!(
+            pair.asker.1.receive_chunk(0.0, Some(0.0), GIVER, &bad, &mut pair.asker.0).is_err(),
+            "{bad:?}"
+        );
     }
     assert!(pair.asker.0.stream(&origin(1)).is_none_or(Stream::is_empty));
     // A gap is no fault; what lies in it is asked for later.
     let gap = piece(7, 8, vec![record(8, key, value)]);
-    assert!(pair.asker.1.heard_piece(0.0, Some(0.0), GIVER, &gap, &mut pair.asker.0).is_ok());
+    assert!(pair.asker.1.receive_chunk(0.0, Some(0.0), GIVER, &gap, &mut pair.asker.0).is_ok());
     assert_eq!(pair.asker.0.stream(&origin(1)).map(Stream::version), Some(0));
-    let own = Piece { origin: origin(2), ..piece(0, 1, vec![record(1, key, value)]) };
-    pair.asker.1.heard_piece(0.0, Some(0.0), GIVER, &own, &mut pair.asker.0).unwrap();
+    let own = Chunk { origin: origin(2), ..piece(0, 1, vec![record(1, key, value)]) };
+    pair.asker.1.receive_chunk(0.0, Some(0.0), GIVER, &own, &mut pair.asker.0).unwrap();
     assert!(pair.asker.0.stream(&origin(2)).unwrap().is_empty(), "nobody else writes to the own stream");
 }
 
@@ -361,7 +369,7 @@
     pair.run();
     assert_eq!(pair.asker.0.forget(MemberId(1), 2), [(origin(1), 10)]);
     pair.run();
-    assert!(pair.asker.0.stream(&origin(1)).is_none() && pair.asker.0.forgotten(&origin(1)));
+    assert!(pair.asker.0.stream(&origin(1)).is_none() && pair.asker.0.is_forgotten(&origin(1)));
     assert_eq!(pair.asker.0.forget(MemberId(2), 99), [], "the own stream stays");
 }
 
@@ -369,10 +377,10 @@
     /// Whatever bytes come, they are a word or an error, and a word survives the way.
     #[test]
     fn no_bytes_break_the_decoder(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let _ = postcard::from_bytes::<hollypaddle_replica::Word>(&bytes);
-        let word = hollypaddle_replica::Word::Ask(Ask { origin: origin(1), after: bytes.len() as u64, base: None });
+        let _ = postcard::from_bytes::<hollypaddle_replica::Message>(&bytes);
+        let word = hollypaddle_replica::Message::Request(ChunkRequest { origin: origin(1), after: bytes.len() as u64, base: None });
         let sent = postcard::to_allocvec(&word).unwrap();
-        prop_assert_eq!(postcard::from_bytes::<hollypaddle_replica::Word>(&sent).unwrap(), word);
+        prop_assert_eq!(postcard::from_bytes::<hollypaddle_replica::Message>(&sent).unwrap(), word);
     }
 }
 
@@ -382,27 +390,30 @@
 fn a_greeting_that_is_not_for_us_is_refused() {
     use hollypaddle_membership::view;
     use hollypaddle_replica::member::{Rejection, PROTOCOL};
-    use hollypaddle_replica::{Member, Word};
+    use hollypaddle_replica::{Member, Message};
     let (own, other) = (MemberId(1), MemberId(2));
     let life = Incarnation { number: 1, nonce: 0 };
     let mut member = Member::new(0.0, own, life, Default::default(), [own, other]);
     let last = Incarnation { number: u64::MAX, nonce: 0 };
-    let hello = |protocol, from, to, known| Word::Hello { protocol, from, to, life, known };
+    let hello = |protocol, from, to, known| Message::Hello { protocol, from, to, life, known };
     let none = None;
     assert_eq!(
-        member.greeted(0.0, &hello(PROTOCOL + 1, other, own, none)),
+        member.receive_hello(0.0, &hello(PROTOCOL + 1, other, own, none)),
         Err(Rejection::Protocol(PROTOCOL + 1))
     );
-    assert_eq!(member.greeted(0.0, &hello(PROTOCOL, other, MemberId(3), none)), Err(Rejection::NotForUs));
     assert_eq!(
-        member.greeted(0.0, &hello(PROTOCOL, MemberId(9), own, none)),
+        member.receive_hello(0.0, &hello(PROTOCOL, other, MemberId(3), none)),
+        Err(Rejection::WrongRecipient)
+    );
+    assert_eq!(
+        member.receive_hello(0.0, &hello(PROTOCOL, MemberId(9), own, none)),
         Err(Rejection::Membership(view::Rejection::NotAMember))
     );
-    assert_eq!(member.greeted(0.0, &Word::Leave), Err(Rejection::OutOfPlace));
-    assert_eq!(member.greeted(0.0, &hello(PROTOCOL, other, own, Some((last, u32::MAX)))), Ok(other));
+    assert_eq!(member.receive_hello(0.0, &Message::Leave), Err(Rejection::UnexpectedMessage));
+    assert_eq!(member.receive_hello(0.0, &hello(PROTOCOL, other, own, Some((last, u32::MAX)))), Ok(other));
     assert_eq!(member.view().incarnation().number, u64::MAX, "raised as far as may be");
-    let held = Held { origin: member.store().own(), version: 9, hash: 0 };
-    assert_eq!(member.hear(0.1, other, &Word::Digest(vec![held], vec![(other, u64::MAX)])), Ok(()));
+    let held = StreamDigest { origin: member.store().own_origin(), version: 9, hash: 0 };
+    assert_eq!(member.receive(0.1, other, &Message::Digest(vec![held], vec![(other, u64::MAX)])), Ok(()));
     (0..3000).for_each(|n| member.tick(0.1 + f64::from(n) * 0.1));
 }
 
@@ -427,22 +438,26 @@
                 words.reverse();
             }
             for (n, (origin, key, value)) in words.into_iter().enumerate() {
-                let known = store.call(7).is_some();
+                let known = store.standing_call(7).is_some();
                 assert!(!known || !end_first, "before the word that it stands");
-                store.copy(origin).unwrap().write(n as f64, key, Some(value));
+                store.copy_mut(origin).unwrap().write(n as f64, key, Some(value));
             }
-            assert!(store.over(7) && store.told(7));
-            assert_eq!(store.call(7), None, "owner {owner}, ended by {ender}, end first: {end_first}");
+            assert!(store.is_call_over(7) && store.is_end_delivered(7));
+            assert_eq!(
+                store.standing_call(7),
+                None,
+                "owner {owner}, ended by {ender}, end first: {end_first}"
+            );
             // Another call of the same owner is no less known for it.
-            store.copy(origin(owner)).unwrap().write(9.0, Key::Call(8), Some(Value::Call(fact)));
-            assert_eq!(store.call(8).map(|known| known.0), Some(origin(owner)));
+            store.copy_mut(origin(owner)).unwrap().write(9.0, Key::Call(8), Some(Value::Call(fact)));
+            assert_eq!(store.standing_call(8).map(|known| known.0), Some(origin(owner)));
         }
     }
     // One that its owner withdrew stands no more either.
     let mut store = Store::new(origin(1));
-    store.copy(origin(2)).unwrap().write(0.0, Key::Call(7), Some(Value::Call(fact)));
-    store.copy(origin(2)).unwrap().write(1.0, Key::Call(7), None);
-    assert_eq!((store.call(7), store.told(7)), (None, true));
+    store.copy_mut(origin(2)).unwrap().write(0.0, Key::Call(7), Some(Value::Call(fact)));
+    store.copy_mut(origin(2)).unwrap().write(1.0, Key::Call(7), None);
+    assert_eq!((store.standing_call(7), store.is_end_delivered(7)), (None, true));
 }
 
 /// Of the calls of one that is gone those are adopted that no stream ends, each by one of the living. Guards against a call
@@ -450,7 +465,7 @@
 #[test]
 fn calls_with_a_known_end_are_not_adopted() {
     use hollypaddle_membership::view::{Membership, Settings};
-    use hollypaddle_replica::adoption::adopted;
+    use hollypaddle_replica::adoption::calls_to_adopt;
     let fact = CallFact { server: ServerKey(1), class: 1 };
     let life = Incarnation { number: 1, nonce: 0 };
     let mut seen = BTreeMap::new();
@@ -463,15 +478,16 @@
         view.member_left(1.0, MemberId(2));
         let mut store = Store::new(origin(own));
         for id in 0..40 {
-            store.copy(origin(2)).unwrap().write(0.0, Key::Call(id), Some(Value::Call(fact)));
+            store.copy_mut(origin(2)).unwrap().write(0.0, Key::Call(id), Some(Value::Call(fact)));
         }
         // Every other one is over, as the one or the other of those who live says.
         for id in (0..40).step_by(2) {
             let ender = if id % 4 == 0 { 1 } else { 3 };
-            let stream = if ender == own { store.own_stream() } else { store.copy(origin(ender)).unwrap() };
+            let stream =
+                if ender == own { store.own_stream() } else { store.copy_mut(origin(ender)).unwrap() };
             stream.write(0.5, Key::Over(id), Some(Value::Over));
         }
-        for id in adopted(&store, &view).into_keys() {
+        for id in calls_to_adopt(&store, &view).into_keys() {
             assert_eq!(id % 2, 1, "call {id} is over");
             assert_eq!(seen.insert(id, own), None, "call {id} is adopted by two");
         }
