--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -11,18 +11,18 @@
 //! last look and its act acts under an old epoch, and the [`Fence`] where the effect lands refuses it.
 //!
 //! - [`acceptor`]: what one member has granted.
-//! - [`holder`]: one duty as its candidate or holder sees it.
-//! - [`spread`]: who is to hold what, by weight.
+//! - [`claim`]: one duty as its candidate or holder sees it.
+//! - [`placement`]: who is to hold what, by weight.
 //! - [`member`]: all duties of a member, and what it says to others.
 //! - [`fence`]: the last look, where the effect lands.
 //!
 //! No I/O, no clock, no threads: times are seconds on the member's own clock, handed in; between members go durations.
 
 pub mod acceptor;
+pub mod claim;
 pub mod fence;
-pub mod holder;
 pub mod member;
-pub mod spread;
+pub mod placement;
 
 use std::fmt;
 
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -7,8 +7,8 @@
 use hollypaddle_ownership::owner;
 
 use crate::acceptor::{Acceptor, LeaseRequest};
-use crate::holder::{Claim, ClaimMessage, LossReason};
-use crate::spread::{candidate_order, holds_too_many, Candidate};
+use crate::claim::{Claim, ClaimMessage, LossReason};
+use crate::placement::{candidate_order, holds_too_many, Candidate};
 use crate::{Duty, DutyKey, Epoch, Kind, Message, Progress, Refusal, Settings, MAX_DUTIES};
 
 /// Words that wait for a member at most; what is lost beyond it is said again.
--- a/crates/faults/src/duties.rs
+++ b/crates/faults/src/duties.rs
@@ -2,7 +2,7 @@
 //! pauses, restarts. What is checked is who acted when, by the world's own clock.
 use std::collections::{BTreeMap, VecDeque};
 
-use hollypaddle_duties::spread::Candidate;
+use hollypaddle_duties::placement::Candidate;
 use hollypaddle_duties::{Duties, Duty, DutyKey, Epoch, Fence, Message, Progress, Scope, Settings};
 use hollypaddle_membership::MemberId;
 use rand::Rng;
