--- a/crates/duties/src/acceptor.rs
+++ b/crates/duties/src/acceptor.rs
@@ -8,9 +8,9 @@
 
 /// A holder's progress as it was last heard, and when it last changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Seen {
+struct LastProgress {
     progress: Progress,
-    changed: f64,
+    changed_at: f64,
 }
 
 /// What is granted of one duty.
@@ -22,16 +22,16 @@
     confirmed: bool,
     /// The highest epoch that was granted or given back, and what that was before the present lease.
     highest: Epoch,
-    before: Epoch,
+    previous_highest: Epoch,
     /// One that was given back is never granted again.
-    given_back: Option<Epoch>,
+    released: Option<Epoch>,
     /// For whom it is kept, and until when.
     reserved: Option<(MemberId, f64)>,
-    seen: Option<Seen>,
+    last_progress: Option<LastProgress>,
     /// Who was stuck with it, and until when it is granted nothing.
-    barred: Option<(MemberId, f64)>,
+    banned: Option<(MemberId, f64)>,
     /// When anything was last heard of it.
-    at: f64,
+    last_message_at: f64,
 }
 
 /// An acceptor.
@@ -39,7 +39,7 @@
 pub struct Acceptor {
     settings: Settings,
     /// What an earlier life may have granted has run out by then.
-    from: f64,
+    grants_from: f64,
     grants: BTreeMap<DutyKey, Grant>,
 }
 
@@ -65,12 +65,12 @@
 impl Acceptor {
     /// One that starts now: it grants nothing until all that an earlier life may have granted has run out.
     pub fn new(now: f64, settings: Settings) -> Acceptor {
-        Acceptor { settings, from: now + settings.grant_duration(), grants: BTreeMap::new() }
+        Acceptor { settings, grants_from: now + settings.grant_duration(), grants: BTreeMap::new() }
     }
 
     /// Whether it grants yet.
     pub fn is_granting(&self, now: f64) -> bool {
-        now >= self.from
+        now >= self.grants_from
     }
 
     /// Hears a request. Nothing is answered before this acceptor grants at all: `None`.
@@ -79,22 +79,22 @@
         now: f64,
         asked: &LeaseRequest,
     ) -> Option<Result<(), (Refusal, Epoch)>> {
-        if now < self.from {
+        if now < self.grants_from {
             return None;
         }
         if !asked.term.is_finite() || asked.term > self.settings.term + 1e-3 {
             return Some(Err((Refusal::TermTooLong, Epoch::default())));
         }
         if self.grants.len() >= MAX_DUTIES && !self.grants.contains_key(&asked.duty) {
-            self.forget(now);
+            self.drop_idle(now);
             if self.grants.len() >= MAX_DUTIES {
                 return Some(Err((Refusal::TooManyDuties, Epoch::default())));
             }
         }
         let settings = self.settings;
         let grant = self.grants.entry(asked.duty).or_default();
-        let answer = grant.asked(now, asked, &settings);
-        grant.at = now;
+        let answer = grant.decide(now, asked, &settings);
+        grant.last_message_at = now;
         Some(answer.map_err(|why| (why, grant.highest)))
     }
 
@@ -109,10 +109,10 @@
     ) {
         let kept = self.settings.grant_duration();
         if let Some(grant) = self.grants.get_mut(&duty) {
-            if let (true, Some(to)) = (grant.give_back(epoch, used), to) {
+            if let (true, Some(to)) = (grant.release(epoch, used), to) {
                 grant.reserved = Some((to, now + kept / 2.0));
             }
-            grant.at = now;
+            grant.last_message_at = now;
         }
     }
 
@@ -150,17 +150,17 @@
     }
 
     /// Forgets duties of which nothing was heard for ten terms.
-    fn forget(&mut self, now: f64) {
+    fn drop_idle(&mut self, now: f64) {
         let old = now - 10.0 * self.settings.grant_duration();
-        self.grants.retain(|_, grant| grant.at > old);
+        self.grants.retain(|_, grant| grant.last_message_at > old);
     }
 }
 
 impl Grant {
-    fn asked(&mut self, now: f64, asked: &LeaseRequest, settings: &Settings) -> Result<(), Refusal> {
+    fn decide(&mut self, now: f64, asked: &LeaseRequest, settings: &Settings) -> Result<(), Refusal> {
         if let Some(after) = asked.predecessor {
             // Whoever it is handed on to says so too: its word may overtake the release.
-            self.give_back(after, true);
+            self.release(after, true);
         }
         let renewed = match self.lease.filter(|(.., until)| now < *until) {
             Some((member, epoch, _)) if member == asked.by && epoch == asked.epoch => true,
@@ -175,7 +175,7 @@
             Some(_) => return Err(Refusal::Contended),
             None => false,
         };
-        if self.given_back.is_some_and(|back| asked.epoch <= back) {
+        if self.released.is_some_and(|back| asked.epoch <= back) {
             return Err(Refusal::StaleEpoch);
         }
         // A lease that ran out here may be renewed as long as nobody else was granted one.
@@ -185,12 +185,12 @@
         if self.reserved.is_some_and(|(to, until)| now < until && to != asked.by) {
             return Err(Refusal::Reserved);
         }
-        if self.barred.is_some_and(|(member, until)| now < until && member == asked.by) {
+        if self.banned.is_some_and(|(member, until)| now < until && member == asked.by) {
             return Err(Refusal::Stalled);
         }
-        self.judge(now, asked, renewed, settings)?;
+        self.check_progress(now, asked, renewed, settings)?;
         if asked.epoch > self.highest {
-            self.before = self.highest;
+            self.previous_highest = self.highest;
         }
         self.lease = Some((asked.by, asked.epoch, now + settings.grant_duration()));
         (self.highest, self.reserved, self.confirmed) = (asked.epoch, None, asked.holds);
@@ -198,36 +198,36 @@
     }
 
     /// Whether the holder gets on.
-    fn judge(
+    fn check_progress(
         &mut self,
         now: f64,
         asked: &LeaseRequest,
         renewed: bool,
         settings: &Settings,
     ) -> Result<(), Refusal> {
-        let seen = Seen { progress: asked.progress, changed: now };
-        let before = self.seen.filter(|_| renewed);
+        let seen = LastProgress { progress: asked.progress, changed_at: now };
+        let before = self.last_progress.filter(|_| renewed);
         let changed = match before {
-            Some(before) if before.progress == asked.progress && asked.progress.busy => before.changed,
+            Some(before) if before.progress == asked.progress && asked.progress.busy => before.changed_at,
             _ => now,
         };
-        self.seen = Some(Seen { changed, ..seen });
+        self.last_progress = Some(LastProgress { changed_at: changed, ..seen });
         if now - changed >= settings.stall_timeout {
-            self.barred = Some((asked.by, now + settings.stall_ban));
+            self.banned = Some((asked.by, now + settings.stall_ban));
             return Err(Refusal::Stalled);
         }
         Ok(())
     }
 
     /// What was not granted here cannot be given back here: a candidate that was refused raises nobody's epoch.
-    fn give_back(&mut self, epoch: Epoch, used: bool) -> bool {
+    fn release(&mut self, epoch: Epoch, used: bool) -> bool {
         let held = self.lease.is_some_and(|(_, held, _)| held == epoch);
         if held && !used {
             // Else who holds the duty elsewhere would be refused here for as long as it holds it.
-            self.highest = self.before;
+            self.highest = self.previous_highest;
         }
         if held {
-            (self.lease, self.seen, self.given_back) = (None, None, Some(epoch));
+            (self.lease, self.last_progress, self.released) = (None, None, Some(epoch));
         }
         held
     }
--- a/crates/duties/src/claim.rs
+++ b/crates/duties/src/claim.rs
@@ -7,7 +7,7 @@
 use crate::{Epoch, Progress, Refusal, Settings};
 
 /// Requests whose answers are still counted.
-const REQUESTS: usize = 8;
+const MAX_OPEN_REQUESTS: usize = 8;
 
 /// A request and who granted it.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +23,7 @@
     /// It holds nothing, and asks for nothing before then.
     Idle { not_before: f64 },
     /// It has asked, since then, and may not act yet.
-    Asking { since: f64 },
+    Requesting { since: f64 },
     /// It may act until then. Since when it holds the duty.
     Holding { until: f64, since: f64 },
 }
@@ -70,12 +70,12 @@
     state: State,
     /// The present epoch, the one that it moves to as some have seen a later one, and the one given back for it.
     epoch: Epoch,
-    next: Option<Epoch>,
-    stale: bool,
-    after: Option<Epoch>,
+    next_epoch: Option<Epoch>,
+    refused_as_stale: bool,
+    predecessor: Option<Epoch>,
     requests: VecDeque<Request>,
     next_seq: u32,
-    ask_at: f64,
+    request_time: f64,
     refused: BTreeSet<MemberId>,
     /// The highest epoch heard of.
     highest: Epoch,
@@ -93,12 +93,12 @@
             incarnation,
             state: State::Idle { not_before: f64::NEG_INFINITY },
             epoch: Epoch::default(),
-            next: None,
-            stale: false,
-            after: None,
+            next_epoch: None,
+            refused_as_stale: false,
+            predecessor: None,
             requests: VecDeque::new(),
             next_seq: 1,
-            ask_at: f64::NEG_INFINITY,
+            request_time: f64::NEG_INFINITY,
             refused: BTreeSet::new(),
             highest: Epoch::default(),
             progress: Progress::default(),
@@ -140,26 +140,26 @@
         }
         self.epoch = self.highest.max(after.unwrap_or_default()).next(self.own, self.incarnation);
         self.highest = self.epoch;
-        self.after = after;
+        self.predecessor = after;
         self.refused.clear();
         self.requests.clear();
-        self.state = State::Asking { since: now };
-        self.request(now);
-        self.ask_at = now;
+        self.state = State::Requesting { since: now };
+        self.send_request(now);
+        self.request_time = now;
     }
 
-    fn request(&mut self, now: f64) {
+    fn send_request(&mut self, now: f64) {
         let seq = self.next_seq;
         self.next_seq = self.next_seq.wrapping_add(1);
-        if self.requests.len() >= REQUESTS {
+        if self.requests.len() >= MAX_OPEN_REQUESTS {
             self.requests.pop_front();
         }
         // Counted from before it is said: the lease is over here before it is over where it was granted.
         self.requests.push_back(Request { seq, sent_at: now, granted: BTreeSet::new() });
         self.outgoing.push(ClaimMessage::Request {
-            epoch: self.next.unwrap_or(self.epoch),
+            epoch: self.next_epoch.unwrap_or(self.epoch),
             seq,
-            predecessor: self.after,
+            predecessor: self.predecessor,
         });
     }
 
@@ -173,7 +173,7 @@
         s: &Settings,
         members: usize,
     ) -> bool {
-        if epoch != self.next.unwrap_or(self.epoch) || self.is_idle() {
+        if epoch != self.next_epoch.unwrap_or(self.epoch) || self.is_idle() {
             return false;
         }
         self.refused.remove(&by);
@@ -187,11 +187,11 @@
             State::Holding { until: held, .. } => {
                 *held = held.max(until);
                 self.epoch = epoch;
-                self.next = None;
+                self.next_epoch = None;
                 false
             }
             _ => {
-                self.ask_at = now + s.renew_interval;
+                self.request_time = now + s.renew_interval;
                 self.state = State::Holding { until, since: now };
                 true
             }
@@ -206,11 +206,11 @@
         s: &Settings,
         members: usize,
     ) -> Option<LossReason> {
-        if epoch != self.next.unwrap_or(self.epoch) || self.is_idle() {
+        if epoch != self.next_epoch.unwrap_or(self.epoch) || self.is_idle() {
             return None;
         }
         self.refused.insert(by);
-        self.stale |= why == Refusal::StaleEpoch;
+        self.refused_as_stale |= why == Refusal::StaleEpoch;
         // As soon as no majority can be had any more.
         if 2 * (members - self.refused.len().min(members)) > members {
             return None;
@@ -221,7 +221,7 @@
             Refusal::Stalled => s.stall_ban,
             // This member has missed that somebody holds it, and hears of it with the next request.
             Refusal::AlreadyHeld => s.term,
-            _ => s.candidate_delay * (1.0 + self.chance()),
+            _ => s.candidate_delay * (1.0 + self.jitter()),
         };
         self.stop(now + wait, None);
         held.then_some(LossReason::Refused(why))
@@ -232,9 +232,9 @@
         let used = matches!(self.state, State::Holding { .. });
         self.state = State::Idle { not_before };
         self.requests.clear();
-        self.stale = false;
+        self.refused_as_stale = false;
         // Some have granted the one that it was moving to, and the others the one before it.
-        if let Some(epoch) = self.next.take() {
+        if let Some(epoch) = self.next_epoch.take() {
             self.outgoing.push(ClaimMessage::Release { epoch, to, used });
         }
         self.outgoing.push(ClaimMessage::Release { epoch: self.epoch, to, used });
@@ -253,29 +253,29 @@
     pub fn tick(&mut self, now: f64, s: &Settings) -> Option<LossReason> {
         match self.state {
             State::Holding { until, .. } if now >= until => {
-                self.stop(now + s.candidate_delay * (1.0 + self.chance()), None);
+                self.stop(now + s.candidate_delay * (1.0 + self.jitter()), None);
                 Some(LossReason::Expired)
             }
-            State::Holding { .. } if now >= self.ask_at => {
-                self.ask_at = now + s.renew_interval;
+            State::Holding { .. } if now >= self.request_time => {
+                self.request_time = now + s.renew_interval;
                 self.refused.clear();
                 // One that died as it asked left a later epoch at some: they grant what is above that.
-                if std::mem::take(&mut self.stale) {
+                if std::mem::take(&mut self.refused_as_stale) {
                     self.highest = self.highest.next(self.own, self.incarnation);
-                    self.next = Some(self.highest);
+                    self.next_epoch = Some(self.highest);
                 }
-                self.request(now);
+                self.send_request(now);
                 None
             }
             // Too few answered: those who granted it are to be free for others.
-            State::Asking { since } if now - since >= s.renew_interval => {
-                self.stop(now + s.candidate_delay * (1.0 + self.chance()), None);
+            State::Requesting { since } if now - since >= s.renew_interval => {
+                self.stop(now + s.candidate_delay * (1.0 + self.jitter()), None);
                 None
             }
             // One that has just started may grant by now.
-            State::Asking { .. } if now - self.ask_at >= s.renew_interval / 4.0 => {
-                self.ask_at = now;
-                self.request(now);
+            State::Requesting { .. } if now - self.request_time >= s.renew_interval / 4.0 => {
+                self.request_time = now;
+                self.send_request(now);
                 None
             }
             _ => None,
@@ -283,7 +283,7 @@
     }
 
     /// A number between 0 and 1 that differs by member and epoch, so that two that ask at once part.
-    fn chance(&self) -> f64 {
+    fn jitter(&self) -> f64 {
         let bytes = [self.own.0.to_le_bytes(), self.epoch.round.to_le_bytes()].concat();
         (xxhash_rust::xxh3::xxh3_64(&bytes) >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -36,9 +36,9 @@
 /// Duties that a member keeps in mind at most, its own and those that others asked it for.
 pub const MAX_DUTIES: usize = 256;
 /// What an acceptor grants counts for so many times the term: clocks differ in pace by up to a hundredth each.
-const CLOCKS: f64 = 1.04;
+const CLOCK_PACE_MARGIN_RATIO: f64 = 1.04;
 /// And so much longer, in seconds: terms are told in milliseconds.
-const EXACT: f64 = 0.05;
+const ROUNDING_MARGIN_S: f64 = 0.05;
 
 /// What a duty reaches over.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -160,7 +160,7 @@
 impl Settings {
     /// For how long an acceptor keeps to what it granted, and a member that starts grants nothing.
     pub fn grant_duration(&self) -> f64 {
-        self.term * CLOCKS + EXACT
+        self.term * CLOCK_PACE_MARGIN_RATIO + ROUNDING_MARGIN_S
     }
 }
 
@@ -221,7 +221,7 @@
         /// Whether it holds the duty already.
         holds: bool,
         /// The epoch that its last holder has given back to hand the duty on to the speaker.
-        after: Option<Epoch>,
+        predecessor: Option<Epoch>,
     },
     /// It is granted.
     Granted {
@@ -241,7 +241,7 @@
         /// The highest that was seen.
         highest: Epoch,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
     /// The speaker no longer acts under an epoch, and hands the duty on.
     Release {
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -12,9 +12,9 @@
 use crate::{Duty, DutyKey, Epoch, Kind, Message, Progress, Refusal, Settings, MAX_DUTIES};
 
 /// Words that wait for a member at most; what is lost beyond it is said again.
-const MOST_WAITING: usize = 1024;
+const MAX_QUEUED_MESSAGES: usize = 1024;
 /// Things to be told to the log that are kept until they are taken.
-const MOST_EVENTS: usize = 256;
+const MAX_QUEUED_EVENTS: usize = 256;
 
 /// What is to be told to the staff.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,11 +26,11 @@
 }
 
 #[derive(Clone)]
-struct Own {
+struct OwnDuty {
     duty: Duty,
-    holder: Claim,
+    claim: Claim,
     /// Since when nobody holds it, as far as is granted here.
-    free_since: Option<f64>,
+    unheld_since: Option<f64>,
 }
 
 /// A member's duties.
@@ -41,8 +41,8 @@
     settings: Settings,
     members: Vec<MemberId>,
     acceptor: Acceptor,
-    duties: BTreeMap<DutyKey, Own>,
-    waiting: BTreeMap<MemberId, VecDeque<Message>>,
+    duties: BTreeMap<DutyKey, OwnDuty>,
+    outgoing: BTreeMap<MemberId, VecDeque<Message>>,
     /// It takes nothing any more, and hands on what it has.
     leaving: bool,
     candidates: Vec<Candidate>,
@@ -65,7 +65,7 @@
             members: members.to_vec(),
             acceptor: Acceptor::new(now, settings),
             duties: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            outgoing: BTreeMap::new(),
             leaving: false,
             candidates: Vec::new(),
             events: Vec::new(),
@@ -78,15 +78,15 @@
             duties.into_iter().take(MAX_DUTIES).map(|duty| (duty.key(), duty)).collect();
         let gone: Vec<DutyKey> = self.duties.keys().filter(|key| !named.contains_key(key)).copied().collect();
         for key in gone {
-            self.give_up(now, key, None);
+            self.release(now, key, None);
             self.duties.remove(&key);
         }
         for (key, duty) in named {
             let (own, incarnation) = (self.own, self.incarnation);
-            self.duties.entry(key).or_insert_with(|| Own {
+            self.duties.entry(key).or_insert_with(|| OwnDuty {
                 duty,
-                holder: Claim::new(own, incarnation),
-                free_since: None,
+                claim: Claim::new(own, incarnation),
+                unheld_since: None,
             });
         }
     }
@@ -94,7 +94,7 @@
     /// The epoch under which this member may act on an exclusive duty now. To be asked right before each act; whoever
     /// carries the act out passes the epoch through its [`crate::Fence`].
     pub fn may_act(&self, now: f64, duty: DutyKey) -> Option<Epoch> {
-        self.duties.get(&duty)?.holder.may_act(now)
+        self.duties.get(&duty)?.claim.may_act(now)
     }
 
     /// Whether a duty that is harmless when doubled is this member's, among the living.
@@ -105,7 +105,7 @@
     /// How far this member has come with a duty.
     pub fn set_progress(&mut self, duty: DutyKey, progress: Progress) {
         if let Some(own) = self.duties.get_mut(&duty) {
-            own.holder.progress = progress;
+            own.claim.progress = progress;
         }
     }
 
@@ -114,8 +114,8 @@
         std::mem::take(&mut self.events)
     }
 
-    fn tell(&mut self, event: Event) {
-        if self.events.len() < MOST_EVENTS {
+    fn push_event(&mut self, event: Event) {
+        if self.events.len() < MAX_QUEUED_EVENTS {
             self.events.push(event);
         }
     }
@@ -125,26 +125,26 @@
         self.leaving = true;
         let held: Vec<DutyKey> = self.duties.keys().copied().collect();
         for key in held {
-            let to = self.order(now, key).into_iter().find(|m| *m != self.own);
-            self.give_up(now, key, to);
+            let to = self.candidate_order(now, key).into_iter().find(|m| *m != self.own);
+            self.release(now, key, to);
         }
     }
 
     /// Hands one on, to a member or to whoever comes first.
     pub fn hand_over(&mut self, now: f64, key: DutyKey, to: Option<MemberId>) {
-        self.give_up(now, key, to);
+        self.release(now, key, to);
     }
 
-    fn give_up(&mut self, now: f64, key: DutyKey, to: Option<MemberId>) {
+    fn release(&mut self, now: f64, key: DutyKey, to: Option<MemberId>) {
         let settings = self.settings;
         let Some(own) = self.duties.get_mut(&key) else { return };
-        let epoch = own.holder.may_act(now);
-        own.holder.hand_over(now, to, &settings);
+        let epoch = own.claim.may_act(now);
+        own.claim.hand_over(now, to, &settings);
         let duty = own.duty.clone();
         if let Some(epoch) = epoch {
-            self.tell(Event::Lost(duty, epoch, LossReason::HandedOver));
+            self.push_event(Event::Lost(duty, epoch, LossReason::HandedOver));
         }
-        self.speak(now, key);
+        self.send_claim_messages(now, key);
     }
 
     // ---- Words
@@ -155,7 +155,7 @@
             return;
         }
         match *word {
-            Message::Request { duty, epoch, seq, term_ms, progress, holds, after } => {
+            Message::Request { duty, epoch, seq, term_ms, progress, holds, predecessor: after } => {
                 let term = f64::from(term_ms) / 1000.0;
                 let asked = LeaseRequest { by: from, duty, epoch, term, progress, holds, predecessor: after };
                 // An epoch is its asker's own: nobody asks under another's.
@@ -163,17 +163,17 @@
                     return;
                 }
                 match self.acceptor.receive_request(now, &asked) {
-                    Some(Ok(())) => self.send(from, Message::Granted { duty, epoch, seq }),
+                    Some(Ok(())) => self.enqueue(from, Message::Granted { duty, epoch, seq }),
                     Some(Err((why, highest))) => {
-                        self.send(from, Message::Refused { duty, epoch, highest, why })
+                        self.enqueue(from, Message::Refused { duty, epoch, highest, reason: why })
                     }
                     None => {}
                 }
             }
-            Message::Granted { duty, epoch, seq } => self.granted(now, from, duty, epoch, seq),
-            Message::Refused { duty, epoch, highest, why } => {
+            Message::Granted { duty, epoch, seq } => self.receive_grant(now, from, duty, epoch, seq),
+            Message::Refused { duty, epoch, highest, reason: why } => {
                 self.acceptor.observe_epoch(duty, highest);
-                self.refused(now, from, duty, epoch, highest, why);
+                self.receive_refusal(now, from, duty, epoch, highest, why);
             }
             Message::Release { duty, epoch, to, used } => {
                 if epoch.member != from.0 {
@@ -182,64 +182,72 @@
                 self.acceptor.receive_release(now, duty, epoch, to, used);
                 let Some(own) = self.duties.get_mut(&duty) else { return };
                 if used {
-                    own.holder.observe_epoch(epoch);
+                    own.claim.observe_epoch(epoch);
                 }
                 if to == Some(self.own) && !self.leaving {
-                    own.holder.request_lease(now, Some(epoch));
-                    self.speak(now, duty);
+                    own.claim.request_lease(now, Some(epoch));
+                    self.send_claim_messages(now, duty);
                 }
             }
         }
     }
 
-    fn granted(&mut self, now: f64, by: MemberId, key: DutyKey, epoch: Epoch, seq: u32) {
+    fn receive_grant(&mut self, now: f64, by: MemberId, key: DutyKey, epoch: Epoch, seq: u32) {
         let (settings, members) = (self.settings, self.members.len());
         let Some(own) = self.duties.get_mut(&key) else { return };
-        if own.holder.receive_grant(now, by, epoch, seq, &settings, members) {
+        if own.claim.receive_grant(now, by, epoch, seq, &settings, members) {
             let duty = own.duty.clone();
-            self.tell(Event::Acquired(duty, epoch));
+            self.push_event(Event::Acquired(duty, epoch));
         }
     }
 
-    fn refused(&mut self, now: f64, by: MemberId, key: DutyKey, epoch: Epoch, highest: Epoch, why: Refusal) {
+    fn receive_refusal(
+        &mut self,
+        now: f64,
+        by: MemberId,
+        key: DutyKey,
+        epoch: Epoch,
+        highest: Epoch,
+        why: Refusal,
+    ) {
         let (settings, members) = (self.settings, self.members.len());
         let Some(own) = self.duties.get_mut(&key) else { return };
-        own.holder.observe_epoch(highest);
-        if let Some(lost) = own.holder.receive_refusal(now, (by, epoch, why), &settings, members) {
+        own.claim.observe_epoch(highest);
+        if let Some(lost) = own.claim.receive_refusal(now, (by, epoch, why), &settings, members) {
             let duty = own.duty.clone();
-            self.tell(Event::Lost(duty, epoch, lost));
+            self.push_event(Event::Lost(duty, epoch, lost));
         }
-        self.speak(now, key);
+        self.send_claim_messages(now, key);
     }
 
     /// Says to all acceptors what a holder has to say, the own one among them.
-    fn speak(&mut self, now: f64, key: DutyKey) {
+    fn send_claim_messages(&mut self, now: f64, key: DutyKey) {
         // The own acceptor's answer may bring another word: a refusal that ends it.
         for _ in 0..4 {
             let Some(own) = self.duties.get_mut(&key) else { return };
-            let says = std::mem::take(&mut own.holder.outgoing);
+            let says = std::mem::take(&mut own.claim.outgoing);
             if says.is_empty() {
                 return;
             }
-            let progress = own.holder.progress;
+            let progress = own.claim.progress;
             for say in says {
-                self.say_to_all(now, key, say, progress);
+                self.broadcast(now, key, say, progress);
             }
         }
     }
 
-    fn say_to_all(&mut self, now: f64, duty: DutyKey, say: ClaimMessage, progress: Progress) {
+    fn broadcast(&mut self, now: f64, duty: DutyKey, say: ClaimMessage, progress: Progress) {
         let holds = self.may_act(now, duty).is_some();
         let word = match say {
             ClaimMessage::Request { epoch, seq, predecessor: after } => {
                 let term_ms = (self.settings.term * 1000.0) as u32;
-                Message::Request { duty, epoch, seq, term_ms, progress, holds, after }
+                Message::Request { duty, epoch, seq, term_ms, progress, holds, predecessor: after }
             }
             ClaimMessage::Release { epoch, to, used } => Message::Release { duty, epoch, to, used },
         };
         let others: Vec<MemberId> = self.members.iter().copied().filter(|m| *m != self.own).collect();
         for member in others {
-            self.send(member, word.clone());
+            self.enqueue(member, word.clone());
         }
         match say {
             ClaimMessage::Request { epoch, seq, predecessor: after } => {
@@ -247,16 +255,15 @@
                 let asked =
                     LeaseRequest { by: self.own, duty, epoch, term, progress, holds, predecessor: after };
                 match self.acceptor.receive_request(now, &asked) {
-                    Some(Ok(())) => self.granted(now, self.own, duty, epoch, seq),
+                    Some(Ok(())) => self.receive_grant(now, self.own, duty, epoch, seq),
                     Some(Err((why, highest))) => {
                         let (settings, members) = (self.settings, self.members.len());
                         let Some(own) = self.duties.get_mut(&duty) else { return };
-                        own.holder.observe_epoch(highest);
-                        let lost =
-                            own.holder.receive_refusal(now, (self.own, epoch, why), &settings, members);
+                        own.claim.observe_epoch(highest);
+                        let lost = own.claim.receive_refusal(now, (self.own, epoch, why), &settings, members);
                         if let Some(lost) = lost {
                             let duty = own.duty.clone();
-                            self.tell(Event::Lost(duty, epoch, lost));
+                            self.push_event(Event::Lost(duty, epoch, lost));
                         }
                     }
                     None => {}
@@ -268,21 +275,21 @@
         }
     }
 
-    fn send(&mut self, to: MemberId, word: Message) {
-        let waiting = self.waiting.entry(to).or_default();
-        if waiting.len() < MOST_WAITING {
+    fn enqueue(&mut self, to: MemberId, word: Message) {
+        let waiting = self.outgoing.entry(to).or_default();
+        if waiting.len() < MAX_QUEUED_MESSAGES {
             waiting.push_back(word);
         }
     }
 
     /// The next word to a member for which there is room.
     pub fn next_message(&mut self, to: MemberId) -> Option<Message> {
-        self.waiting.get_mut(&to)?.pop_front()
+        self.outgoing.get_mut(&to)?.pop_front()
     }
 
     /// A link is down: what waits for it is old when it is up again.
     pub fn link_down(&mut self, member: MemberId) {
-        self.waiting.remove(&member);
+        self.outgoing.remove(&member);
     }
 
     // ---- Time
@@ -298,50 +305,50 @@
             if own.duty.kind == Kind::Harmless {
                 continue;
             }
-            let epoch = own.holder.may_act(now);
-            if let Some(lost) = own.holder.tick(now, &settings) {
+            let epoch = own.claim.may_act(now);
+            if let Some(lost) = own.claim.tick(now, &settings) {
                 let (duty, epoch) = (own.duty.clone(), epoch.unwrap_or_default());
-                self.tell(Event::Lost(duty, epoch, lost));
+                self.push_event(Event::Lost(duty, epoch, lost));
             }
-            self.speak(now, key);
-            self.try_for(now, key);
+            self.send_claim_messages(now, key);
+            self.claim_if_due(now, key);
         }
-        self.even_out(now);
+        self.rebalance(now);
     }
 
     /// Asks for a duty that nobody holds, when it is this member's turn.
-    fn try_for(&mut self, now: f64, key: DutyKey) {
+    fn claim_if_due(&mut self, now: f64, key: DutyKey) {
         let reserved = self.acceptor.reserved_for(now, key).is_some_and(|to| to != self.own);
         let held = reserved || self.acceptor.holder(now, key).is_some();
         let highest = self.acceptor.highest_epoch(key);
         let Some(own) = self.duties.get_mut(&key) else { return };
-        own.holder.observe_epoch(highest);
-        own.free_since = match held {
+        own.claim.observe_epoch(highest);
+        own.unheld_since = match held {
             true => None,
-            false => own.free_since.or(Some(now)),
+            false => own.unheld_since.or(Some(now)),
         };
-        let Some(since) = own.free_since.filter(|_| own.holder.is_idle()) else { return };
+        let Some(since) = own.unheld_since.filter(|_| own.claim.is_idle()) else { return };
         // One that does not grant yet does not know whether others hold it.
         if self.leaving || !self.acceptor.is_granting(now) {
             return;
         }
-        let Some(rank) = self.order(now, key).iter().position(|m| *m == self.own) else { return };
+        let Some(rank) = self.candidate_order(now, key).iter().position(|m| *m == self.own) else { return };
         if now - since < self.settings.candidate_delay * rank as f64 {
             return;
         }
         if let Some(own) = self.duties.get_mut(&key) {
-            own.holder.request_lease(now, None);
+            own.claim.request_lease(now, None);
         }
-        self.speak(now, key);
+        self.send_claim_messages(now, key);
     }
 
     /// The order of candidates of a duty, by what is granted here.
-    fn order(&self, now: f64, key: DutyKey) -> Vec<MemberId> {
+    fn candidate_order(&self, now: f64, key: DutyKey) -> Vec<MemberId> {
         let exclusive = self.duties.values().filter(|own| own.duty.kind == Kind::Exclusive).count();
-        candidate_order(key, &self.candidates, &self.held(now), exclusive)
+        candidate_order(key, &self.candidates, &self.held_counts(now), exclusive)
     }
 
-    fn held(&self, now: f64) -> BTreeMap<MemberId, usize> {
+    fn held_counts(&self, now: f64) -> BTreeMap<MemberId, usize> {
         let mut held = BTreeMap::new();
         for (key, member, _) in self.acceptor.holders(now) {
             if self.duties.contains_key(&key) {
@@ -352,17 +359,17 @@
     }
 
     /// Hands a duty on where this member holds too many for long enough.
-    fn even_out(&mut self, now: f64) {
+    fn rebalance(&mut self, now: f64) {
         let exclusive = self.duties.values().filter(|own| own.duty.kind == Kind::Exclusive).count();
-        if !holds_too_many(self.own, &self.candidates, &self.held(now), exclusive) {
+        if !holds_too_many(self.own, &self.candidates, &self.held_counts(now), exclusive) {
             return;
         }
         let settled =
-            |own: &&Own| own.holder.since().is_some_and(|since| now - since >= self.settings.min_hold);
+            |own: &&OwnDuty| own.claim.since().is_some_and(|since| now - since >= self.settings.min_hold);
         let Some(key) = self.duties.values().find(settled).map(|own| own.duty.key()) else { return };
-        let to = self.order(now, key).into_iter().find(|m| *m != self.own);
+        let to = self.candidate_order(now, key).into_iter().find(|m| *m != self.own);
         if to.is_some() {
-            self.give_up(now, key, to);
+            self.release(now, key, to);
         }
     }
 
@@ -370,11 +377,11 @@
 
     /// Each duty as it is seen here.
     pub fn snapshot(&self, now: f64) -> Vec<DutyStatus> {
-        let row = |(key, own): (&DutyKey, &Own)| DutyStatus {
+        let row = |(key, own): (&DutyKey, &OwnDuty)| DutyStatus {
             duty: own.duty.clone(),
             holder: self.acceptor.holder(now, *key),
-            own_epoch: own.holder.may_act(now),
-            unheld_for: own.free_since.map(|since| now - since),
+            own_epoch: own.claim.may_act(now),
+            unheld_for: own.unheld_since.map(|since| now - since),
         };
         self.duties.iter().map(row).collect()
     }
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -159,7 +159,7 @@
 }
 
 #[derive(Clone)]
-struct Serve {
+struct Transfer {
     origin: Origin,
     after: u64,
     base: Option<u64>,
@@ -168,19 +168,19 @@
 #[derive(Clone, Default)]
 struct Peer {
     /// What it holds, as it said last.
-    held: BTreeMap<Origin, StreamDigest>,
+    digests: BTreeMap<Origin, StreamDigest>,
     /// Up to which version the own stream was told on this link, once it was level.
-    level: Option<u64>,
+    pushed_version: Option<u64>,
     /// When changes of it were told last.
-    pushed_at: Option<f64>,
-    serves: VecDeque<Serve>,
-    asks: VecDeque<ChunkRequest>,
+    last_push_at: Option<f64>,
+    transfers: VecDeque<Transfer>,
+    requests: VecDeque<ChunkRequest>,
 }
 
 #[derive(Clone)]
 struct Fetch {
-    from: Option<MemberId>,
-    at: f64,
+    source: Option<MemberId>,
+    last_progress_at: f64,
     after: u64,
     base: Option<u64>,
     /// A whole stream on its way in.
@@ -190,7 +190,7 @@
 }
 
 /// Bytes that a record takes on the way, about.
-const RECORD_BYTES: f64 = 40.0;
+const ESTIMATED_RECORD_BYTES: f64 = 40.0;
 
 /// All of that, towards all members.
 #[derive(Clone)]
@@ -199,7 +199,7 @@
     peers: BTreeMap<MemberId, Peer>,
     fetches: BTreeMap<Origin, Fetch>,
     /// Bytes that may be given now, as of then.
-    tokens: (f64, f64),
+    send_budget: (f64, f64),
     /// Records given and taken in catch-up, for reports.
     pub records_sent: u64,
     /// The same, taken.
@@ -210,7 +210,7 @@
     /// Nobody is linked yet.
     pub fn new(now: f64, settings: Settings) -> CatchUp {
         let (peers, fetches) = (BTreeMap::new(), BTreeMap::new());
-        CatchUp { settings, peers, fetches, tokens: (0.0, now), records_sent: 0, records_received: 0 }
+        CatchUp { settings, peers, fetches, send_budget: (0.0, now), records_sent: 0, records_received: 0 }
     }
 
     /// Takes settings read anew.
@@ -226,24 +226,25 @@
     /// A link is down; whoever else has it goes on with what it gave.
     pub fn link_down(&mut self, member: MemberId) {
         self.peers.remove(&member);
-        for fetch in self.fetches.values_mut().filter(|f| f.from == Some(member)) {
-            fetch.from = None;
+        for fetch in self.fetches.values_mut().filter(|f| f.source == Some(member)) {
+            fetch.source = None;
         }
     }
 
     /// What a member said last that it holds of a stream.
     pub fn held_by(&self, member: MemberId, origin: &Origin) -> Option<StreamDigest> {
-        self.peers.get(&member)?.held.get(origin).copied()
+        self.peers.get(&member)?.digests.get(origin).copied()
     }
 
     /// When more may be said, if somebody waits for it: the rest of a stream, or own changes since the last ones.
     pub fn next_send_at(&self, store: &Store) -> Option<f64> {
-        let waits = self.peers.values().any(|peer| !peer.serves.is_empty());
-        let (left, then) = self.tokens;
+        let waits = self.peers.values().any(|peer| !peer.transfers.is_empty());
+        let (left, then) = self.send_budget;
         let gives = waits.then(|| then + (-left).max(0.0) / self.settings.bytes_per_s);
         let version = store.stream(&store.own_origin()).map_or(0, Stream::version);
-        let behind = self.peers.values().filter(|peer| peer.level.is_some_and(|level| level < version));
-        let tells = behind.filter_map(|peer| Some(peer.pushed_at? + self.settings.push_interval));
+        let behind =
+            self.peers.values().filter(|peer| peer.pushed_version.is_some_and(|level| level < version));
+        let tells = behind.filter_map(|peer| Some(peer.last_push_at? + self.settings.push_interval));
         gives.into_iter().chain(tells).reduce(f64::min)
     }
 
@@ -275,15 +276,15 @@
         let own = store.own_origin();
         let mut differing = Vec::new();
         let Some(peer) = self.peers.get_mut(&from) else { return compared };
-        peer.held = held.iter().map(|h| (h.origin, *h)).collect();
+        peer.digests = held.iter().map(|h| (h.origin, *h)).collect();
         for h in held {
             let mine = store.stream(&h.origin);
             let (version, hash) = mine.map_or((0, 0), |s| (s.version(), s.hash()));
             if h.origin == own {
                 if h.version > version {
                     compared.push(Mismatch::Ahead(h.version));
-                } else if h.version == version && h.hash == hash && peer.level.is_none() {
-                    peer.level = Some(version);
+                } else if h.version == version && h.hash == hash && peer.pushed_version.is_none() {
+                    peer.pushed_version = Some(version);
                 }
                 continue;
             }
@@ -298,13 +299,13 @@
             }
         }
         for (origin, merge) in differing {
-            self.fetch(now, from, origin, 0, Some(0), merge);
+            self.request_chunks(now, from, origin, 0, Some(0), merge);
         }
         self.poll(now, store, heard);
         compared
     }
 
-    fn fetch(
+    fn request_chunks(
         &mut self,
         now: f64,
         from: MemberId,
@@ -314,17 +315,17 @@
         merge: bool,
     ) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.asks.retain(|ask| ask.origin != origin);
-        peer.asks.push_back(ChunkRequest { origin, after, base });
+        peer.requests.retain(|ask| ask.origin != origin);
+        peer.requests.push_back(ChunkRequest { origin, after, base });
         let fetch = self.fetches.entry(origin).or_insert(Fetch {
-            from: None,
-            at: now,
+            source: None,
+            last_progress_at: now,
             after,
             base,
             incoming: None,
             merge,
         });
-        (fetch.from, fetch.at) = (Some(from), now);
+        (fetch.source, fetch.last_progress_at) = (Some(from), now);
     }
 
     /// Asks for what is lacking, and asks others where a giver has stopped. Called now and then.
@@ -332,7 +333,7 @@
         let own = store.own_origin();
         let mut best: BTreeMap<Origin, (bool, u64, MemberId)> = BTreeMap::new();
         for (&member, peer) in &self.peers {
-            for held in peer.held.values().filter(|h| h.origin != own && !store.is_forgotten(&h.origin)) {
+            for held in peer.digests.values().filter(|h| h.origin != own && !store.is_forgotten(&h.origin)) {
                 // An origin that is heard brings its own changes; to ask others for them would double them. One that
                 // is not heard may have a link that still looks open, and offers what it held long ago.
                 let is_origin = held.origin.member == member && heard(&held.origin);
@@ -345,21 +346,22 @@
             }
         }
         self.fetches.retain(|origin, fetch| {
-            let stalled = fetch.from.is_none() || now - fetch.at >= self.settings.source_timeout;
+            let stalled =
+                fetch.source.is_none() || now - fetch.last_progress_at >= self.settings.source_timeout;
             // Nobody has it any more, or it came another way.
             !stalled || best.contains_key(origin) && !store.is_forgotten(origin)
         });
         for (origin, (_, version, member)) in best {
             let mine = store.stream(&origin).map_or(0, Stream::version);
             match self.fetches.get(&origin) {
-                Some(f) if f.from.is_some() && now - f.at < self.settings.source_timeout => {}
+                Some(f) if f.source.is_some() && now - f.last_progress_at < self.settings.source_timeout => {}
                 Some(f) => {
                     // Goes on from where the last giver stopped.
                     let (after, base, merge) = (f.after, f.base, f.merge);
-                    self.fetch(now, member, origin, after, base, merge);
+                    self.request_chunks(now, member, origin, after, base, merge);
                 }
                 None if version > mine || store.stream(&origin).is_none() => {
-                    self.fetch(now, member, origin, mine, None, false);
+                    self.request_chunks(now, member, origin, mine, None, false);
                 }
                 None => {}
             }
@@ -372,23 +374,24 @@
             return;
         };
         // What it lacks is on its way already: the origin tells its changes from there.
-        let told = ask.origin == store.own_origin() && peer.level == Some(ask.after) && ask.base.is_none();
+        let told =
+            ask.origin == store.own_origin() && peer.pushed_version == Some(ask.after) && ask.base.is_none();
         if told && ask.after >= stream.horizon() {
             return;
         }
-        let whole = Serve { origin: ask.origin, after: 0, base: Some(stream.version()) };
+        let whole = Transfer { origin: ask.origin, after: 0, base: Some(stream.version()) };
         let serve = match ask.base {
             None if ask.after >= stream.horizon() => {
-                Serve { origin: ask.origin, after: ask.after, base: None }
+                Transfer { origin: ask.origin, after: ask.after, base: None }
             }
             Some(base) if stream.horizon() <= base => {
-                Serve { origin: ask.origin, after: ask.after, base: Some(base) }
+                Transfer { origin: ask.origin, after: ask.after, base: Some(base) }
             }
             _ => whole,
         };
         // One answer for a stream at a time: the last question counts.
-        peer.serves.retain(|s| s.origin != ask.origin);
-        peer.serves.push_back(serve);
+        peer.transfers.retain(|s| s.origin != ask.origin);
+        peer.transfers.push_back(serve);
     }
 
     /// Takes a part of a stream, of which the word may be so much older than it says; none where that is not known yet.
@@ -409,7 +412,7 @@
             _ => now - lag.unwrap_or(0.0) - f64::from(r.age_ms) / 1000.0,
         };
         let Some(copy) = store.copy_mut(piece.origin) else { return Ok(taken) };
-        let fetch = self.fetches.get_mut(&piece.origin).filter(|f| f.from == Some(from));
+        let fetch = self.fetches.get_mut(&piece.origin).filter(|f| f.source == Some(from));
         match (piece.base, fetch) {
             (None, fetch) => {
                 // A gap: what lies in it is asked for when the next digest shows it.
@@ -426,7 +429,7 @@
                 }
                 if let Some(fetch) = fetch {
                     self.records_received += piece.records.len() as u64;
-                    (fetch.at, fetch.after) = (now, piece.up_to);
+                    (fetch.last_progress_at, fetch.after) = (now, piece.up_to);
                     if piece.last {
                         self.fetches.remove(&piece.origin);
                     }
@@ -449,7 +452,7 @@
                     return Err(ChunkError::TooManyRecords);
                 }
                 self.records_received += piece.records.len() as u64;
-                (fetch.at, fetch.after) = (now, piece.up_to);
+                (fetch.last_progress_at, fetch.after) = (now, piece.up_to);
                 if piece.last {
                     incoming.advance_to(piece.up_to.max(base), piece.horizon);
                     let (whole, merge) = (std::mem::take(incoming), fetch.merge);
@@ -469,28 +472,28 @@
 
     /// What is to be said to a member, if anything is.
     pub fn next_outgoing(&mut self, now: f64, to: MemberId, store: &Store) -> Option<Outgoing> {
-        let (left, then) = self.tokens;
+        let (left, then) = self.send_budget;
         let rate = self.settings.bytes_per_s;
         // A piece at a time: what a set-up waits for it is one piece, however much is lacking.
-        let room = MAX_CHUNK_RECORDS as f64 * RECORD_BYTES;
-        self.tokens = ((left + (now - then).max(0.0) * rate).min(room), now);
+        let room = MAX_CHUNK_RECORDS as f64 * ESTIMATED_RECORD_BYTES;
+        self.send_budget = ((left + (now - then).max(0.0) * rate).min(room), now);
         let peer = self.peers.get_mut(&to)?;
-        if let Some(ask) = peer.asks.pop_front() {
+        if let Some(ask) = peer.requests.pop_front() {
             return Some(Outgoing::Request(ask));
         }
         let own = store.own_origin();
-        if let (Some(level), Some(stream)) = (peer.level, store.stream(&own)) {
+        if let (Some(level), Some(stream)) = (peer.pushed_version, store.stream(&own)) {
             if level < stream.horizon() {
                 // It is behind what is still known: it asks when it sees that.
-                peer.level = None;
+                peer.pushed_version = None;
             } else if stream.version() > level
-                && peer.pushed_at.is_none_or(|at| now - at >= self.settings.push_interval)
+                && peer.last_push_at.is_none_or(|at| now - at >= self.settings.push_interval)
             {
                 let (records, upto, last) = stream.changes_after(now, level);
-                peer.level = Some(upto);
+                peer.pushed_version = Some(upto);
                 // What does not fit into one piece goes on with the next.
                 if last {
-                    peer.pushed_at = Some(now);
+                    peer.last_push_at = Some(now);
                 }
                 let (from, horizon) = (level, stream.horizon());
                 return Some(Outgoing::Chunk(Chunk {
@@ -504,10 +507,10 @@
                 }));
             }
         }
-        if self.tokens.0 <= 0.0 {
+        if self.send_budget.0 <= 0.0 {
             return None;
         }
-        let Serve { origin, after, base } = peer.serves.pop_front()?;
+        let Transfer { origin, after, base } = peer.transfers.pop_front()?;
         let stream = store.stream(&origin)?;
         // Tombstones were dropped since: what was given so far may hold what is over.
         let (after, base) = match base {
@@ -516,11 +519,11 @@
             same => (after, same),
         };
         let (records, upto, last) = stream.changes_after(now, after);
-        self.tokens.0 -= records.len() as f64 * RECORD_BYTES;
+        self.send_budget.0 -= records.len() as f64 * ESTIMATED_RECORD_BYTES;
         self.records_sent += records.len() as u64;
         match last {
-            false => peer.serves.push_back(Serve { origin, after: upto, base }),
-            true if origin == own => peer.level = Some(upto),
+            false => peer.transfers.push_back(Transfer { origin, after: upto, base }),
+            true if origin == own => peer.pushed_version = Some(upto),
             true => {}
         }
         let horizon = stream.horizon();
--- a/crates/replica/src/guard.rs
+++ b/crates/replica/src/guard.rs
@@ -16,18 +16,18 @@
 /// A word that a server is silent counts for so long, in seconds; who still finds it so says it again.
 pub const SILENCE_VALIDITY_S: f64 = 3.0;
 /// A call that is turned away because this member does not know what holds may come again after so long.
-const HELD: f64 = 0.5;
+const HOLD_RETRY_AFTER_S: f64 = 0.5;
 /// One turned away for hearsay of silence.
-const SILENT: f64 = 0.25;
+const SILENCE_RETRY_AFTER_S: f64 = 0.25;
 
 /// The gate.
 #[derive(Debug, Default)]
 pub struct Guard {
     /// Nothing may be sent: what is believed is old.
-    hold: bool,
+    on_hold: bool,
     /// Pools that others find silent, and whether any other is in service.
-    silent: HashMap<PoolId, f64>,
-    elsewhere: bool,
+    silent_since: HashMap<PoolId, f64>,
+    any_responsive: bool,
     /// Set-ups that were denied, and calls turned away for it.
     pub denied: u64,
     /// Calls turned away.
@@ -37,36 +37,36 @@
 impl Guard {
     /// Nothing may be sent, or it may again.
     pub fn set_hold(&mut self, hold: bool) {
-        self.hold = hold;
+        self.on_hold = hold;
     }
 
     /// Whether nothing may be sent.
     pub fn is_holding(&self) -> bool {
-        self.hold
+        self.on_hold
     }
 
     /// Takes what others say of a pool's silence: since when that counts; the own member heard it last at `heard`.
     pub fn update_silence(&mut self, now: f64, pool: PoolId, said: Option<f64>, heard: f64) {
         match said.filter(|at| now - at < SILENCE_VALIDITY_S && heard <= *at) {
-            Some(at) => drop(self.silent.insert(pool, at)),
-            None => drop(self.silent.remove(&pool)),
+            Some(at) => drop(self.silent_since.insert(pool, at)),
+            None => drop(self.silent_since.remove(&pool)),
         }
     }
 
     /// The own member heard a pool.
     pub fn server_answered(&mut self, pool: PoolId) {
-        self.silent.remove(&pool);
+        self.silent_since.remove(&pool);
     }
 
     /// Takes the pools that are in service: one that is not there any more is forgotten.
     pub fn set_in_service(&mut self, pools: &[PoolId]) {
-        self.silent.retain(|pool, _| pools.contains(pool));
-        self.elsewhere = pools.iter().any(|pool| !self.silent.contains_key(pool));
+        self.silent_since.retain(|pool, _| pools.contains(pool));
+        self.any_responsive = pools.iter().any(|pool| !self.silent_since.contains_key(pool));
     }
 
     /// Pools that are denied now.
     pub fn silent_servers(&self) -> usize {
-        self.silent.len()
+        self.silent_since.len()
     }
 }
 
@@ -79,12 +79,12 @@
     }
 
     fn may_send(&mut self, now: f64, candidate: &Candidate) -> Result<(), Denial> {
-        let denial = if self.hold {
-            Denial { reason: "fleet-catching-up", retry_after: HELD }
-        } else if self.elsewhere
-            && self.silent.get(&candidate.pool).is_some_and(|at| now - at < SILENCE_VALIDITY_S)
+        let denial = if self.on_hold {
+            Denial { reason: "fleet-catching-up", retry_after: HOLD_RETRY_AFTER_S }
+        } else if self.any_responsive
+            && self.silent_since.get(&candidate.pool).is_some_and(|at| now - at < SILENCE_VALIDITY_S)
         {
-            Denial { reason: "fleet-silent-server", retry_after: SILENT }
+            Denial { reason: "fleet-silent-server", retry_after: SILENCE_RETRY_AFTER_S }
         } else {
             return Ok(());
         };
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -23,15 +23,15 @@
 /// The version of what members say to each other; others are not understood.
 pub const PROTOCOL: u16 = 2;
 /// Time between two looks at what fetches lack, and at what may be forgotten, in seconds.
-const LOOK: f64 = 0.1;
-const SWEEP: f64 = 1.0;
+const POLL_INTERVAL_S: f64 = 0.1;
+const SWEEP_INTERVAL_S: f64 = 1.0;
 /// Ends that are owed to callers elsewhere are told to the others for so long, in seconds: whoever has callers has told
 /// them by then.
-const OWED: f64 = 10.0;
+const OWED_END_LIFETIME_S: f64 = 10.0;
 /// Ended calls that are looked at in a sweep at most.
-const SWEPT: usize = 512;
+const MAX_ENDS_PER_SWEEP: usize = 512;
 /// Things to be told to the log that are kept until they are taken; beyond it they are counted alone.
-const MOST_EVENTS: usize = 256;
+const MAX_QUEUED_EVENTS: usize = 256;
 
 /// The figures of it, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -189,36 +189,36 @@
 /// What a start, or the time after a pause, waits for.
 #[derive(Clone, Debug)]
 struct Resync {
-    since: f64,
+    started_at: f64,
     /// What each member said that it holds, as of after `since`.
-    goals: BTreeMap<MemberId, Vec<StreamDigest>>,
+    targets: BTreeMap<MemberId, Vec<StreamDigest>>,
 }
 
 /// A member.
 #[derive(Clone)]
 pub struct Member {
     settings: Settings,
-    started: f64,
+    started_at: f64,
     view: Membership,
     store: Store,
     catch_up: CatchUp,
     resync: Option<Resync>,
-    next_digest: BTreeMap<MemberId, f64>,
-    next_look: f64,
-    next_sweep: f64,
+    next_digest_at: BTreeMap<MemberId, f64>,
+    next_poll_at: f64,
+    next_sweep_at: f64,
     /// Since when each stream's life has ended.
-    ended: BTreeMap<Origin, f64>,
+    origin_ended_at: BTreeMap<Origin, f64>,
     /// The calls seen to, and whether that has to be looked at again.
     adopted: BTreeMap<u64, AdoptedCall>,
-    stale: bool,
+    adoption_outdated: bool,
     /// Whether a majority was heard, as of the last turn.
     has_quorum: bool,
     /// Ends that were told in place of others, as long as those say that they owe them.
-    told: BTreeSet<u64>,
+    delivered_ends: BTreeSet<u64>,
     /// Where the last sweep of ended calls stopped.
-    swept: u64,
+    last_swept_call: u64,
     events: Vec<Event>,
-    acts: Vec<CallAction>,
+    call_actions: Vec<CallAction>,
     /// Counted since the start.
     pub counts: Counts,
 }
@@ -259,22 +259,22 @@
     ) -> Member {
         Member {
             settings,
-            started: now,
+            started_at: now,
             view: Membership::new(now, own, life, settings.membership, members),
             store: Store::new(Origin { member: own, life }),
             catch_up: CatchUp::new(now, settings.catch_up),
-            resync: Some(Resync { since: now, goals: BTreeMap::new() }),
-            next_digest: BTreeMap::new(),
-            next_look: now,
-            next_sweep: now,
-            ended: BTreeMap::new(),
+            resync: Some(Resync { started_at: now, targets: BTreeMap::new() }),
+            next_digest_at: BTreeMap::new(),
+            next_poll_at: now,
+            next_sweep_at: now,
+            origin_ended_at: BTreeMap::new(),
             adopted: BTreeMap::new(),
-            stale: false,
+            adoption_outdated: false,
             has_quorum: false,
-            told: BTreeSet::new(),
-            swept: 0,
+            delivered_ends: BTreeSet::new(),
+            last_swept_call: 0,
             events: Vec::new(),
-            acts: Vec::new(),
+            call_actions: Vec::new(),
             counts: Counts::default(),
         }
     }
@@ -285,7 +285,7 @@
         self.catch_up.reconfigure(settings.catch_up);
         self.view.set_members(members.iter().copied());
         self.store.retain_members(members);
-        self.stale = true;
+        self.adoption_outdated = true;
     }
 
     /// What is believed of the others.
@@ -320,11 +320,11 @@
 
     /// What is to be done about calls since this was last asked.
     pub fn take_call_actions(&mut self) -> Vec<CallAction> {
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.call_actions)
     }
 
-    fn tell(&mut self, event: Event) {
-        match self.events.len() < MOST_EVENTS {
+    fn push_event(&mut self, event: Event) {
+        match self.events.len() < MAX_QUEUED_EVENTS {
             true => self.events.push(event),
             false => self.counts.events_dropped += 1,
         }
@@ -355,7 +355,9 @@
         let own = self.store.own_stream().write(now, Key::Call(id), None);
         // A stream of an earlier life may say that it stands, too. And one that is back may end a call of which it
         // hears only later that it stood.
-        if self.store.standing_call(id).is_some() || !own && now - self.started < self.settings.forget_after {
+        if self.store.standing_call(id).is_some()
+            || !own && now - self.started_at < self.settings.forget_after
+        {
             self.write(now, Key::Over(id), Value::Over);
         }
         self.adopted.remove(&id);
@@ -388,7 +390,7 @@
             // Told at each doubling.
             if self.counts.left_out.is_power_of_two() {
                 let count = self.counts.left_out;
-                self.tell(Event::RecordsLeftOut(count));
+                self.push_event(Event::RecordsLeftOut(count));
             }
             return;
         }
@@ -397,18 +399,18 @@
 
     /// What the others that are heard say of the servers.
     pub fn peer_observations(&self) -> BTreeMap<ServerKey, ServerObservation> {
-        self.store.peer_observations(|origin| self.heard(origin))
+        self.store.peer_observations(|origin| self.is_origin_connected(origin))
     }
 
     /// Whether a stream's origin is heard here, in that life.
-    fn heard(&self, origin: &Origin) -> bool {
+    fn is_origin_connected(&self, origin: &Origin) -> bool {
         heard(&self.view, origin)
     }
 
     /// Callers are there to whom the end of any call can be told, or there are none.
     pub fn set_has_callers(&mut self, callers: bool) {
         // What others owe may be this member's to tell now.
-        self.stale |= self.view.set_callers(callers);
+        self.adoption_outdated |= self.view.set_callers(callers);
     }
 
     /// Whether another member has callers to tell ends to.
@@ -424,16 +426,16 @@
 
     /// Tells what others owe, as far as that is this member's to do: of those with callers one does it, by rendezvous
     /// hashing. Two that see others with callers may both do it, which costs a doubled word.
-    fn tell_owed(&mut self) {
+    fn deliver_owed_ends(&mut self) {
         let owed = self.store.owed_ends();
-        self.told.retain(|id| owed.contains_key(id));
+        self.delivered_ends.retain(|id| owed.contains_key(id));
         let own = self.view.own_id();
         let may: Vec<(MemberId, u64)> = self.view.members_with_callers().map(|m| (m, m.0)).collect();
         for (id, cut) in owed {
-            if !self.told.contains(&id) && owner(id, may.iter().copied()) == Some(own) {
+            if !self.delivered_ends.contains(&id) && owner(id, may.iter().copied()) == Some(own) {
                 self.counts.ends_delivered_for_others += 1;
-                self.told.insert(id);
-                self.acts.push(CallAction::DeliverEnd(id, cut));
+                self.delivered_ends.insert(id);
+                self.call_actions.push(CallAction::DeliverEnd(id, cut));
             }
         }
     }
@@ -454,7 +456,7 @@
 
     /// What the others that are heard want of budgets.
     pub fn budget_requests(&self) -> Vec<BudgetRequest> {
-        self.store.budget_requests(|origin| self.heard(origin))
+        self.store.budget_requests(|origin| self.is_origin_connected(origin))
     }
 
     /// What is lent to this member: of which budget, as of when, and how much in millionths.
@@ -489,8 +491,8 @@
         }
         self.view.link_up(now, from, life, known)?;
         self.catch_up.link_up(from);
-        self.next_digest.insert(from, now);
-        self.settle(now);
+        self.next_digest_at.insert(from, now);
+        self.apply_membership_changes(now);
         Ok(from)
     }
 
@@ -498,7 +500,7 @@
     pub fn link_down(&mut self, member: MemberId) {
         self.view.link_down(member);
         self.catch_up.link_down(member);
-        self.next_digest.remove(&member);
+        self.next_digest_at.remove(&member);
     }
 
     /// A member's address refused a link.
@@ -511,20 +513,26 @@
         match word {
             Message::Hello { .. } => return Err(Rejection::UnexpectedMessage),
             Message::Heartbeat(beat) => self.view.receive_heartbeat(now, from, beat)?,
-            Message::Digest(held, floors) => self.digest(now, from, held, floors),
+            Message::Digest(held, floors) => self.receive_digest(now, from, held, floors),
             Message::Request(ask) => self.catch_up.receive_request(from, ask, &self.store),
-            Message::Chunk(piece) => self.piece(now, from, piece)?,
+            Message::Chunk(piece) => self.receive_chunk(now, from, piece)?,
             Message::Leave => self.view.member_left(now, from),
         }
-        self.settle(now);
+        self.apply_membership_changes(now);
         Ok(())
     }
 
-    fn digest(&mut self, now: f64, from: MemberId, held: &[StreamDigest], floors: &[(MemberId, u64)]) {
+    fn receive_digest(
+        &mut self,
+        now: f64,
+        from: MemberId,
+        held: &[StreamDigest],
+        floors: &[(MemberId, u64)],
+    ) {
         for (member, floor) in floors {
             // Nobody but this member says when its own life is over.
             if self.view.incarnation_of(*member).is_some() && *member != self.view.own_id() {
-                self.forget(*member, *floor);
+                self.forget_streams(*member, *floor);
             }
         }
         let view = &self.view;
@@ -532,10 +540,10 @@
         let held: Vec<StreamDigest> = held.iter().filter(known).copied().collect();
         let fresh = self.resync.as_ref().is_some_and(|r| {
             // What was on its way before counts for nothing: it must have been said after an own beat was heard.
-            self.view.last_echoed_at(from).is_some_and(|at| at >= r.since)
+            self.view.last_echoed_at(from).is_some_and(|at| at >= r.started_at)
         });
         if let (true, Some(resync)) = (fresh, &mut self.resync) {
-            resync.goals.entry(from).or_insert_with(|| held.clone());
+            resync.targets.entry(from).or_insert_with(|| held.clone());
         }
         let compared =
             self.catch_up.receive_digest(now, from, &held, &self.store, |origin| heard(view, origin));
@@ -543,35 +551,35 @@
             match compared {
                 Mismatch::Diverged(origin) => {
                     self.counts.diverged += 1;
-                    self.tell(Event::CopyDiverged(origin, from));
+                    self.push_event(Event::CopyDiverged(origin, from));
                 }
                 // Somebody wrote to this life's stream before us: another life is needed.
-                Mismatch::Ahead(_) => self.relive(now),
+                Mismatch::Ahead(_) => self.raise_incarnation(now),
             }
         }
     }
 
-    fn relive(&mut self, now: f64) {
+    fn raise_incarnation(&mut self, now: f64) {
         let mut life = self.view.incarnation();
         // Also where a word told of the last one there is.
         life.number = life.number.saturating_add(1);
         self.view.set_incarnation(life);
         self.store.set_own_incarnation(life);
-        self.tell(Event::Member(Change::IncarnationRaised(life)));
-        self.renew_links(now);
+        self.push_event(Event::Member(Change::IncarnationRaised(life)));
+        self.reset_links(now);
     }
 
     /// The own stream is another: everybody is told what is held now.
-    fn renew_links(&mut self, now: f64) {
-        let members: Vec<MemberId> = self.next_digest.keys().copied().collect();
+    fn reset_links(&mut self, now: f64) {
+        let members: Vec<MemberId> = self.next_digest_at.keys().copied().collect();
         for member in members {
             self.catch_up.link_down(member);
             self.catch_up.link_up(member);
-            self.next_digest.insert(member, now);
+            self.next_digest_at.insert(member, now);
         }
     }
 
-    fn piece(&mut self, now: f64, from: MemberId, piece: &Chunk) -> Result<(), Rejection> {
+    fn receive_chunk(&mut self, now: f64, from: MemberId, piece: &Chunk) -> Result<(), Rejection> {
         if self.view.incarnation_of(piece.origin.member).is_none() {
             return Err(Rejection::UnknownOrigin);
         }
@@ -579,11 +587,11 @@
         let taken = self.catch_up.receive_chunk(now, lag, from, piece, &mut self.store)?;
         for conflict in taken.conflicts {
             self.counts.conflicts += 1;
-            self.tell(Event::Conflict(piece.origin, conflict));
+            self.push_event(Event::Conflict(piece.origin, conflict));
         }
         if taken.repaired {
             self.counts.repaired += 1;
-            self.tell(Event::CopyRepaired(piece.origin));
+            self.push_event(Event::CopyRepaired(piece.origin));
         }
         let ended = taken.keys.iter().filter_map(|key| match key {
             Key::Over(id) => Some(*id),
@@ -591,12 +599,12 @@
         });
         for id in ended {
             if self.store.is_call_over(id) && self.store.own_stream().get(&Key::Call(id)).is_some() {
-                self.acts.push(CallAction::EndedElsewhere(id));
+                self.call_actions.push(CallAction::EndedElsewhere(id));
                 self.store.own_stream().write(now, Key::Call(id), None);
             }
         }
         // What changes the calls of those that are gone, or ends some that are seen to.
-        self.stale |= !taken.keys.is_empty()
+        self.adoption_outdated |= !taken.keys.is_empty()
             && (adoption::call_owner(&piece.origin, &self.view) != adoption::CallOwner::Origin
                 || taken.keys.iter().any(|key| matches!(key, Key::Over(_) | Key::Owed(_))));
         Ok(())
@@ -604,7 +612,7 @@
 
     /// The next word to a member for which there is room, if there is one.
     pub fn next_message(&mut self, now: f64, to: MemberId) -> Option<Message> {
-        if self.view.superseded() || !self.next_digest.contains_key(&to) {
+        if self.view.superseded() || !self.next_digest_at.contains_key(&to) {
             return None;
         }
         if let Some(beat) = self.view.next_heartbeat(now, to, self.resync.is_none()) {
@@ -615,7 +623,7 @@
             Some(Outgoing::Chunk(piece)) => return Some(Message::Chunk(piece)),
             None => {}
         }
-        let due = self.next_digest.get_mut(&to).filter(|at| now >= **at)?;
+        let due = self.next_digest_at.get_mut(&to).filter(|at| now >= **at)?;
         *due = now + self.settings.digest_interval;
         Some(Message::Digest(CatchUp::digest(&self.store), self.store.floors().collect()))
     }
@@ -627,45 +635,47 @@
         self.view.tick(now);
         let had_quorum = std::mem::replace(&mut self.has_quorum, self.view.quorum_is_stable());
         // What had to wait for a majority may be adopted now.
-        self.stale |= self.has_quorum && !had_quorum;
-        self.settle(now);
-        if now >= self.next_look {
-            self.next_look = now + LOOK;
+        self.adoption_outdated |= self.has_quorum && !had_quorum;
+        self.apply_membership_changes(now);
+        if now >= self.next_poll_at {
+            self.next_poll_at = now + POLL_INTERVAL_S;
             let view = &self.view;
             self.catch_up.poll(now, &self.store, |origin| heard(view, origin));
-            if std::mem::take(&mut self.stale) {
-                self.adopt();
-                self.tell_owed();
+            if std::mem::take(&mut self.adoption_outdated) {
+                self.update_adoptions();
+                self.deliver_owed_ends();
             }
         }
-        if now >= self.next_sweep {
-            self.next_sweep = now + SWEEP;
+        if now >= self.next_sweep_at {
+            self.next_sweep_at = now + SWEEP_INTERVAL_S;
             self.sweep(now);
         }
-        self.caught_up(now);
+        self.check_catch_up(now);
     }
 
     /// Takes over what membership found.
-    fn settle(&mut self, now: f64) {
+    fn apply_membership_changes(&mut self, now: f64) {
         for change in self.view.take_changes() {
             match change {
                 Change::IncarnationRaised(life) => {
                     self.store.set_own_incarnation(life);
-                    self.renew_links(now);
+                    self.reset_links(now);
                 }
                 Change::Resumed(_) => {
-                    self.resync = Some(Resync { since: now, goals: BTreeMap::new() });
+                    self.resync = Some(Resync { started_at: now, targets: BTreeMap::new() });
+                }
+                Change::Gone(..) | Change::Returned(_) | Change::Restarted(..) => {
+                    self.adoption_outdated = true
                 }
-                Change::Gone(..) | Change::Returned(_) | Change::Restarted(..) => self.stale = true,
                 _ => {}
             }
-            self.tell(Event::Member(change));
+            self.push_event(Event::Member(change));
         }
     }
 
-    fn caught_up(&mut self, now: f64) {
+    fn check_catch_up(&mut self, now: f64) {
         let Some(resync) = &self.resync else { return };
-        let waited = now - resync.since;
+        let waited = now - resync.started_at;
         let mut reached = 0;
         let settled = self.view.peers().all(|member| {
             let state = self.view.state(member);
@@ -674,7 +684,7 @@
                 let mine = self.store.stream(&h.origin).map_or(0, |s| s.version());
                 h.origin == self.store.own_origin() || self.store.is_forgotten(&h.origin) || mine >= h.version
             };
-            match resync.goals.get(&member) {
+            match resync.targets.get(&member) {
                 Some(goals) if linked => {
                     reached += 1;
                     goals.iter().all(holds)
@@ -691,18 +701,18 @@
             _ => return,
         };
         self.resync = None;
-        self.tell(Event::CaughtUp(how, waited));
+        self.push_event(Event::CaughtUp(how, waited));
     }
 
-    fn adopt(&mut self) {
+    fn update_adoptions(&mut self) {
         let mut new = adoption::calls_to_adopt(&self.store, &self.view);
         new.retain(|id, call| self.adopted.contains_key(id) || adoption::may_adopt(&call.origin, &self.view));
         for id in self.adopted.keys().filter(|id| !new.contains_key(id)) {
-            self.acts.push(CallAction::Yield(*id));
+            self.call_actions.push(CallAction::Yield(*id));
         }
         for (id, call) in new.iter().filter(|(id, _)| !self.adopted.contains_key(id)) {
             self.counts.adopted += 1;
-            self.acts.push(CallAction::Adopt(*id, *call));
+            self.call_actions.push(CallAction::Adopt(*id, *call));
         }
         self.adopted = new;
     }
@@ -714,17 +724,17 @@
             *o != self.store.own_origin() && adoption::call_owner(o, view) != adoption::CallOwner::Origin
         };
         let over: Vec<Origin> = self.store.streams().map(|(o, _)| *o).filter(over).collect();
-        self.ended.retain(|origin, _| over.contains(origin));
+        self.origin_ended_at.retain(|origin, _| over.contains(origin));
         for origin in over {
-            let since = *self.ended.entry(origin).or_insert(now);
+            let since = *self.origin_ended_at.entry(origin).or_insert(now);
             // As long as a member may come back in that life its stream stays, up to the bound.
             let later = self.view.incarnation_of(origin.member).is_some_and(|life| life > origin.life);
             if now - since >= self.settings.forget_after && later {
-                self.forget(origin.member, origin.life.number.saturating_add(1));
+                self.forget_streams(origin.member, origin.life.number.saturating_add(1));
             }
         }
         for (member, floor) in self.store.excess_incarnations() {
-            self.forget(member, floor);
+            self.forget_streams(member, floor);
         }
         let old = now - self.settings.forget_after;
         // A server that left the list long ago comes back under no list, and so need not be told of.
@@ -738,18 +748,21 @@
             self.store.own_stream().write(now, key, None);
         }
         let owed = self.store.own_stream().range(Key::Owed(0)..=Key::Owed(u64::MAX));
-        let told: Vec<Key> = owed.filter(|(_, at, _)| now - at >= OWED).map(|(key, ..)| key).collect();
+        let told: Vec<Key> =
+            owed.filter(|(_, at, _)| now - at >= OWED_END_LIFETIME_S).map(|(key, ..)| key).collect();
         for key in told {
             self.store.own_stream().write(now, key, None);
         }
-        let from = Key::Over(self.swept.wrapping_add(1));
-        let ends: Vec<(u64, f64)> = (self.store.own_stream().range(from..=Key::Over(u64::MAX)).take(SWEPT))
-            .filter_map(|(key, at, _)| match key {
-                Key::Over(id) => Some((id, at)),
-                _ => None,
-            })
-            .collect();
-        self.swept = if ends.len() < SWEPT { u64::MAX } else { ends.last().map_or(u64::MAX, |e| e.0) };
+        let from = Key::Over(self.last_swept_call.wrapping_add(1));
+        let ends: Vec<(u64, f64)> =
+            (self.store.own_stream().range(from..=Key::Over(u64::MAX)).take(MAX_ENDS_PER_SWEEP))
+                .filter_map(|(key, at, _)| match key {
+                    Key::Over(id) => Some((id, at)),
+                    _ => None,
+                })
+                .collect();
+        self.last_swept_call =
+            if ends.len() < MAX_ENDS_PER_SWEEP { u64::MAX } else { ends.last().map_or(u64::MAX, |e| e.0) };
         for (id, _) in ends.into_iter().filter(|(_, at)| *at < old) {
             let own = self.store.own_origin();
             let stands = self.store.streams().any(|(o, s)| *o != own && s.get(&Key::Call(id)).is_some());
@@ -759,12 +772,12 @@
         }
     }
 
-    fn forget(&mut self, member: MemberId, below: u64) {
+    fn forget_streams(&mut self, member: MemberId, below: u64) {
         // Not what its present life writes.
         let present = self.view.incarnation_of(member).map_or(0, |life| life.number);
         for (origin, records) in self.store.forget(member, below.min(present)) {
-            self.stale = true;
-            self.tell(Event::StreamForgotten(origin, records));
+            self.adoption_outdated = true;
+            self.push_event(Event::StreamForgotten(origin, records));
         }
     }
 
--- a/crates/replica/src/stream.rs
+++ b/crates/replica/src/stream.rs
@@ -40,8 +40,8 @@
     version: u64,
     horizon: u64,
     records: BTreeMap<Key, Entry>,
-    order: BTreeMap<u64, Key>,
-    graves: VecDeque<(u64, Key)>,
+    by_version: BTreeMap<u64, Key>,
+    tombstones: VecDeque<(u64, Key)>,
     hash: u64,
     counts: [usize; KINDS.len()],
 }
@@ -108,7 +108,7 @@
             return false;
         }
         self.version += 1;
-        self.place(key, Entry { version: self.version, at, value });
+        self.insert(key, Entry { version: self.version, at, value });
         true
     }
 
@@ -117,11 +117,11 @@
         let Record { key, version, value, .. } = *record;
         let entry = Entry { version, at, value };
         // One version is one change of one record: another key under it is a second writer's.
-        if let Some(other) = self.order.get(&version).copied().filter(|other| *other != key) {
+        if let Some(other) = self.by_version.get(&version).copied().filter(|other| *other != key) {
             let held = self.records.get(&other).and_then(|e| e.value);
             if content_hash(&key, version, &value) > content_hash(&other, version, &held) {
                 self.remove(&other);
-                self.place(key, entry);
+                self.insert(key, entry);
             }
             return Some(Conflict { key, version, held, received: value });
         }
@@ -131,14 +131,14 @@
             Some(held) if held.version == version => {
                 let conflict = Conflict { key, version, held: held.value, received: value };
                 if content_hash(&key, version, &value) > content_hash(&key, version, &held.value) {
-                    self.place(key, entry);
+                    self.insert(key, entry);
                 }
                 Some(conflict)
             }
             // Withdrawn and forgotten here; what is told is older than that.
             None if version <= self.horizon => None,
             _ => {
-                self.place(key, entry);
+                self.insert(key, entry);
                 None
             }
         }
@@ -146,7 +146,7 @@
 
     fn remove(&mut self, key: &Key) {
         let Some(old) = self.records.remove(key) else { return };
-        self.order.remove(&old.version);
+        self.by_version.remove(&old.version);
         if old.value.is_some() {
             self.hash = self.hash.wrapping_sub(content_hash(key, old.version, &old.value));
             self.counts[key.kind()] -= 1;
@@ -159,23 +159,23 @@
         self.horizon = self.horizon.max(horizon.min(self.version));
     }
 
-    fn place(&mut self, key: Key, entry: Entry) {
+    fn insert(&mut self, key: Key, entry: Entry) {
         self.remove(&key);
         self.records.insert(key, entry);
-        self.order.insert(entry.version, key);
+        self.by_version.insert(entry.version, key);
         match entry.value {
             Some(_) => {
                 self.hash = self.hash.wrapping_add(content_hash(&key, entry.version, &entry.value));
                 self.counts[key.kind()] += 1;
             }
-            None => self.graves.push_back((entry.version, key)),
+            None => self.tombstones.push_back((entry.version, key)),
         }
-        while self.graves.len() > MAX_TOMBSTONES {
-            let Some((version, key)) = self.graves.pop_front() else { break };
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            let Some((version, key)) = self.tombstones.pop_front() else { break };
             let grave = |e: &Entry| e.version == version && e.value.is_none();
             if self.records.get(&key).is_some_and(grave) {
                 self.records.remove(&key);
-                self.order.remove(&version);
+                self.by_version.remove(&version);
                 self.horizon = self.horizon.max(version);
             }
         }
@@ -189,7 +189,7 @@
 
     /// The same, of so many records at most.
     pub fn limited_changes_after(&self, now: f64, after: u64, most: usize) -> (Vec<Record>, u64, bool) {
-        let mut left = self.order.range(after.saturating_add(1)..);
+        let mut left = self.by_version.range(after.saturating_add(1)..);
         let mut records = Vec::new();
         for (&version, key) in left.by_ref().take(most) {
             if let Some(entry) = self.records.get(key) {
@@ -206,7 +206,7 @@
     /// Takes over what another copy has, where neither is known to be the whole: the newer of each record.
     pub fn merge(&mut self, other: &Stream) -> Vec<Conflict> {
         let mut conflicts = Vec::new();
-        for (&version, key) in &other.order {
+        for (&version, key) in &other.by_version {
             if let Some(entry) = other.records.get(key) {
                 let record = Record { key: *key, version, age_ms: 0, value: entry.value };
                 conflicts.extend(self.apply(entry.at, &record));
