--- a/crates/duties/src/acceptor.rs
+++ b/crates/duties/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! What one member has granted: to whom, under which epoch, and until when. Kept in memory alone.
+//! What one member has granted: to whom, under which epoch, and until when. Kept only in memory.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{DutyKey, Epoch, Progress, Refusal, Settings, MAX_DUTIES};
 
-/// A holder's progress as it was last heard, and when it last changed.
+/// A holder's progress as it was last reported, and when it last changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LastProgress {
     progress: Progress,
@@ -16,89 +16,91 @@
 /// What is granted of one duty.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Grant {
-    /// To whom, under which epoch, and until when that is kept to.
+    /// The holder, its epoch, and until when the grant is kept to.
     lease: Option<(MemberId, Epoch, f64)>,
-    /// Whether that one said that it holds the duty.
+    /// Whether the holder has reported that it holds the duty.
     confirmed: bool,
-    /// The highest epoch that was granted or given back, and what that was before the present lease.
+    /// The highest epoch that was granted or released, and the highest one before the present lease.
     highest: Epoch,
     previous_highest: Epoch,
-    /// One that was given back is never granted again.
+    /// The epoch released last: it is never granted again.
     released: Option<Epoch>,
-    /// For whom it is kept, and until when.
+    /// The member that the duty is reserved for, and until when.
     reserved: Option<(MemberId, f64)>,
     last_progress: Option<LastProgress>,
-    /// Who was stuck with it, and until when it is granted nothing.
+    /// The member that was stuck with the duty, and until when it is refused.
     banned: Option<(MemberId, f64)>,
-    /// When anything was last heard of it.
+    /// When the last message about the duty was received.
     last_message_at: f64,
 }
 
-/// An acceptor.
+/// One member's record of the leases that it has granted.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     settings: Settings,
-    /// What an earlier life may have granted has run out by then.
+    /// Until then, leases of an earlier incarnation may still be valid, and nothing is granted.
     grants_from: f64,
     grants: BTreeMap<DutyKey, Grant>,
 }
 
-/// A request, as an acceptor hears it.
+/// A request as an acceptor receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseRequest {
-    /// Who asks.
+    /// The requesting member.
     pub by: MemberId,
-    /// For what.
+    /// The duty.
     pub duty: DutyKey,
-    /// Under which epoch.
+    /// The epoch to hold it under.
     pub epoch: Epoch,
-    /// For how long, in seconds.
+    /// The term, in seconds.
     pub term: f64,
-    /// How far it has come.
+    /// How far the member has come.
     pub progress: Progress,
     /// Whether it holds the duty already.
     pub holds: bool,
-    /// The epoch that was given back for it.
+    /// The epoch that the last holder released in its favour.
     pub predecessor: Option<Epoch>,
 }
 
 impl Acceptor {
-    /// One that starts now: it grants nothing until all that an earlier life may have granted has run out.
+    /// An acceptor that starts now: it grants nothing until all that an earlier incarnation may have granted has
+    /// expired.
     pub fn new(now: f64, settings: Settings) -> Acceptor {
         Acceptor { settings, grants_from: now + settings.grant_duration(), grants: BTreeMap::new() }
     }
 
-    /// Whether it grants yet.
+    /// Whether it grants leases yet.
     pub fn is_granting(&self, now: f64) -> bool {
         now >= self.grants_from
     }
 
-    /// Hears a request. Nothing is answered before this acceptor grants at all: `None`.
+    /// Handles a request. Returns `None`, to be left unanswered, as long as this acceptor grants nothing at all; a
+    /// refusal comes with the highest epoch that is known.
     pub fn receive_request(
         &mut self,
         now: f64,
-        asked: &LeaseRequest,
+        request: &LeaseRequest,
     ) -> Option<Result<(), (Refusal, Epoch)>> {
         if now < self.grants_from {
             return None;
         }
-        if !asked.term.is_finite() || asked.term > self.settings.term + 1e-3 {
+        if !request.term.is_finite() || request.term > self.settings.term + 1e-3 {
             return Some(Err((Refusal::TermTooLong, Epoch::default())));
         }
-        if self.grants.len() >= MAX_DUTIES && !self.grants.contains_key(&asked.duty) {
+        if self.grants.len() >= MAX_DUTIES && !self.grants.contains_key(&request.duty) {
             self.drop_idle(now);
             if self.grants.len() >= MAX_DUTIES {
                 return Some(Err((Refusal::TooManyDuties, Epoch::default())));
             }
         }
         let settings = self.settings;
-        let grant = self.grants.entry(asked.duty).or_default();
-        let answer = grant.decide(now, asked, &settings);
+        let grant = self.grants.entry(request.duty).or_default();
+        let answer = grant.decide(now, request, &settings);
         grant.last_message_at = now;
-        Some(answer.map_err(|why| (why, grant.highest)))
+        Some(answer.map_err(|reason| (reason, grant.highest)))
     }
 
-    /// A holder gives an epoch back, for somebody or for whoever comes.
+    /// Handles the release of an epoch by its holder, in favour of one member or of whoever requests first.
     pub fn receive_release(
         &mut self,
         now: f64,
@@ -107,40 +109,40 @@
         to: Option<MemberId>,
         used: bool,
     ) {
-        let kept = self.settings.grant_duration();
+        let grant_duration = self.settings.grant_duration();
         if let Some(grant) = self.grants.get_mut(&duty) {
             if let (true, Some(to)) = (grant.release(epoch, used), to) {
-                grant.reserved = Some((to, now + kept / 2.0));
+                grant.reserved = Some((to, now + grant_duration / 2.0));
             }
             grant.last_message_at = now;
         }
     }
 
-    /// Who holds a duty, as far as is granted here.
+    /// The holder of a duty, as far as this member granted it.
     pub fn holder(&self, now: f64, duty: DutyKey) -> Option<(MemberId, Epoch)> {
         let (member, epoch, until) = self.grants.get(&duty)?.lease?;
         (now < until).then_some((member, epoch))
     }
 
-    /// For whom a duty is kept that is being handed on.
+    /// The member that a duty is reserved for while it is handed over.
     pub fn reserved_for(&self, now: f64, duty: DutyKey) -> Option<MemberId> {
         let (to, until) = self.grants.get(&duty)?.reserved?;
         (now < until).then_some(to)
     }
 
-    /// The highest epoch that was seen of a duty.
+    /// The highest epoch of a duty that is known.
     pub fn highest_epoch(&self, duty: DutyKey) -> Epoch {
         self.grants.get(&duty).map_or(Epoch::default(), |grant| grant.highest)
     }
 
-    /// A higher epoch was heard of elsewhere.
+    /// Records that a higher epoch is known elsewhere.
     pub fn observe_epoch(&mut self, duty: DutyKey, epoch: Epoch) {
         if let Some(grant) = self.grants.get_mut(&duty) {
             grant.highest = grant.highest.max(epoch);
         }
     }
 
-    /// All holders, as far as is granted here.
+    /// The holders of all duties, as far as this member granted them.
     pub fn holders(&self, now: f64) -> impl Iterator<Item = (DutyKey, MemberId, Epoch)> + '_ {
         let held = move |(duty, grant): (&DutyKey, &Grant)| {
             let (member, epoch, until) = grant.lease?;
@@ -149,7 +151,7 @@
         self.grants.iter().filter_map(held)
     }
 
-    /// Forgets duties of which nothing was heard for ten terms.
+    /// Drops duties about which no message was received for ten terms.
     fn drop_idle(&mut self, now: f64) {
         let old = now - 10.0 * self.settings.grant_duration();
         self.grants.retain(|_, grant| grant.last_message_at > old);
@@ -157,17 +159,18 @@
 }
 
 impl Grant {
-    fn decide(&mut self, now: f64, asked: &LeaseRequest, settings: &Settings) -> Result<(), Refusal> {
-        if let Some(after) = asked.predecessor {
-            // Whoever it is handed on to says so too: its word may overtake the release.
-            self.release(after, true);
+    fn decide(&mut self, now: f64, request: &LeaseRequest, settings: &Settings) -> Result<(), Refusal> {
+        if let Some(released) = request.predecessor {
+            // The member that takes the duty over reports the release too: its request may overtake the release
+            // itself.
+            self.release(released, true);
         }
         let renewed = match self.lease.filter(|(.., until)| now < *until) {
-            Some((member, epoch, _)) if member == asked.by && epoch == asked.epoch => true,
-            // A holder that asks under a new epoch has let the old one run out: it does not act under it. Another life of
-            // the same member may be another process that still does.
+            Some((member, epoch, _)) if member == request.by && epoch == request.epoch => true,
+            // A holder that requests under a new epoch has let the old one expire and does not act under it. Another
+            // incarnation of the same member may be another process that still does.
             Some((member, epoch, _))
-                if member == asked.by && epoch.incarnation == asked.epoch.incarnation =>
+                if member == request.by && epoch.incarnation == request.epoch.incarnation =>
             {
                 false
             }
@@ -175,55 +178,58 @@
             Some(_) => return Err(Refusal::Contended),
             None => false,
         };
-        if self.released.is_some_and(|back| asked.epoch <= back) {
+        if self.released.is_some_and(|released| request.epoch <= released) {
             return Err(Refusal::StaleEpoch);
         }
-        // A lease that ran out here may be renewed as long as nobody else was granted one.
-        if asked.epoch < self.highest {
+        // A lease that expired here may be renewed as long as nobody else was granted one.
+        if request.epoch < self.highest {
             return Err(Refusal::StaleEpoch);
         }
-        if self.reserved.is_some_and(|(to, until)| now < until && to != asked.by) {
+        if self.reserved.is_some_and(|(to, until)| now < until && to != request.by) {
             return Err(Refusal::Reserved);
         }
-        if self.banned.is_some_and(|(member, until)| now < until && member == asked.by) {
+        if self.banned.is_some_and(|(member, until)| now < until && member == request.by) {
             return Err(Refusal::Stalled);
         }
-        self.check_progress(now, asked, renewed, settings)?;
-        if asked.epoch > self.highest {
+        self.check_progress(now, request, renewed, settings)?;
+        if request.epoch > self.highest {
             self.previous_highest = self.highest;
         }
-        self.lease = Some((asked.by, asked.epoch, now + settings.grant_duration()));
-        (self.highest, self.reserved, self.confirmed) = (asked.epoch, None, asked.holds);
+        self.lease = Some((request.by, request.epoch, now + settings.grant_duration()));
+        (self.highest, self.reserved, self.confirmed) = (request.epoch, None, request.holds);
         Ok(())
     }
 
-    /// Whether the holder gets on.
+    /// Checks that the holder makes progress.
     fn check_progress(
         &mut self,
         now: f64,
-        asked: &LeaseRequest,
+        request: &LeaseRequest,
         renewed: bool,
         settings: &Settings,
     ) -> Result<(), Refusal> {
-        let seen = LastProgress { progress: asked.progress, changed_at: now };
-        let before = self.last_progress.filter(|_| renewed);
-        let changed = match before {
-            Some(before) if before.progress == asked.progress && asked.progress.busy => before.changed_at,
+        let latest = LastProgress { progress: request.progress, changed_at: now };
+        let previous = self.last_progress.filter(|_| renewed);
+        let changed_at = match previous {
+            Some(previous) if previous.progress == request.progress && request.progress.busy => {
+                previous.changed_at
+            }
             _ => now,
         };
-        self.last_progress = Some(LastProgress { changed_at: changed, ..seen });
-        if now - changed >= settings.stall_timeout {
-            self.banned = Some((asked.by, now + settings.stall_ban));
+        self.last_progress = Some(LastProgress { changed_at, ..latest });
+        if now - changed_at >= settings.stall_timeout {
+            self.banned = Some((request.by, now + settings.stall_ban));
             return Err(Refusal::Stalled);
         }
         Ok(())
     }
 
-    /// What was not granted here cannot be given back here: a candidate that was refused raises nobody's epoch.
+    /// Releases what was granted here; anything else changes nothing, so a candidate that was refused raises nobody's
+    /// epoch.
     fn release(&mut self, epoch: Epoch, used: bool) -> bool {
         let held = self.lease.is_some_and(|(_, held, _)| held == epoch);
         if held && !used {
-            // Else who holds the duty elsewhere would be refused here for as long as it holds it.
+            // Otherwise the member that holds the duty elsewhere would be refused here for as long as it holds it.
             self.highest = self.previous_highest;
         }
         if held {
--- a/crates/duties/src/claim.rs
+++ b/crates/duties/src/claim.rs
@@ -1,4 +1,4 @@
-//! One duty as its candidate or holder sees it.
+//! One member's claim to one duty, from its first request until it loses or hands over the duty.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -6,10 +6,10 @@
 
 use crate::{Epoch, Progress, Refusal, Settings};
 
-/// Requests whose answers are still counted.
+/// Most requests whose answers are still counted.
 const MAX_OPEN_REQUESTS: usize = 8;
 
-/// A request and who granted it.
+/// A request and the members that granted it.
 #[derive(Clone, Debug, PartialEq)]
 struct Request {
     seq: u32,
@@ -17,58 +17,59 @@
     granted: BTreeSet<MemberId>,
 }
 
-/// Where it is with the duty.
+/// The state of the claim.
 #[derive(Clone, Debug, PartialEq)]
 enum State {
-    /// It holds nothing, and asks for nothing before then.
+    /// Holds nothing, and requests nothing before the given time.
     Idle { not_before: f64 },
-    /// It has asked, since then, and may not act yet.
+    /// Has requested the duty at that time and may not act yet.
     Requesting { since: f64 },
-    /// It may act until then. Since when it holds the duty.
+    /// May act until the given time; has held the duty since `since`.
     Holding { until: f64, since: f64 },
 }
 
-/// What is to be said to all acceptors.
+/// A message to all acceptors.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClaimMessage {
-    /// A request.
+    /// Requests the duty, or its renewal.
     Request {
-        /// Under which epoch.
+        /// The epoch to hold it under.
         epoch: Epoch,
-        /// Which.
+        /// The number of the request.
         seq: u32,
-        /// The epoch given back for this one.
+        /// The epoch that the last holder released in favour of this member.
         predecessor: Option<Epoch>,
     },
-    /// It no longer acts under that epoch.
+    /// Gives up an epoch: this member no longer acts under it.
     Release {
-        /// Which.
+        /// The epoch.
         epoch: Epoch,
-        /// To whom it hands the duty on.
+        /// The member that the duty is handed over to.
         to: Option<MemberId>,
-        /// Whether it could act under it.
+        /// Whether this member could ever act under the epoch.
         used: bool,
     },
 }
 
-/// How a holder came to hold a duty no more.
+/// Why a member no longer holds a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// Its term ran out: too few members granted it anew in time.
+    /// The term ended: too few members renewed the lease in time.
     Expired,
-    /// A majority refuses it.
+    /// A majority refused the renewal.
     Refused(Refusal),
-    /// It handed the duty on.
+    /// It handed the duty over.
     HandedOver,
 }
 
-/// A candidate or holder of one duty.
+/// One member's claim to one duty, as a candidate or as the holder.
 #[derive(Clone, Debug)]
 pub struct Claim {
     own: MemberId,
     incarnation: u64,
     state: State,
-    /// The present epoch, the one that it moves to as some have seen a later one, and the one given back for it.
+    /// The present epoch; the one that it moves to since some acceptors know a later one (`next_epoch`, requested if
+    /// a renewal was refused as stale); and the one released in its favour (`predecessor`).
     epoch: Epoch,
     next_epoch: Option<Epoch>,
     refused_as_stale: bool,
@@ -77,16 +78,16 @@
     next_seq: u32,
     request_time: f64,
     refused: BTreeSet<MemberId>,
-    /// The highest epoch heard of.
+    /// The highest epoch that this member knows of.
     highest: Epoch,
-    /// How far it has come.
+    /// How far this member has come with the work.
     pub progress: Progress,
-    /// What is to be said.
+    /// Messages to all acceptors that are not sent yet.
     pub outgoing: Vec<ClaimMessage>,
 }
 
 impl Claim {
-    /// Of a member's life.
+    /// The claim of a member in an incarnation; it holds nothing yet.
     pub fn new(own: MemberId, incarnation: u64) -> Claim {
         Claim {
             own,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The epoch under which it may act now. Asked again right before each act.
+    /// The epoch under which the member may act now. To be checked again right before each action.
     pub fn may_act(&self, now: f64) -> Option<Epoch> {
         match self.state {
             State::Holding { until, .. } if now < until => Some(self.epoch),
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Since when it holds the duty.
+    /// Since when it has held the duty.
     pub fn since(&self) -> Option<f64> {
         match self.state {
             State::Holding { since, .. } => Some(since),
@@ -122,17 +123,18 @@
         }
     }
 
-    /// Whether it neither holds the duty nor asks for it.
+    /// Whether it neither holds nor requests the duty.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, State::Idle { .. })
     }
 
-    /// A higher epoch was heard of.
+    /// Records that a higher epoch is known.
     pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.highest = self.highest.max(epoch);
     }
 
-    /// Asks for the duty, where it holds nothing and may ask by now. `after` is the epoch that was given back for it.
+    /// Requests the duty if it is idle and may request by now. `after` is the epoch that the last holder released in
+    /// its favour.
     pub fn request_lease(&mut self, now: f64, after: Option<Epoch>) {
         let State::Idle { not_before } = self.state else { return };
         if now < not_before && after.is_none() {
@@ -154,7 +156,7 @@
         if self.requests.len() >= MAX_OPEN_REQUESTS {
             self.requests.pop_front();
         }
-        // Counted from before it is said: the lease is over here before it is over where it was granted.
+        // Counted from before the request is sent, so the lease ends here before it ends at the acceptors.
         self.requests.push_back(Request { seq, sent_at: now, granted: BTreeSet::new() });
         self.outgoing.push(ClaimMessage::Request {
             epoch: self.next_epoch.unwrap_or(self.epoch),
@@ -163,7 +165,7 @@
         });
     }
 
-    /// A member granted it; returns whether the duty is held from now on.
+    /// Handles a grant; returns whether the duty is held from now on.
     pub fn receive_grant(
         &mut self,
         now: f64,
@@ -198,11 +200,11 @@
         }
     }
 
-    /// A member refused it.
+    /// Handles a refusal; returns why the duty is lost, if it was held.
     pub fn receive_refusal(
         &mut self,
         now: f64,
-        (by, epoch, why): (MemberId, Epoch, Refusal),
+        (by, epoch, reason): (MemberId, Epoch, Refusal),
         s: &Settings,
         members: usize,
     ) -> Option<LossReason> {
@@ -210,37 +212,38 @@
             return None;
         }
         self.refused.insert(by);
-        self.refused_as_stale |= why == Refusal::StaleEpoch;
-        // As soon as no majority can be had any more.
+        self.refused_as_stale |= reason == Refusal::StaleEpoch;
+        // Gives up as soon as a majority is out of reach.
         if 2 * (members - self.refused.len().min(members)) > members {
             return None;
         }
         let held = matches!(self.state, State::Holding { .. });
-        // Whoever asked at the same moment has it, or nobody has: another time for each.
-        let wait = match why {
+        // Another candidate that requested at the same time has the duty, or nobody has: each waits for a different
+        // time.
+        let wait = match reason {
             Refusal::Stalled => s.stall_ban,
-            // This member has missed that somebody holds it, and hears of it with the next request.
+            // This member missed that another holds the duty, and learns of it from the holder's next request.
             Refusal::AlreadyHeld => s.term,
             _ => s.candidate_delay * (1.0 + self.jitter()),
         };
         self.stop(now + wait, None);
-        held.then_some(LossReason::Refused(why))
+        held.then_some(LossReason::Refused(reason))
     }
 
-    /// Stops at once, says so, and asks for nothing before then.
+    /// Stops at once, releases the duty, and requests nothing before `not_before`.
     fn stop(&mut self, not_before: f64, to: Option<MemberId>) {
         let used = matches!(self.state, State::Holding { .. });
         self.state = State::Idle { not_before };
         self.requests.clear();
         self.refused_as_stale = false;
-        // Some have granted the one that it was moving to, and the others the one before it.
+        // Some acceptors granted the next epoch, the others the present one: both are released.
         if let Some(epoch) = self.next_epoch.take() {
             self.outgoing.push(ClaimMessage::Release { epoch, to, used });
         }
         self.outgoing.push(ClaimMessage::Release { epoch: self.epoch, to, used });
     }
 
-    /// Hands the duty on; returns whether it held it.
+    /// Hands the duty over, or gives it up if `to` is `None`; returns whether it was held.
     pub fn hand_over(&mut self, now: f64, to: Option<MemberId>, s: &Settings) -> bool {
         let held = self.may_act(now).is_some();
         if !self.is_idle() {
@@ -249,7 +252,8 @@
         held
     }
 
-    /// What time brings.
+    /// Renews the lease, repeats requests, and ends the claim when its time is up; returns why the duty is lost, if
+    /// it was held.
     pub fn tick(&mut self, now: f64, s: &Settings) -> Option<LossReason> {
         match self.state {
             State::Holding { until, .. } if now >= until => {
@@ -259,7 +263,8 @@
             State::Holding { .. } if now >= self.request_time => {
                 self.request_time = now + s.renew_interval;
                 self.refused.clear();
-                // One that died as it asked left a later epoch at some: they grant what is above that.
+                // A candidate that died during its request left a later epoch at some acceptors: they grant only what
+                // is above that.
                 if std::mem::take(&mut self.refused_as_stale) {
                     self.highest = self.highest.next(self.own, self.incarnation);
                     self.next_epoch = Some(self.highest);
@@ -267,12 +272,12 @@
                 self.send_request(now);
                 None
             }
-            // Too few answered: those who granted it are to be free for others.
+            // Too few acceptors answered: those that granted the request must be free for others.
             State::Requesting { since } if now - since >= s.renew_interval => {
                 self.stop(now + s.candidate_delay * (1.0 + self.jitter()), None);
                 None
             }
-            // One that has just started may grant by now.
+            // An acceptor that has just started may grant by now.
             State::Requesting { .. } if now - self.request_time >= s.renew_interval / 4.0 => {
                 self.request_time = now;
                 self.send_request(now);
@@ -282,7 +287,8 @@
         }
     }
 
-    /// A number between 0 and 1 that differs by member and epoch, so that two that ask at once part.
+    /// A number between 0 and 1 that differs by member and epoch, so that two members that request at the same time
+    /// separate.
     fn jitter(&self) -> f64 {
         let bytes = [self.own.0.to_le_bytes(), self.epoch.round.to_le_bytes()].concat();
         (xxhash_rust::xxh3::xxh3_64(&bytes) >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,22 +1,24 @@
-//! Duties that only one member of a fleet may hold at a time, and who holds them now.
+//! Duties that only one member of a fleet may hold at a time: who holds each of them, and how it passes to another.
 //!
-//! A duty is held by a lease from a majority of the configured members. Each of them is an *acceptor*: it grants a duty to
-//! one holder at a time, and keeps that in memory alone. A holder counts its lease from before it asked; an acceptor
-//! counts what it granted from when it heard, and for longer, as clocks differ in pace by up to a hundredth. A member
-//! that starts does not know what it granted before, and grants nothing until all of that has run out. Any two
-//! majorities share a member, and that one grants to one holder at a time: so two never hold a duty at once, whoever is
-//! paused, cut off, killed or slow.
+//! A duty is held by a lease from a majority of the configured members. Each of them is an *acceptor*: it grants a
+//! duty to one holder at a time and keeps that only in memory. A holder counts its lease from before it sent the
+//! request; an acceptor counts it from when it received the request, and for longer, as clocks differ in pace by up
+//! to a hundredth. A member that starts does not know what it granted before, and grants nothing until all of that
+//! has expired. Any two majorities share a member, and that member grants to one holder at a time: so two members
+//! never hold a duty at once, whoever is paused, cut off, killed or slow.
 //!
-//! Every grant has an [`Epoch`], higher than all before it that its acceptors have seen. A holder that was paused between its
-//! last look and its act acts under an old epoch, and the [`Fence`] where the effect lands refuses it.
+//! Every grant has an [`Epoch`], higher than all earlier ones that its acceptors have seen. A holder that was paused
+//! between its last check and its action acts under an old epoch, and the [`Fence`] at the place of the effect
+//! refuses the request.
 //!
 //! - [`acceptor`]: what one member has granted.
 //! - [`claim`]: one duty as its candidate or holder sees it.
-//! - [`placement`]: who is to hold what, by weight.
-//! - [`member`]: all duties of a member, and what it says to others.
-//! - [`fence`]: the last look, where the effect lands.
+//! - [`placement`]: which member should hold which duty, by weight.
+//! - [`member`]: all duties of a member, and its messages to others.
+//! - [`fence`]: the check where a request takes effect.
 //!
-//! No I/O, no clock, no threads: times are seconds on the member's own clock, handed in; between members go durations.
+//! No I/O, no clock, no threads: times are seconds on the member's own clock, passed in by the caller; messages
+//! between members carry durations.
 
 pub mod acceptor;
 pub mod claim;
@@ -33,14 +35,14 @@
 pub use fence::{Fence, FenceError};
 pub use member::Duties;
 
-/// Duties that a member keeps in mind at most, its own and those that others asked it for.
+/// Most duties that a member keeps track of: its own and those that others requested from it.
 pub const MAX_DUTIES: usize = 256;
-/// What an acceptor grants counts for so many times the term: clocks differ in pace by up to a hundredth each.
+/// An acceptor counts a lease for this many times its term: clocks differ in pace by up to a hundredth each.
 const CLOCK_PACE_MARGIN_RATIO: f64 = 1.04;
-/// And so much longer, in seconds: terms are told in milliseconds.
+/// Added to that, in seconds: terms are sent in whole milliseconds.
 const ROUNDING_MARGIN_S: f64 = 0.05;
 
-/// What a duty reaches over.
+/// What a duty covers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
     /// The whole fleet.
@@ -51,33 +53,34 @@
     Server(String),
 }
 
-/// Whether two may hold a duty for a moment.
+/// Whether two members may hold a duty at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// Never two at once: by a lease from a majority; a minority holds none.
+    /// Never two at once: the holder needs a lease from a majority; a minority holds none.
     Exclusive,
-    /// Doubled it costs work and harms nothing: by rendezvous hashing among the living; also in a minority.
+    /// Done twice it costs work and harms nothing: the owner is chosen by rendezvous hashing among the live members,
+    /// also in a minority.
     Harmless,
 }
 
-/// A duty.
+/// A task that one member does for the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duty {
-    /// What is to be done.
+    /// The name of the task.
     pub name: String,
-    /// Over what.
+    /// What it covers.
     pub scope: Scope,
-    /// Whether two may hold it for a moment.
+    /// Whether two members may hold it at the same time.
     pub kind: Kind,
 }
 
 impl Duty {
-    /// An exclusive one.
+    /// A duty of which there is one holder at most.
     pub fn exclusive(name: &str, scope: Scope) -> Duty {
         Duty { name: name.into(), scope, kind: Kind::Exclusive }
     }
 
-    /// One that is harmless when doubled.
+    /// A duty that may be done twice without harm.
     pub fn harmless(name: &str, scope: Scope) -> Duty {
         Duty { name: name.into(), scope, kind: Kind::Harmless }
     }
@@ -98,24 +101,24 @@
     }
 }
 
-/// A duty's name and scope, hashed.
+/// A hash of a duty's name and scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DutyKey(pub u64);
 
-/// The number of a grant. Of two grants of one duty the later has the higher one: the round first, then who asked, so that no
-/// two that ask have the same.
+/// The number of a grant, a fencing token. Of two grants of one duty the later has the higher epoch. Ordered by round
+/// first, then by member, so that no two members that request a duty have the same epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Higher than every one that was heard of when it was asked for.
+    /// Higher than every round that the requesting member knew of.
     pub round: u64,
-    /// Who asked.
+    /// The member that requested.
     pub member: u64,
-    /// In which life: a member that starts anew may have asked under its round before.
+    /// The incarnation that requested: an earlier one of the same member may have used the same round.
     pub incarnation: u64,
 }
 
 impl Epoch {
-    /// The one to ask for after this.
+    /// The epoch to request after this one.
     pub fn next(self, member: MemberId, incarnation: u64) -> Epoch {
         Epoch { round: self.round.saturating_add(1), member: member.0, incarnation }
     }
@@ -127,20 +130,20 @@
     }
 }
 
-/// The figures of it, in seconds. All members of a fleet have the same.
+/// Timing of leases, in seconds. All members of a fleet have the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// A holder may act for so long after it asked for its lease.
+    /// The term of a lease: how long a holder may act after it sent its request.
     pub term: f64,
-    /// It asks anew after so long: two words may be lost before the term runs out.
+    /// Interval between renewals: two messages may be lost before the term ends.
     pub renew_interval: f64,
-    /// The next in the order of candidates waits for so much longer than the one before it.
+    /// How much longer each candidate waits than the one before it in the order of candidates.
     pub candidate_delay: f64,
-    /// A holder that says that it has work is taken to be stuck when its progress stands still for so long.
+    /// A holder that reports work is regarded as stuck when its progress does not change for this long.
     pub stall_timeout: f64,
-    /// One that was stuck is granted nothing of that duty for so long.
+    /// How long a member that was stuck is refused the duty.
     pub stall_ban: f64,
-    /// A duty that was taken stays where it is for so long, whoever returns.
+    /// How long a duty stays with its holder before it may be handed over for a fairer distribution, whoever returns.
     pub min_hold: f64,
 }
 
@@ -158,7 +161,7 @@
 }
 
 impl Settings {
-    /// For how long an acceptor keeps to what it granted, and a member that starts grants nothing.
+    /// How long an acceptor keeps to what it granted, and how long a member that starts grants nothing; in seconds.
     pub fn grant_duration(&self) -> f64 {
         self.term * CLOCK_PACE_MARGIN_RATIO + ROUNDING_MARGIN_S
     }
@@ -167,91 +170,92 @@
 /// How far a holder has come with its work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Any number that changes with each step done.
+    /// Any number that changes with each completed step.
     pub mark: u64,
-    /// Whether there is work to do: an idle holder's mark may stand still.
+    /// Whether there is work to do: the mark of an idle holder need not change.
     pub busy: bool,
 }
 
-/// Why an acceptor does not grant.
+/// Why an acceptor does not grant a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Another holds it.
-    #[error("another member holds the duty: it is taken over when that lease runs out or is given back")]
+    /// Another member holds it.
+    #[error("another member holds the duty: it is taken over when that lease expires or is released")]
     AlreadyHeld,
-    /// Another asks for it, and it is not known whether it got it.
-    #[error("another member asks for the duty at the same moment: nothing is to be done, each tries again after a draw")]
+    /// Another member requests it, and it is not known whether it got it.
+    #[error("another member requests the duty at the same time: nothing needs to be done, each retries after a random delay")]
     Contended,
-    /// A later epoch was seen.
+    /// A later epoch is known.
     #[error(
-        "a later epoch of the duty is known: who asked under this one was paused or cut off, and asks anew"
+        "a later epoch of the duty is known: the member that requested under this one was paused or cut off, and requests again"
     )]
     StaleEpoch,
-    /// It is kept for the one to whom it is handed on.
-    #[error("the duty is being handed on to another member")]
+    /// It is reserved for the member to which it is being handed over.
+    #[error("the duty is being handed over to another member")]
     Reserved,
     /// The holder has work and makes no progress.
     #[error(
-        "the holder has work and its progress stands still: look at its log; the duty goes to another member"
+        "the holder has work and its progress does not change: see its log; the duty goes to another member"
     )]
     Stalled,
-    /// Its term is longer than the own one.
-    #[error("the term asked for is longer than this member's: give all members the same `term`")]
+    /// The requested term is longer than this member's own setting.
+    #[error("the requested term is longer than this member's: give all members the same `term`")]
     TermTooLong,
-    /// There are too many duties.
-    #[error("more than {MAX_DUTIES} duties are known: name fewer")]
+    /// More than [`MAX_DUTIES`] duties are known.
+    #[error("more than {MAX_DUTIES} duties are known: configure fewer")]
     TooManyDuties,
 }
 
-/// What members say to each other of duties.
+/// Messages between members about duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The speaker asks to hold a duty, or to go on holding it.
+    /// The sender requests to hold a duty, or to go on holding it.
     Request {
-        /// Which.
+        /// The duty.
         duty: DutyKey,
-        /// Under which epoch.
+        /// The epoch to hold it under.
         epoch: Epoch,
-        /// Counts the speaker's requests of it, so that an answer is not taken for one to a later request.
+        /// Number of this request among the sender's requests for the duty, so that an answer is not taken for one to
+        /// a later request.
         seq: u32,
-        /// For how long from when it was sent, in milliseconds.
+        /// The term, counted from when the request was sent, in milliseconds.
         term_ms: u32,
-        /// How far it has come.
+        /// How far the sender has come.
         progress: Progress,
-        /// Whether it holds the duty already.
+        /// Whether the sender holds the duty already.
         holds: bool,
-        /// The epoch that its last holder has given back to hand the duty on to the speaker.
+        /// The epoch that the last holder released to hand the duty over to the sender.
         predecessor: Option<Epoch>,
     },
-    /// It is granted.
+    /// The request is granted.
     Granted {
-        /// Which.
+        /// The duty.
         duty: DutyKey,
-        /// Under which epoch.
+        /// The epoch that was granted.
         epoch: Epoch,
-        /// Which request.
+        /// The number of the request.
         seq: u32,
     },
-    /// It is not.
+    /// The request is refused.
     Refused {
-        /// Which.
+        /// The duty.
         duty: DutyKey,
-        /// The epoch that was asked for.
+        /// The epoch that was requested.
         epoch: Epoch,
-        /// The highest that was seen.
+        /// The highest epoch that the acceptor knows.
         highest: Epoch,
-        /// Why.
+        /// The reason.
         reason: Refusal,
     },
-    /// The speaker no longer acts under an epoch, and hands the duty on.
+    /// The sender no longer acts under an epoch, and gives the duty up.
     Release {
-        /// Which.
+        /// The duty.
         duty: DutyKey,
-        /// Under which epoch.
+        /// The epoch that is over.
         epoch: Epoch,
-        /// To whom; whoever comes first where it is nobody.
+        /// The member it is handed over to; `None` for whoever requests it first.
         to: Option<MemberId>,
-        /// Whether it ever could act under it: one that could not leaves no higher epoch behind.
+        /// Whether the sender could ever act under the epoch: if not, it leaves no higher epoch behind.
         used: bool,
     },
 }
--- a/crates/duties/src/member.rs
+++ b/crates/duties/src/member.rs
@@ -1,4 +1,4 @@
-//! All duties of a member: what it grants, what it holds, and what it says to others.
+//! All duties of a member: what it grants, what it holds, and its messages to others.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -11,17 +11,17 @@
 use crate::placement::{candidate_order, holds_too_many, Candidate};
 use crate::{Duty, DutyKey, Epoch, Kind, Message, Progress, Refusal, Settings, MAX_DUTIES};
 
-/// Words that wait for a member at most; what is lost beyond it is said again.
+/// Most messages queued for one member; those dropped beyond it are sent again later.
 const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Things to be told to the log that are kept until they are taken.
+/// Most events kept for the log until they are taken.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// What is to be told to the staff.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It holds a duty, under an epoch.
+    /// This member holds a duty, under an epoch.
     Acquired(Duty, Epoch),
-    /// It holds it no more.
+    /// This member no longer holds a duty.
     Lost(Duty, Epoch, LossReason),
 }
 
@@ -29,11 +29,11 @@
 struct OwnDuty {
     duty: Duty,
     claim: Claim,
-    /// Since when nobody holds it, as far as is granted here.
+    /// Since when nobody has held it, as far as this member granted it.
     unheld_since: Option<f64>,
 }
 
-/// A member's duties.
+/// A member's duties, its acceptor and its messages to other members.
 #[derive(Clone)]
 pub struct Duties {
     own: MemberId,
@@ -43,14 +43,14 @@
     acceptor: Acceptor,
     duties: BTreeMap<DutyKey, OwnDuty>,
     outgoing: BTreeMap<MemberId, VecDeque<Message>>,
-    /// It takes nothing any more, and hands on what it has.
+    /// Whether the member is about to end: it acquires nothing and hands over what it holds.
     leaving: bool,
     candidates: Vec<Candidate>,
     events: Vec<Event>,
 }
 
 impl Duties {
-    /// A member that has just started.
+    /// The duties of a member that has just started; `members` are all configured members.
     pub fn new(
         now: f64,
         own: MemberId,
@@ -72,16 +72,17 @@
         }
     }
 
-    /// Takes the duties that the configuration names. One that is named no more is given back.
+    /// Sets the duties that the configuration names. One that is no longer named is released.
     pub fn set_duties(&mut self, now: f64, duties: impl IntoIterator<Item = Duty>) {
-        let named: BTreeMap<DutyKey, Duty> =
+        let configured: BTreeMap<DutyKey, Duty> =
             duties.into_iter().take(MAX_DUTIES).map(|duty| (duty.key(), duty)).collect();
-        let gone: Vec<DutyKey> = self.duties.keys().filter(|key| !named.contains_key(key)).copied().collect();
-        for key in gone {
+        let removed: Vec<DutyKey> =
+            self.duties.keys().filter(|key| !configured.contains_key(key)).copied().collect();
+        for key in removed {
             self.release(now, key, None);
             self.duties.remove(&key);
         }
-        for (key, duty) in named {
+        for (key, duty) in configured {
             let (own, incarnation) = (self.own, self.incarnation);
             self.duties.entry(key).or_insert_with(|| OwnDuty {
                 duty,
@@ -91,25 +92,25 @@
         }
     }
 
-    /// The epoch under which this member may act on an exclusive duty now. To be asked right before each act; whoever
-    /// carries the act out passes the epoch through its [`crate::Fence`].
+    /// The epoch under which this member may act on an exclusive duty now. Check it right before each action; the
+    /// receiver of the action passes the epoch through its [`crate::Fence`].
     pub fn may_act(&self, now: f64, duty: DutyKey) -> Option<Epoch> {
         self.duties.get(&duty)?.claim.may_act(now)
     }
 
-    /// Whether a duty that is harmless when doubled is this member's, among the living.
+    /// Whether this member owns a duty that may be done twice without harm; `living` are the live members.
     pub fn is_owner(&self, duty: DutyKey, living: impl IntoIterator<Item = MemberId>) -> bool {
         owner(duty.0, living.into_iter().map(|m| (m, m.0))) == Some(self.own)
     }
 
-    /// How far this member has come with a duty.
+    /// Sets how far this member has come with a duty.
     pub fn set_progress(&mut self, duty: DutyKey, progress: Progress) {
         if let Some(own) = self.duties.get_mut(&duty) {
             own.claim.progress = progress;
         }
     }
 
-    /// What is to be told to the staff since this was last asked.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Hands all on, and takes nothing any more: it is about to end.
+    /// Hands over all duties and acquires none any more: the member is about to end.
     pub fn leave(&mut self, now: f64) {
         self.leaving = true;
         let held: Vec<DutyKey> = self.duties.keys().copied().collect();
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Hands one on, to a member or to whoever comes first.
+    /// Hands a duty over to a member, or to whoever requests it first.
     pub fn hand_over(&mut self, now: f64, key: DutyKey, to: Option<MemberId>) {
         self.release(now, key, to);
     }
@@ -147,33 +148,33 @@
         self.send_claim_messages(now, key);
     }
 
-    // ---- Words
+    // ---- Messages
 
-    /// Takes a word of a member of the configuration.
-    pub fn receive(&mut self, now: f64, from: MemberId, word: &Message) {
+    /// Handles a message from another member of the configuration.
+    pub fn receive(&mut self, now: f64, from: MemberId, message: &Message) {
         if !self.members.contains(&from) || from == self.own {
             return;
         }
-        match *word {
-            Message::Request { duty, epoch, seq, term_ms, progress, holds, predecessor: after } => {
+        match *message {
+            Message::Request { duty, epoch, seq, term_ms, progress, holds, predecessor } => {
                 let term = f64::from(term_ms) / 1000.0;
-                let asked = LeaseRequest { by: from, duty, epoch, term, progress, holds, predecessor: after };
-                // An epoch is its asker's own: nobody asks under another's.
+                let request = LeaseRequest { by: from, duty, epoch, term, progress, holds, predecessor };
+                // An epoch belongs to the member that requests it: nobody may request under another's.
                 if epoch.member != from.0 {
                     return;
                 }
-                match self.acceptor.receive_request(now, &asked) {
+                match self.acceptor.receive_request(now, &request) {
                     Some(Ok(())) => self.enqueue(from, Message::Granted { duty, epoch, seq }),
-                    Some(Err((why, highest))) => {
-                        self.enqueue(from, Message::Refused { duty, epoch, highest, reason: why })
+                    Some(Err((reason, highest))) => {
+                        self.enqueue(from, Message::Refused { duty, epoch, highest, reason })
                     }
                     None => {}
                 }
             }
             Message::Granted { duty, epoch, seq } => self.receive_grant(now, from, duty, epoch, seq),
-            Message::Refused { duty, epoch, highest, reason: why } => {
+            Message::Refused { duty, epoch, highest, reason } => {
                 self.acceptor.observe_epoch(duty, highest);
-                self.receive_refusal(now, from, duty, epoch, highest, why);
+                self.receive_refusal(now, from, duty, epoch, highest, reason);
             }
             Message::Release { duty, epoch, to, used } => {
                 if epoch.member != from.0 {
@@ -208,59 +209,59 @@
         key: DutyKey,
         epoch: Epoch,
         highest: Epoch,
-        why: Refusal,
+        reason: Refusal,
     ) {
         let (settings, members) = (self.settings, self.members.len());
         let Some(own) = self.duties.get_mut(&key) else { return };
         own.claim.observe_epoch(highest);
-        if let Some(lost) = own.claim.receive_refusal(now, (by, epoch, why), &settings, members) {
+        if let Some(lost) = own.claim.receive_refusal(now, (by, epoch, reason), &settings, members) {
             let duty = own.duty.clone();
             self.push_event(Event::Lost(duty, epoch, lost));
         }
         self.send_claim_messages(now, key);
     }
 
-    /// Says to all acceptors what a holder has to say, the own one among them.
+    /// Sends a claim's messages to all acceptors, this member's own included.
     fn send_claim_messages(&mut self, now: f64, key: DutyKey) {
-        // The own acceptor's answer may bring another word: a refusal that ends it.
+        // The answer of the own acceptor may cause another message: the release after a refusal.
         for _ in 0..4 {
             let Some(own) = self.duties.get_mut(&key) else { return };
-            let says = std::mem::take(&mut own.claim.outgoing);
-            if says.is_empty() {
+            let messages = std::mem::take(&mut own.claim.outgoing);
+            if messages.is_empty() {
                 return;
             }
             let progress = own.claim.progress;
-            for say in says {
-                self.broadcast(now, key, say, progress);
+            for claim_message in messages {
+                self.broadcast(now, key, claim_message, progress);
             }
         }
     }
 
-    fn broadcast(&mut self, now: f64, duty: DutyKey, say: ClaimMessage, progress: Progress) {
+    fn broadcast(&mut self, now: f64, duty: DutyKey, claim_message: ClaimMessage, progress: Progress) {
         let holds = self.may_act(now, duty).is_some();
-        let word = match say {
-            ClaimMessage::Request { epoch, seq, predecessor: after } => {
+        let message = match claim_message {
+            ClaimMessage::Request { epoch, seq, predecessor } => {
                 let term_ms = (self.settings.term * 1000.0) as u32;
-                Message::Request { duty, epoch, seq, term_ms, progress, holds, predecessor: after }
+                Message::Request { duty, epoch, seq, term_ms, progress, holds, predecessor }
             }
             ClaimMessage::Release { epoch, to, used } => Message::Release { duty, epoch, to, used },
         };
         let others: Vec<MemberId> = self.members.iter().copied().filter(|m| *m != self.own).collect();
         for member in others {
-            self.enqueue(member, word.clone());
+            self.enqueue(member, message.clone());
         }
-        match say {
-            ClaimMessage::Request { epoch, seq, predecessor: after } => {
+        match claim_message {
+            ClaimMessage::Request { epoch, seq, predecessor } => {
                 let term = self.settings.term;
-                let asked =
-                    LeaseRequest { by: self.own, duty, epoch, term, progress, holds, predecessor: after };
-                match self.acceptor.receive_request(now, &asked) {
+                let request = LeaseRequest { by: self.own, duty, epoch, term, progress, holds, predecessor };
+                match self.acceptor.receive_request(now, &request) {
                     Some(Ok(())) => self.receive_grant(now, self.own, duty, epoch, seq),
-                    Some(Err((why, highest))) => {
+                    Some(Err((reason, highest))) => {
                         let (settings, members) = (self.settings, self.members.len());
                         let Some(own) = self.duties.get_mut(&duty) else { return };
                         own.claim.observe_epoch(highest);
-                        let lost = own.claim.receive_refusal(now, (self.own, epoch, why), &settings, members);
+                        let lost =
+                            own.claim.receive_refusal(now, (self.own, epoch, reason), &settings, members);
                         if let Some(lost) = lost {
                             let duty = own.duty.clone();
                             self.push_event(Event::Lost(duty, epoch, lost));
@@ -275,27 +276,27 @@
         }
     }
 
-    fn enqueue(&mut self, to: MemberId, word: Message) {
-        let waiting = self.outgoing.entry(to).or_default();
-        if waiting.len() < MAX_QUEUED_MESSAGES {
-            waiting.push_back(word);
+    fn enqueue(&mut self, to: MemberId, message: Message) {
+        let queue = self.outgoing.entry(to).or_default();
+        if queue.len() < MAX_QUEUED_MESSAGES {
+            queue.push_back(message);
         }
     }
 
-    /// The next word to a member for which there is room.
+    /// The next message to a member whose link has room.
     pub fn next_message(&mut self, to: MemberId) -> Option<Message> {
         self.outgoing.get_mut(&to)?.pop_front()
     }
 
-    /// A link is down: what waits for it is old when it is up again.
+    /// Drops what is queued for a member whose link is down: it is outdated when the link is up again.
     pub fn link_down(&mut self, member: MemberId) {
         self.outgoing.remove(&member);
     }
 
     // ---- Time
 
-    /// What time brings; the candidates are those of the living that may hold duties, with their weights. Called at least
-    /// every few tens of milliseconds.
+    /// Renews, acquires and hands over duties as time passes. `candidates` are the live members that may hold duties,
+    /// with their weights. Call it at least every few tens of milliseconds.
     pub fn tick(&mut self, now: f64, candidates: &[Candidate]) {
         self.candidates.clear();
         self.candidates.extend_from_slice(candidates);
@@ -316,7 +317,7 @@
         self.rebalance(now);
     }
 
-    /// Asks for a duty that nobody holds, when it is this member's turn.
+    /// Requests a duty that nobody holds, when it is this member's turn.
     fn claim_if_due(&mut self, now: f64, key: DutyKey) {
         let reserved = self.acceptor.reserved_for(now, key).is_some_and(|to| to != self.own);
         let held = reserved || self.acceptor.holder(now, key).is_some();
@@ -327,13 +328,13 @@
             true => None,
             false => own.unheld_since.or(Some(now)),
         };
-        let Some(since) = own.unheld_since.filter(|_| own.claim.is_idle()) else { return };
-        // One that does not grant yet does not know whether others hold it.
+        let Some(unheld_since) = own.unheld_since.filter(|_| own.claim.is_idle()) else { return };
+        // An acceptor that grants nothing yet does not know whether others hold the duty.
         if self.leaving || !self.acceptor.is_granting(now) {
             return;
         }
         let Some(rank) = self.candidate_order(now, key).iter().position(|m| *m == self.own) else { return };
-        if now - since < self.settings.candidate_delay * rank as f64 {
+        if now - unheld_since < self.settings.candidate_delay * rank as f64 {
             return;
         }
         if let Some(own) = self.duties.get_mut(&key) {
@@ -342,7 +343,7 @@
         self.send_claim_messages(now, key);
     }
 
-    /// The order of candidates of a duty, by what is granted here.
+    /// The candidates of a duty in order of preference, by what this member granted.
     fn candidate_order(&self, now: f64, key: DutyKey) -> Vec<MemberId> {
         let exclusive = self.duties.values().filter(|own| own.duty.kind == Kind::Exclusive).count();
         candidate_order(key, &self.candidates, &self.held_counts(now), exclusive)
@@ -358,7 +359,7 @@
         held
     }
 
-    /// Hands a duty on where this member holds too many for long enough.
+    /// Hands a duty over if this member holds too many and has held that one for long enough.
     fn rebalance(&mut self, now: f64) {
         let exclusive = self.duties.values().filter(|own| own.duty.kind == Kind::Exclusive).count();
         if !holds_too_many(self.own, &self.candidates, &self.held_counts(now), exclusive) {
@@ -375,28 +376,28 @@
 
     // ---- Reports
 
-    /// Each duty as it is seen here.
+    /// The state of each duty as this member knows it.
     pub fn snapshot(&self, now: f64) -> Vec<DutyStatus> {
-        let row = |(key, own): (&DutyKey, &OwnDuty)| DutyStatus {
+        let status = |(key, own): (&DutyKey, &OwnDuty)| DutyStatus {
             duty: own.duty.clone(),
             holder: self.acceptor.holder(now, *key),
             own_epoch: own.claim.may_act(now),
             unheld_for: own.unheld_since.map(|since| now - since),
         };
-        self.duties.iter().map(row).collect()
+        self.duties.iter().map(status).collect()
     }
 }
 
-/// A duty as an operator or a test sees it.
+/// The state of a duty, for operators and tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyStatus {
-    /// Which.
+    /// The duty.
     pub duty: Duty,
-    /// Who holds it, as far as is granted here.
+    /// The holder, as far as this member granted the duty.
     pub holder: Option<(MemberId, Epoch)>,
     /// The epoch under which this member may act.
     pub own_epoch: Option<Epoch>,
-    /// For how long nobody holds it, as far as is granted here, in seconds.
+    /// How long nobody has held the duty, as far as this member granted it, in seconds.
     pub unheld_for: Option<f64>,
 }
 
@@ -406,8 +407,8 @@
         match (self.own_epoch, self.holder, self.unheld_for) {
             (Some(epoch), ..) => write!(f, "held here under epoch {epoch}"),
             (_, Some((member, epoch)), _) => write!(f, "held by {:016x} under epoch {epoch}", member.0),
-            (.., Some(free)) => write!(f, "held by nobody for {free:.1} s"),
-            _ => write!(f, "not looked at yet"),
+            (.., Some(duration_s)) => write!(f, "held by nobody for {duration_s:.1} s"),
+            _ => write!(f, "not evaluated yet"),
         }
     }
 }
--- a/crates/duties/src/placement.rs
+++ b/crates/duties/src/placement.rs
@@ -1,5 +1,5 @@
-//! Who is to hold what: an order of candidates for each duty, by weight, so that duties are spread fairly and few move as
-//! members come and go.
+//! Which member should hold which duty: orders the candidates of each duty by weight, so that duties are distributed
+//! fairly and few of them move as members come and go.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,22 @@
 /// A member that may hold duties, and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Who.
+    /// The member.
     pub member: MemberId,
-    /// Its part of the duties against others'; 0 holds none.
+    /// Its weight relative to the other candidates; a member of weight 0 holds no duty.
     pub weight: f64,
 }
 
-/// By weighted rendezvous hashing: each candidate's score is -weight / ln(u), with u drawn by a hash of both.
+/// The score of weighted rendezvous hashing: -weight / ln(u), with u drawn by a hash of duty and candidate.
 fn score(duty: DutyKey, candidate: &Candidate) -> f64 {
     let hash = xxh3_64_with_seed(&duty.0.to_le_bytes(), candidate.member.0);
     let u = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     -candidate.weight / u.ln()
 }
 
-/// The candidates of a duty, the first of whom is to hold it. One that holds its fair part of all duties already comes after
-/// those that do not, so that no member is given more than its part and one as long as others have room.
+/// Returns the candidates of a duty in order of preference; the first one should hold it. Candidates that already
+/// hold their fair part of all `duties` come last, so that nobody gets more than its part while others have room.
+/// `held` is the number of duties that each member holds.
 pub fn candidate_order(
     duty: DutyKey,
     candidates: &[Candidate],
@@ -45,8 +46,8 @@
     all.into_iter().map(|(.., member)| member).collect()
 }
 
-/// Whether a member holds so much more than its part that it is to hand a duty on: by more than one, so that nothing moves
-/// to and fro.
+/// Whether a member holds so many duties that it should hand one over. It must exceed its fair part by more than one,
+/// so that no duty moves back and forth.
 pub fn holds_too_many(
     own: MemberId,
     candidates: &[Candidate],
@@ -64,18 +65,18 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn all(weights: &[f64]) -> Vec<Candidate> {
+    fn candidates_of(weights: &[f64]) -> Vec<Candidate> {
         let one =
             |(n, weight): (usize, &f64)| Candidate { member: MemberId(n as u64 * 977 + 5), weight: *weight };
         weights.iter().enumerate().map(one).collect()
     }
 
-    /// Duties given out one by one go to members by their weights, whoever is asked in which order.
+    /// Assigns duties one by one and checks that each member gets a number proportional to its weight.
     #[test]
-    fn duties_are_spread_by_weight() {
+    fn assigned_duties_are_proportional_to_the_weights_of_the_candidates() {
         for weights in [vec![1.0; 3], vec![1.0, 2.0, 3.0], vec![1.0; 8], vec![4.0, 1.0], vec![1.0, 0.0, 1.0]]
         {
-            let candidates = all(&weights);
+            let candidates = candidates_of(&weights);
             let duties = 120;
             let mut held: BTreeMap<MemberId, usize> = BTreeMap::new();
             for n in 0..duties {
@@ -93,18 +94,18 @@
     }
 
     proptest! {
-        /// One that goes leaves the others' order as it was; all members name the same order.
+        /// A candidate that leaves does not change the order of the others, and all members compute the same order.
         #[test]
-        fn an_order_stays_as_others_come_and_go(keys in prop::collection::vec(any::<u64>(), 1..40), gone in 0usize..6) {
-            let candidates = all(&[1.0, 2.0, 1.0, 1.0, 3.0, 1.0]);
+        fn removing_a_candidate_keeps_the_order_of_the_others(keys in prop::collection::vec(any::<u64>(), 1..40), gone in 0usize..6) {
+            let candidates = candidates_of(&[1.0, 2.0, 1.0, 1.0, 3.0, 1.0]);
             let without: Vec<Candidate> =
                 candidates.iter().enumerate().filter(|(n, _)| *n != gone).map(|(_, c)| *c).collect();
-            let mut turned = candidates.clone();
-            turned.reverse();
+            let mut reversed = candidates.clone();
+            reversed.reverse();
             for key in keys {
                 let none = BTreeMap::new();
                 let before = candidate_order(DutyKey(key), &candidates, &none, 6);
-                prop_assert_eq!(&candidate_order(DutyKey(key), &turned, &none, 6), &before);
+                prop_assert_eq!(&candidate_order(DutyKey(key), &reversed, &none, 6), &before);
                 let left: Vec<MemberId> =
                     before.into_iter().filter(|m| *m != candidates[gone].member).collect();
                 prop_assert_eq!(candidate_order(DutyKey(key), &without, &none, 6), left);
