--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,6 +1,6 @@
-//! What this gatekeeper may use of the fleet's crossing budgets: its own part, less what it lends to other members, and
-//! they lend to it. The decisions are in the crate `lending`; this crate stands between them, the budgets and what
-//! members tell each other.
+//! What this gatekeeper may use of the fleet's crossing budgets: its own part, less what it lends to other members,
+//! plus what they lend to it. The crate `lending` decides; this crate connects it with the crossing budgets and with
+//! the records that members exchange.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,31 @@
 
 use hollypaddle_replica::Member;
 
-/// Shares of the budgets. It outlives the fleet that it was made for: what was lent is not back before its term.
+/// This gatekeeper's share of each budget. It outlives the fleet that it was made for: what was lent is not back
+/// before the lease has expired.
 #[derive(Clone)]
 pub struct Shares {
     lending: Lending,
 }
 
 impl Shares {
-    /// Of a gatekeeper that has just joined, and may have lent in an earlier life.
-    pub fn new(now: f64, most: f64) -> Shares {
-        Shares { lending: Lending::new(now, most) }
+    /// The state of a gatekeeper that has just joined, and may have lent in an earlier incarnation.
+    pub fn new(now: f64, max_lent_ratio: f64) -> Shares {
+        Shares { lending: Lending::new(now, max_lent_ratio) }
     }
 
-    /// Takes another bound on what is lent.
-    pub fn set_max_lent_ratio(&mut self, most: f64) {
-        self.lending.set_max_lent_ratio(most);
+    /// Sets the largest fraction of its part that this gatekeeper lends.
+    pub fn set_max_lent_ratio(&mut self, max_lent_ratio: f64) {
+        self.lending.set_max_lent_ratio(max_lent_ratio);
     }
 
-    /// What is decided, for reports and tests.
+    /// The state of lending, for reports and tests.
     pub fn lending(&self) -> &Lending {
         &self.lending
     }
 
-    /// Looks at what is asked, lends and borrows, and tells the budgets what they may use. Called now and then; without
-    /// a fleet it waits for what is lent. Returns whether it is still of use.
+    /// Lends and borrows by the present demand, and sets what each crossing budget may use. Call it periodically;
+    /// without a fleet it only waits for what is lent to expire. Returns whether it is still needed.
     pub fn update(&mut self, now: f64, fleet: Option<&mut Member>, crossing: Option<&mut Crossing>) -> bool {
         let mut crossing = crossing;
         let asks = crossing.as_mut().map_or_else(Vec::new, |crossing| crossing.asks(now));
@@ -49,8 +50,8 @@
                     Demand { budget: *budget, part, wanted, overdrawn: owes }
                 };
                 let demands: Vec<Demand> = asks.iter().map(demand).collect();
-                for tell in self.lending.update(now, &demands, &fleet.budget_requests()) {
-                    fleet.announce_lending(now, tell);
+                for announcement in self.lending.update(now, &demands, &fleet.budget_requests()) {
+                    fleet.announce_lending(now, announcement);
                 }
             }
             for (budget, at, part) in fleet.leases() {
