--- a/crates/lending/tests/laws.rs
+++ b/crates/lending/tests/laws.rs
@@ -86,7 +86,9 @@
     let mut announced = Vec::new();
     for n in 0..40 {
         let now = 4.0 + 0.25 * f64::from(n);
-        announced.extend(lending.update(now, &idle, &[request]).into_iter().map(|tell| (now, tell)));
+        announced.extend(
+            lending.update(now, &idle, &[request]).into_iter().map(|announcement| (now, announcement)),
+        );
     }
     let leases: Vec<f64> = announced
         .iter()
@@ -114,13 +116,13 @@
         .collect();
     let wants: Vec<BudgetRequest> = (0..100u64)
         .flat_map(|m| {
-            let want = move |d: &Demand| BudgetRequest {
+            let request = move |d: &Demand| BudgetRequest {
                 member: MemberId(m),
                 life: Incarnation::default(),
                 budget: d.budget,
                 part: 900,
             };
-            all.iter().map(want).collect::<Vec<BudgetRequest>>()
+            all.iter().map(request).collect::<Vec<BudgetRequest>>()
         })
         .collect();
     (0..40).for_each(|n| drop(lending.update(5.0 + 0.3 * f64::from(n), &all, &wants)));
