--- a/crates/replica/src/guard.rs
+++ b/crates/replica/src/guard.rs
@@ -1,9 +1,11 @@
-//! What the decision module is told of what others know: as a gate, and as a word on its list.
+//! Restricts the decision module by what other members observed: as a gate for set-ups, and as a change to entries of
+//! the own list.
 //!
-//! Hearsay only ever restricts. A server that another member's list calls draining, gone or started later is told to the
-//! module as that, by an entry of the list; a server is never sent to because others name it. One that another member
-//! finds silent is denied by the gate until an own word of it is younger, unless all are: what others say never shuts
-//! the last door. Tried as a last resort while others are in service, it wasted 60 set-ups where this wastes 44, at the
+//! Peer observations only ever restrict. A server that another member's list has as draining, gone or started later
+//! is passed on to the module as such, by an entry of the list; no server is ever sent to because others name it. A
+//! server that another member finds silent is denied by the gate until the own member has a younger message from it,
+//! unless all servers are silent: observations of others never exclude the last server. When such servers were
+//! instead tried as a last resort while others were in service, 60 set-ups were wasted, against 44 this way, at the
 //! same service (docs/REPLICATION.md).
 
 use std::collections::HashMap;
@@ -13,58 +15,61 @@
 use crate::record::ServerState;
 use crate::store::ServerObservation;
 
-/// A word that a server is silent counts for so long, in seconds; who still finds it so says it again.
+/// How long a report that a server is silent counts, in seconds; a member that still finds it silent reports it
+/// again.
 pub const SILENCE_VALIDITY_S: f64 = 3.0;
-/// A call that is turned away because this member does not know what holds may come again after so long.
+/// When a call may come again that was refused because this member does not know the present state, in seconds.
 const HOLD_RETRY_AFTER_S: f64 = 0.5;
-/// One turned away for hearsay of silence.
+/// When a call may come again that was refused since others report its servers silent, in seconds.
 const SILENCE_RETRY_AFTER_S: f64 = 0.25;
 
-/// The gate.
+/// A gate that denies set-ups by what other members know.
 #[derive(Debug, Default)]
 pub struct Guard {
-    /// Nothing may be sent: what is believed is old.
+    /// Nothing may be sent: the own knowledge is out of date.
     on_hold: bool,
-    /// Pools that others find silent, and whether any other is in service.
+    /// Pools that other members find silent, with the time of the report; and whether any pool in service is not
+    /// among them (`any_responsive`).
     silent_since: HashMap<PoolId, f64>,
     any_responsive: bool,
-    /// Set-ups that were denied, and calls turned away for it.
+    /// Set-ups that were denied.
     pub denied: u64,
-    /// Calls turned away.
+    /// Calls that were refused because their set-ups were denied.
     pub calls_refused: u64,
 }
 
 impl Guard {
-    /// Nothing may be sent, or it may again.
+    /// Forbids all set-ups, or allows them again.
     pub fn set_hold(&mut self, hold: bool) {
         self.on_hold = hold;
     }
 
-    /// Whether nothing may be sent.
+    /// Whether all set-ups are forbidden.
     pub fn is_holding(&self) -> bool {
         self.on_hold
     }
 
-    /// Takes what others say of a pool's silence: since when that counts; the own member heard it last at `heard`.
-    pub fn update_silence(&mut self, now: f64, pool: PoolId, said: Option<f64>, heard: f64) {
-        match said.filter(|at| now - at < SILENCE_VALIDITY_S && heard <= *at) {
+    /// Updates what other members report of a pool's silence: `reported_at` is the time of the latest report;
+    /// `last_received` is when this member last received anything from the pool.
+    pub fn update_silence(&mut self, now: f64, pool: PoolId, reported_at: Option<f64>, last_received: f64) {
+        match reported_at.filter(|at| now - at < SILENCE_VALIDITY_S && last_received <= *at) {
             Some(at) => drop(self.silent_since.insert(pool, at)),
             None => drop(self.silent_since.remove(&pool)),
         }
     }
 
-    /// The own member heard a pool.
+    /// Records that this member received a message from a pool, which ends its silence.
     pub fn server_answered(&mut self, pool: PoolId) {
         self.silent_since.remove(&pool);
     }
 
-    /// Takes the pools that are in service: one that is not there any more is forgotten.
+    /// Sets the pools that are in service; pools that are no longer among them are dropped.
     pub fn set_in_service(&mut self, pools: &[PoolId]) {
         self.silent_since.retain(|pool, _| pools.contains(pool));
         self.any_responsive = pools.iter().any(|pool| !self.silent_since.contains_key(pool));
     }
 
-    /// Pools that are denied now.
+    /// The number of pools that others find silent.
     pub fn silent_servers(&self) -> usize {
         self.silent_since.len()
     }
@@ -72,7 +77,7 @@
 
 impl Gate for Guard {
     fn on_event(&mut self, _: f64, event: &Event) {
-        // Its own word ends what others say.
+        // A message that this member receives itself ends what others report.
         if let Event::Established { pool, .. } | Event::Load { pool, .. } = event {
             self.server_answered(*pool);
         }
@@ -99,23 +104,28 @@
     }
 }
 
-/// A line of the own list, as of then, with what others know: the later start, and the worse place of that start. What
-/// they heard longer before the own list was last heard than lists come late counts for nothing: that list knows as much
-/// by now. Their start is in Unix milliseconds as the own list's is.
+/// Applies what others know of a server to its entry in the own list, as received at `own_received_at`: the later
+/// start wins, and of one start the worse state. An observation that is older than the own list by `max_list_delay`
+/// (seconds) or more counts for nothing: by now the own list knows as much. Both starts are in Unix time, that of the
+/// observation in milliseconds.
 pub fn apply_observation(
     entry: PoolEntry,
-    said: Option<&ServerObservation>,
-    own_at: f64,
-    lists_late: f64,
+    observation: Option<&ServerObservation>,
+    own_received_at: f64,
+    max_list_delay: f64,
 ) -> PoolEntry {
-    let Some(said) = said.filter(|said| said.at > own_at - lists_late) else { return entry };
-    let (theirs, own) = (said.fact.started_ms as f64 / 1000.0, entry.ready_at);
-    if theirs < own {
+    let Some(observation) =
+        observation.filter(|observation| observation.at > own_received_at - max_list_delay)
+    else {
+        return entry;
+    };
+    let (observed_start, own_start) = (observation.fact.started_ms as f64 / 1000.0, entry.ready_at);
+    if observed_start < own_start {
         return entry;
     }
-    let place = match said.fact.place {
+    let observed = match observation.fact.place {
         ServerState::Ready => Readiness::Ready,
-        // Only the own list takes a server away; what it holds of one that is gone must still find it.
+        // Only the own list removes a server: requests for calls that it still holds must reach it.
         ServerState::Draining | ServerState::Gone => Readiness::Draining,
     };
     let rank = |r: Readiness| match r {
@@ -123,10 +133,14 @@
         Readiness::Draining => 1,
         Readiness::Gone => 2,
     };
-    // Of a later start that the own list does not know, its own place says nothing.
-    let readiness = if theirs > own || rank(place) > rank(entry.readiness) { place } else { entry.readiness };
+    // The own list does not know of the later start, so its state says nothing about it.
+    let readiness = if observed_start > own_start || rank(observed) > rank(entry.readiness) {
+        observed
+    } else {
+        entry.readiness
+    };
     let readiness = if rank(entry.readiness) == 2 { entry.readiness } else { readiness };
-    PoolEntry { readiness, ready_at: own.max(theirs), ..entry }
+    PoolEntry { readiness, ready_at: own_start.max(observed_start), ..entry }
 }
 
 #[cfg(test)]
@@ -135,7 +149,7 @@
     use crate::record::ServerFact;
     use hollypaddle_membership::MemberId;
 
-    fn said(started_ms: u64, place: ServerState) -> ServerObservation {
+    fn observation(started_ms: u64, place: ServerState) -> ServerObservation {
         ServerObservation {
             at: 10.0,
             fact: ServerFact { started_ms, place },
@@ -148,25 +162,37 @@
     }
 
     #[test]
-    fn hearsay_restricts_and_never_opens() {
+    fn an_observation_of_another_member_only_ever_restricts_an_entry() {
         use Readiness::{Draining, Gone, Ready};
-        let of = |own: PoolEntry, s: ServerObservation| apply_observation(own, Some(&s), 9.0, 2.0).readiness;
-        let later = apply_observation(entry(5.0, Ready), Some(&said(5000, ServerState::Draining)), 12.5, 2.0);
-        assert_eq!(later.readiness, Ready, "the own list was heard since");
-        let later = apply_observation(entry(5.0, Ready), Some(&said(5000, ServerState::Draining)), 12.5, 7.0);
-        assert_eq!(later.readiness, Draining, "where lists come later, it may not know yet");
-        assert_eq!(of(entry(5.0, Ready), said(5000, ServerState::Draining)), Draining);
-        assert_eq!(of(entry(5.0, Ready), said(5000, ServerState::Gone)), Draining);
-        assert_eq!(of(entry(5.0, Draining), said(5000, ServerState::Ready)), Draining);
-        assert_eq!(of(entry(5.0, Gone), said(6000, ServerState::Ready)), Gone);
-        assert_eq!(of(entry(5.0, Ready), said(4000, ServerState::Gone)), Ready, "of an earlier start");
-        let restarted = apply_observation(entry(5.0, Ready), Some(&said(9000, ServerState::Ready)), 9.0, 2.0);
-        assert_eq!((restarted.readiness, restarted.ready_at), (Ready, 9.0), "cold, as of its later start");
+        let readiness =
+            |own: PoolEntry, s: ServerObservation| apply_observation(own, Some(&s), 9.0, 2.0).readiness;
+        let applied =
+            apply_observation(entry(5.0, Ready), Some(&observation(5000, ServerState::Draining)), 12.5, 2.0);
+        assert_eq!(applied.readiness, Ready, "the own list is younger by more than lists are delayed");
+        let applied =
+            apply_observation(entry(5.0, Ready), Some(&observation(5000, ServerState::Draining)), 12.5, 7.0);
+        assert_eq!(applied.readiness, Draining, "with a longer delay readiness lists it may not know yet");
+        assert_eq!(readiness(entry(5.0, Ready), observation(5000, ServerState::Draining)), Draining);
+        assert_eq!(readiness(entry(5.0, Ready), observation(5000, ServerState::Gone)), Draining);
+        assert_eq!(readiness(entry(5.0, Draining), observation(5000, ServerState::Ready)), Draining);
+        assert_eq!(readiness(entry(5.0, Gone), observation(6000, ServerState::Ready)), Gone);
+        assert_eq!(
+            readiness(entry(5.0, Ready), observation(4000, ServerState::Gone)),
+            Ready,
+            "observed readiness an earlier start"
+        );
+        let restarted =
+            apply_observation(entry(5.0, Ready), Some(&observation(9000, ServerState::Ready)), 9.0, 2.0);
+        assert_eq!(
+            (restarted.readiness, restarted.ready_at),
+            (Ready, 9.0),
+            "cold, as readiness its applied start"
+        );
         assert_eq!(apply_observation(entry(5.0, Ready), None, 9.0, 2.0), entry(5.0, Ready));
     }
 
     #[test]
-    fn a_silent_server_is_denied_until_it_is_heard_or_the_word_is_old_and_never_if_all_are() {
+    fn a_server_reported_silent_is_denied_until_it_answers_or_the_report_expires_unless_it_is_the_last() {
         let mut guard = Guard::default();
         let candidate =
             Candidate { call: 1, class: 0, pool: PoolId(1), attempt: 0, first_tried: 0.0, last_resort: true };
@@ -174,14 +200,14 @@
         guard.set_in_service(&[PoolId(1), PoolId(2)]);
         assert_eq!(guard.may_send(10.0, &candidate).unwrap_err().reason, "fleet-silent-server");
         guard.set_in_service(&[PoolId(1)]);
-        assert!(guard.may_send(10.0, &candidate).is_ok(), "the last door");
+        assert!(guard.may_send(10.0, &candidate).is_ok(), "the last server in service");
         guard.set_in_service(&[PoolId(1), PoolId(2)]);
-        assert!(guard.may_send(9.5 + SILENCE_VALIDITY_S, &candidate).is_ok(), "old");
+        assert!(guard.may_send(9.5 + SILENCE_VALIDITY_S, &candidate).is_ok(), "the report has expired");
         guard.update_silence(10.0, PoolId(1), Some(9.5), 9.6);
-        assert!(guard.may_send(10.0, &candidate).is_ok(), "heard since");
+        assert!(guard.may_send(10.0, &candidate).is_ok(), "received from it since the report");
         guard.update_silence(10.0, PoolId(1), Some(9.5), 9.0);
         guard.on_event(10.1, &Event::Load { pool: PoolId(1), report: Default::default() });
-        assert!(guard.may_send(10.1, &candidate).is_ok(), "heard now");
+        assert!(guard.may_send(10.1, &candidate).is_ok(), "received from it now");
         guard.set_hold(true);
         assert_eq!(guard.may_send(10.2, &candidate).unwrap_err().reason, "fleet-catching-up");
     }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,18 +1,19 @@
-//! What is known where in a fleet of gatekeepers that talk to each other.
+//! What the gatekeepers of a fleet share about servers, calls, budgets and leaves, replicated among them.
 //!
-//! Each member writes one *stream* of records in each of its lives, and nobody else writes to it. A copy of a stream
-//! is described by the version up to which it goes; of one version there is one content. What members believe together
-//! is a join over all streams, so it does not matter in which order, how often or on which ways the copies came.
+//! Each member writes one *stream* of records in each of its incarnations, and nobody else writes to it. A copy of a
+//! stream is described by the version that it reaches; one version always has one content. What the members know
+//! together is a join over all streams, so it does not matter in which order, how often or by which route the copies
+//! arrived.
 //!
-//! No I/O, no clock, no threads: times are seconds on the member's own clock, handed in.
+//! No I/O, no clock, no threads: times are seconds on the member's own clock, passed in by the caller.
 //!
-//! - [`record`]: kinds, keys, values.
-//! - [`stream`]: one stream: versions, tombstones, pieces, its hash.
+//! - [`record`]: kinds, keys and values of records.
+//! - [`stream`]: one stream: its versions, tombstones, chunks and hash.
 //! - [`store`]: all streams held here, and what follows from them together.
-//! - [`catch_up`]: who lacks what and gets it from whom.
-//! - [`adoption`]: whose the calls of a member that is gone are.
-//! - [`guard`]: what the decision module is told of what others know.
-//! - [`member`]: all of it together, words in and words out.
+//! - [`catch_up`]: finds missing records and fetches them from another member.
+//! - [`adoption`]: which member takes over the calls of one that is gone.
+//! - [`guard`]: restricts the decision module by what other members know.
+//! - [`member`]: one member as a whole: messages in, messages out.
 
 pub mod adoption;
 pub mod catch_up;
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -1,4 +1,4 @@
-//! What is replicated: kinds, keys and values, and how each is joined where copies differ.
+//! The replicated records: their kinds, keys and values, and how differing copies are joined.
 
 use std::fmt;
 
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A stream: the records that one member writes in one life.
+/// Identifies a stream: the records that one member writes in one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// Whose.
+    /// The member that writes it.
     pub member: MemberId,
-    /// Of which life.
+    /// The incarnation in which it does.
     pub life: Incarnation,
 }
 
@@ -22,64 +22,64 @@
     }
 }
 
-/// A session server, by a hash of its id, which is the same at every gatekeeper.
+/// Identifies a session server by a hash of its id, the same at every gatekeeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerKey(pub u64);
 
 impl ServerKey {
-    /// The server of an id.
+    /// The key of the server with this id.
     pub fn of(id: &str) -> ServerKey {
         ServerKey(xxh3_64(id.as_bytes()))
     }
 }
 
-/// A class, by a hash of its name: its number may differ among gatekeepers.
+/// Identifies a class by a hash of its name, since its number may differ among gatekeepers.
 pub fn class_key(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// What a record is about. Its kind is part of it.
+/// What a record is about, including the kind of the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// What the origin's list says of a server.
+    /// A server, as the origin's list has it.
     Server(ServerKey),
-    /// The origin finds that server silent.
+    /// A server that the origin finds silent.
     Silent(ServerKey),
-    /// A call that stands through the origin, by its caller's id.
+    /// A standing call through the origin, by the id that its caller gave it.
     Call(u64),
-    /// A call of another's that is over, as the origin knows.
+    /// A call of another member that the origin knows to have ended.
     Over(u64),
-    /// The end of a call that the origin heard and has no caller to tell it to.
+    /// The end of a call that the origin received but has no caller to deliver it to.
     Owed(u64),
-    /// The origin wants more of a budget than its part.
+    /// A budget of which the origin requests more than its part.
     Want(BudgetKey),
-    /// What the origin lends of its part to a member.
+    /// A lease of the origin's part of a budget to a member.
     Lent(BudgetKey, MemberId),
-    /// What a relay's leaves of a topic say of a server, joined.
+    /// A server, as a relay has it by joining what its leaves of a topic report.
     TopicServer(Topic, ServerKey),
-    /// A relay's leaf of a topic finds that server silent.
+    /// A server that a relay's leaf of a topic finds silent.
     TopicSilent(Topic, ServerKey),
-    /// A leaf of a topic, as the relay knows it that it is, or was last, attached to.
+    /// A leaf of a topic that is, or was last, attached to the relay.
     Leaf(Topic, MemberId),
 }
 
-/// What leaves have in common that need the same records: a hash of a service's name.
+/// Identifies the leaves that need the same records, by a hash of a service's name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Topic(pub u32);
 
 impl Topic {
-    /// The topic of a service.
+    /// The topic of the service with this name.
     pub fn of(service: &str) -> Topic {
         Topic(xxh3_64(service.as_bytes()) as u32)
     }
 }
 
-/// The kinds, for reports.
+/// Names of the kinds of records in reports.
 pub const KINDS: [&str; 10] =
     ["server", "silent", "call", "over", "owed", "want", "lent", "topic-server", "topic-silent", "leaf"];
 
 impl Key {
-    /// Its kind, an index into [`KINDS`].
+    /// The index of its kind in [`KINDS`].
     pub fn kind(&self) -> usize {
         match self {
             Key::Server(_) => 0,
@@ -96,86 +96,86 @@
     }
 }
 
-/// Whether a server takes new calls, as its list has it. Greater is worse.
+/// Whether a server accepts new calls, by a member's list. Greater is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerState {
     /// In service.
     Ready,
-    /// It takes nothing new.
+    /// It accepts no new calls.
     Draining,
     /// It has left the list.
     Gone,
 }
 
-/// What a member's list says of a server.
+/// What a member's list reports of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerFact {
-    /// When its process last started, as told, in Unix milliseconds; 0 is long past. The server's own figure, so it
-    /// compares among members.
+    /// When its process last started, as the server reported it, in Unix milliseconds; 0 means long ago. It is the
+    /// server's own figure, so it compares among members.
     pub started_ms: u64,
-    /// Whether it takes new calls.
+    /// Whether it accepts new calls.
     pub place: ServerState,
 }
 
-/// A call that stands.
+/// A standing call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallFact {
-    /// Where.
+    /// The server that holds the call.
     pub server: ServerKey,
     /// Its class, see [`class_key`].
     pub class: u32,
 }
 
-/// How a relay finds a leaf that is, or was last, attached to it.
+/// The presence of a leaf that is, or was last, attached to a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Presence {
-    /// It is attached and heard.
+    /// Attached, and messages arrive.
     Here,
-    /// Its link is open and nothing comes: it is paused, its machine has vanished, or the way is cut.
+    /// Its link is open but nothing arrives: it is paused, its machine has vanished, or the network is cut.
     Silent,
     /// Its link was closed or reset, and it has not attached anywhere since.
     Closed,
-    /// It said that it ends.
+    /// It announced that it ends.
     Left,
-    /// Silent or closed for longer than may be.
+    /// Silent or closed for longer than is allowed.
     Gone,
 }
 
-/// What a relay says of a leaf.
+/// What a relay reports of a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeafFact {
-    /// Its life.
+    /// The leaf's incarnation.
     pub life: Incarnation,
-    /// The leaf's own count of its attachments in that life: of two relays' words the one of the later attachment counts,
-    /// and nobody but that relay writes under it.
+    /// The leaf's own count of its attachments in that incarnation: of two relays' reports the one of the later
+    /// attachment counts, and only the relay of that attachment writes under this number.
     pub moves: u32,
-    /// How it is found.
+    /// Its presence.
     pub presence: Presence,
 }
 
-/// What a record says.
+/// The content of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Value {
-    /// Of a server.
+    /// State of a server.
     Server(ServerFact),
-    /// That it answers nothing, or cannot be reached, and of which start, in Unix milliseconds.
+    /// The server does not answer or cannot be reached; the start of its process in Unix milliseconds.
     Silent(u64),
-    /// Of a call that stands.
+    /// A standing call.
     Call(CallFact),
-    /// Of a call that is over.
+    /// The call has ended.
     Over,
-    /// Whether it was cut.
+    /// Whether the call was cut.
     Owed(bool),
-    /// How much more, in millionths of the whole.
+    /// The amount requested beyond the own part, in millionths of the whole.
     Want(u32),
     /// A lease.
     Lent(Lease),
-    /// Of a leaf.
+    /// State of a leaf.
     Leaf(LeafFact),
 }
 
 impl Value {
-    /// Whether it is of its key's kind.
+    /// Whether the value is of the kind that the key requires.
     pub fn fits(&self, key: &Key) -> bool {
         matches!(
             (key, self),
@@ -193,34 +193,34 @@
     }
 }
 
-/// A record as it is told.
+/// A record as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// What it is about.
     pub key: Key,
-    /// The origin's count of its changes when it was written.
+    /// The origin's version of the stream when it was written.
     pub version: u64,
-    /// How old the evidence is, in milliseconds. Grows on the way, and is no part of the content.
+    /// How old the evidence is, in milliseconds. It grows on the way, and is not part of the content.
     pub age_ms: u32,
-    /// What it says; none where it was withdrawn.
+    /// Its content; `None` if it was withdrawn.
     pub value: Option<Value>,
 }
 
-/// A hash of a record's content: equal copies have equal ones. Of two contents under one version the greater hash
-/// wins, as good a rule as any that all follow.
+/// A hash of a record's content, the same for equal copies. Of two contents under one version the one with the
+/// greater hash wins: any rule would do as long as all members follow it.
 pub fn content_hash(key: &Key, version: u64, value: &Option<Value>) -> u64 {
     let mut room = [0; 96];
-    // The longest content is under 70 bytes; one that had no room would count as empty at every member alike.
+    // The longest content is under 70 bytes; one that did not fit would count as empty, at every member alike.
     let bytes = postcard::to_slice(&(key, version, value), &mut room).map(|b| &*b).unwrap_or_default();
     xxh3_64(bytes)
 }
 
-/// Joins what two members know of one server: the later start counts; of one start, gone never turns back, and else
-/// the younger word counts. Commutative, associative and idempotent; `at` is the time of the evidence.
+/// Joins what two members know of one server, each with the time of its evidence: the later start wins; of one start,
+/// gone never turns back, and otherwise the younger evidence wins. Commutative, associative and idempotent.
 pub fn join_servers(a: (f64, ServerFact), b: (f64, ServerFact)) -> (f64, ServerFact) {
     let rank = |(at, fact): &(f64, ServerFact)| {
         let gone = fact.place == ServerState::Gone;
-        // Of the same moment the worse word counts, so that the order does not matter.
+        // Of the same moment the worse state wins, so that the order of the arguments does not matter.
         (fact.started_ms, gone, if gone { f64::INFINITY } else { *at }, fact.place)
     };
     let (x, y) = (rank(&a), rank(&b));
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -9,34 +9,35 @@
 use crate::record::{join_servers, CallFact, Key, Origin, ServerFact, ServerKey, ServerState, Value};
 use crate::stream::Stream;
 
-/// Lives of one member of which streams are held at most.
+/// Most incarnations of one member whose streams are held.
 pub const MAX_INCARNATIONS_PER_MEMBER: usize = 3;
 
-/// All streams.
+/// All streams that a member holds, its own among them.
 #[derive(Clone, Debug)]
 pub struct Store {
     own: Origin,
     streams: BTreeMap<Origin, Stream>,
-    /// Of each member, the incarnation below which its streams are over and forgotten; so nobody brings them back.
+    /// For each member the incarnation below which its streams are over and forgotten, so that nobody brings them
+    /// back.
     floors: BTreeMap<MemberId, u64>,
 }
 
-/// What is known of a call: its origin, since when it stands, and where.
+/// A standing call: its origin, since when it stands, and its server and class.
 pub type KnownCall = (Origin, f64, CallFact);
 
 impl Store {
-    /// The own stream alone.
+    /// A store that holds only the own stream, still empty.
     pub fn new(own: Origin) -> Store {
         Store { own, streams: BTreeMap::from([(own, Stream::default())]), floors: BTreeMap::new() }
     }
 
-    /// The own stream's origin.
+    /// The origin of the own stream.
     pub fn own_origin(&self) -> Origin {
         self.own
     }
 
-    /// Gives the own stream another life, with all that it says under new versions. What others may have of it
-    /// under the old one stays, as a copy: what ends is to be known as over there, too.
+    /// Moves the own stream to another incarnation, with all its records under new versions. What others may hold of
+    /// the old one stays as a copy, since calls that end must be known as ended there, too.
     pub fn set_own_incarnation(&mut self, life: Incarnation) {
         let old = self.streams.get(&self.own).cloned().unwrap_or_default();
         if old.version() == 0 {
@@ -50,17 +51,18 @@
         self.streams.insert(self.own, stream);
     }
 
-    /// A stream.
+    /// The stream of an origin, if it is held.
     pub fn stream(&self, origin: &Origin) -> Option<&Stream> {
         self.streams.get(origin)
     }
 
-    /// The own one, to write to.
+    /// The own stream, for writing.
     pub fn own_stream(&mut self) -> &mut Stream {
         self.streams.entry(self.own).or_default()
     }
 
-    /// A copy to take changes into; none where it is forgotten, or the own one, which takes none.
+    /// The copy of a stream, to apply changes to; `None` if the stream is forgotten, or is the own one, to which
+    /// nobody else writes.
     pub fn copy_mut(&mut self, origin: Origin) -> Option<&mut Stream> {
         match origin == self.own || self.is_forgotten(&origin) {
             true => None,
@@ -68,14 +70,14 @@
         }
     }
 
-    /// Puts a whole copy in place of what was held.
+    /// Replaces the copy of a stream by a complete one.
     pub fn install(&mut self, origin: Origin, stream: Stream) {
         if origin != self.own && !self.is_forgotten(&origin) {
             self.streams.insert(origin, stream);
         }
     }
 
-    /// All streams.
+    /// All streams, in the order of origins.
     pub fn streams(&self) -> impl Iterator<Item = (&Origin, &Stream)> {
         self.streams.iter()
     }
@@ -85,13 +87,13 @@
         self.floors.get(&origin.member).is_some_and(|floor| origin.life.number < *floor)
     }
 
-    /// The floors, to be told to others.
+    /// The floors, to be sent to others: for each member the incarnation below which its streams are over.
     pub fn floors(&self) -> impl Iterator<Item = (MemberId, u64)> + '_ {
         self.floors.iter().map(|(member, floor)| (*member, *floor))
     }
 
-    /// Streams of a member below an incarnation are over: they are dropped here and never taken again. Returns the
-    /// dropped ones with their records. The own stream is never dropped.
+    /// Drops the streams of a member below an incarnation, and accepts them no more. Returns the dropped streams with
+    /// their numbers of records. The own stream is never dropped.
     pub fn forget(&mut self, member: MemberId, below: u64) -> Vec<(Origin, usize)> {
         let floor = self.floors.entry(member).or_default();
         *floor = (*floor).max(below);
@@ -102,50 +104,52 @@
         gone.into_iter().map(count).collect()
     }
 
-    /// Drops what belongs to nobody in the configuration any more.
+    /// Drops the streams of members that are no longer in the configuration.
     pub fn retain_members(&mut self, members: &[MemberId]) {
         let own = self.own;
         self.streams.retain(|o, _| *o == own || members.contains(&o.member));
         self.floors.retain(|m, _| members.contains(m));
     }
 
-    /// Streams of one member beyond so many lives: the floor that leaves the latest.
+    /// Members with more than [`MAX_INCARNATIONS_PER_MEMBER`] streams, each with the floor that leaves the latest
+    /// ones.
     pub fn excess_incarnations(&self) -> Vec<(MemberId, u64)> {
-        let mut lives: BTreeMap<MemberId, Vec<u64>> = BTreeMap::new();
+        let mut incarnations: BTreeMap<MemberId, Vec<u64>> = BTreeMap::new();
         for origin in self.streams.keys() {
-            lives.entry(origin.member).or_default().push(origin.life.number);
+            incarnations.entry(origin.member).or_default().push(origin.life.number);
         }
         let over = |(member, all): (MemberId, Vec<u64>)| {
             let floor = *all.get(all.len().checked_sub(MAX_INCARNATIONS_PER_MEMBER)?)?;
             (all.len() > MAX_INCARNATIONS_PER_MEMBER).then_some((member, floor))
         };
-        lives.into_iter().filter_map(over).collect()
+        incarnations.into_iter().filter_map(over).collect()
     }
 
-    // ---- What follows
+    // ---- What follows from all streams
 
-    /// Whether a call is known to be over: an end wins over standing, whoever says it.
+    /// Whether a call is known to be over: a recorded end wins over a record that the call stands, whoever wrote
+    /// them.
     pub fn is_call_over(&self, id: u64) -> bool {
         self.streams.values().any(|stream| stream.get(&Key::Over(id)).is_some())
     }
 
-    /// Whether a call is known to be over and its caller was told: by an end that somebody recorded, or as its origin has
-    /// withdrawn it.
+    /// Whether a call is known to be over and its caller to have been told: some member recorded the end, or the
+    /// origin has withdrawn the call.
     pub fn is_end_delivered(&self, id: u64) -> bool {
         self.is_call_over(id) || self.streams.values().any(|stream| stream.is_withdrawn(&Key::Call(id)))
     }
 
-    /// A call that stands, as its origin said and nobody ended.
+    /// A standing call, if its origin recorded it and nobody recorded its end.
     pub fn standing_call(&self, id: u64) -> Option<KnownCall> {
-        let said = |(origin, stream): (&Origin, &Stream)| match stream.get(&Key::Call(id)) {
+        let recorded = |(origin, stream): (&Origin, &Stream)| match stream.get(&Key::Call(id)) {
             Some((at, Value::Call(fact))) => Some((*origin, at, fact)),
             _ => None,
         };
-        let known = self.streams.iter().find_map(said)?;
+        let known = self.streams.iter().find_map(recorded)?;
         (!self.is_call_over(id)).then_some(known)
     }
 
-    /// The calls of a stream.
+    /// The standing calls of a stream: id, since when, server and class.
     pub fn calls_in(stream: &Stream) -> impl Iterator<Item = (u64, f64, CallFact)> + '_ {
         let call = |(key, at, value)| match (key, value) {
             (Key::Call(id), Value::Call(fact)) => Some((id, at, fact)),
@@ -154,7 +158,7 @@
         stream.range(Key::Call(0)..=Key::Call(u64::MAX)).filter_map(call)
     }
 
-    /// Ends that others owe to callers whom they do not reach, and whether they were cut.
+    /// Ends that other members cannot deliver to a caller, by call id, and whether the call was cut.
     pub fn owed_ends(&self) -> BTreeMap<u64, bool> {
         let owed = Key::Owed(0)..=Key::Owed(u64::MAX);
         let others = self.streams.iter().filter(|(o, _)| **o != self.own);
@@ -166,7 +170,7 @@
         .collect()
     }
 
-    /// What others want of budgets beyond their parts. Only streams that `counts` passes are heard.
+    /// What others request of budgets beyond their parts. Only streams for which `counts` is true are considered.
     pub fn budget_requests(&self, counts: impl Fn(&Origin) -> bool) -> Vec<BudgetRequest> {
         let mut all = Vec::new();
         for (origin, stream) in self.streams.iter().filter(|(o, _)| **o != self.own && counts(o)) {
@@ -181,11 +185,13 @@
         all
     }
 
-    /// What is lent to the own life: of which budget, as of when, and how much. Whoever lent it need not be heard: it
-    /// goes without until the lease has run out, also in a later life.
+    /// The leases to the own incarnation: the budget, the time of the evidence, and the part in millionths. Their
+    /// lender need not be reachable: it does without the part until the lease has expired, also in a later
+    /// incarnation.
     pub fn leases(&self) -> Vec<(BudgetKey, f64, u32)> {
         let to = self.own;
-        // Of one lender the latest life counts that says something: one that raised its incarnation says all again.
+        // Of one lender the latest incarnation with a lease counts: one that raised its incarnation announces all
+        // leases again.
         let mut all: BTreeMap<(BudgetKey, MemberId), (f64, u32)> = BTreeMap::new();
         for (origin, stream) in self.streams.iter().filter(|(o, _)| **o != to) {
             let lent =
@@ -202,8 +208,8 @@
         all.into_iter().map(|((budget, _), (at, part))| (budget, at, part)).collect()
     }
 
-    /// What others know of the servers, joined; of each, who says that it is silent, and since when. Only streams
-    /// that `counts` passes are heard.
+    /// What others report of the servers, joined; for each server also who finds it silent, and since when. Only
+    /// streams for which `counts` is true are considered.
     pub fn peer_observations(
         &self,
         counts: impl Fn(&Origin) -> bool,
@@ -212,19 +218,19 @@
         for (origin, stream) in self.streams.iter().filter(|(o, _)| **o != self.own && counts(o)) {
             let servers = Key::Server(ServerKey(0))..=Key::Silent(ServerKey(u64::MAX));
             for (key, at, value) in stream.range(servers) {
-                let (server, said) = match (key, value) {
+                let (server, observation) = match (key, value) {
                     (Key::Server(server), Value::Server(fact)) => {
                         (server, ServerObservation { at, fact, silent: None })
                     }
                     (Key::Silent(server), Value::Silent(started_ms)) => {
-                        // It tells of a start, and nothing of its place.
+                        // A report of silence names a start of the server, and says nothing of its state.
                         let fact = ServerFact { started_ms, place: ServerState::Ready };
                         let silent = Some((at, origin.member));
                         (server, ServerObservation { at: f64::NEG_INFINITY, fact, silent })
                     }
                     _ => continue,
                 };
-                let joined = all.get(&server).map_or(said, |held| held.join(&said));
+                let joined = all.get(&server).map_or(observation, |held| held.join(&observation));
                 all.insert(server, joined);
             }
         }
@@ -232,22 +238,22 @@
     }
 }
 
-/// What others say of a server.
+/// What other members report of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerObservation {
-    /// When the evidence of its place was.
+    /// The time of the evidence for its state.
     pub at: f64,
-    /// Place and start, joined.
+    /// State and start, joined.
     pub fact: ServerFact,
-    /// The youngest word that it is silent, and whose it is.
+    /// The youngest report that it is silent: its time and the member that reported it.
     pub silent: Option<(f64, MemberId)>,
 }
 
 impl ServerObservation {
-    /// Joins what two say. Commutative, associative and idempotent.
+    /// Joins two observations of one server. Commutative, associative and idempotent.
     pub fn join(&self, other: &ServerObservation) -> ServerObservation {
         let (at, fact) = join_servers((self.at, self.fact), (other.at, other.fact));
-        // A silence is of one start of the server; a later start ends it.
+        // Silence belongs to one start of the server; a later start ends it.
         let silent = match self.fact.started_ms.cmp(&other.fact.started_ms) {
             Ordering::Less => other.silent,
             Ordering::Greater => self.silent,
--- a/crates/replica/src/stream.rs
+++ b/crates/replica/src/stream.rs
@@ -1,40 +1,42 @@
 //! One stream, or a copy of it: the newest version of every record, in the order of versions.
 //!
-//! That order is the log of changes: what changed after a version are the records above it. A withdrawn record stays as
-//! a tombstone for a while; once one is dropped, who is behind its version needs the whole stream, and the version
-//! of the latest dropped is the *horizon*. So the log is bounded by what is there and by the tombstones kept.
+//! That order is the log of changes: what changed after a version are the records above it. A withdrawn record stays
+//! as a tombstone for a while; once one is dropped, a copy that is behind its version needs the whole stream. The
+//! version of the latest dropped tombstone is the *horizon*. So the log is bounded by the records that exist and by
+//! the tombstones kept.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::record::{content_hash, Key, Record, Value, KINDS};
 
-/// Tombstones kept in a stream.
+/// Most tombstones kept in a stream.
 pub const MAX_TOMBSTONES: usize = 4096;
-/// Records in a piece at most: about 10 KiB, under a frame's limit and a short matter for a turn.
+/// Most records in a chunk: about 10 KiB, which is under the limit of a frame and takes little of an iteration of the
+/// event loop.
 pub const MAX_CHUNK_RECORDS: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Entry {
     version: u64,
-    /// When the evidence was, on the own clock.
+    /// The time of the evidence, on the own clock.
     at: f64,
     value: Option<Value>,
 }
 
-/// A record that was found with other content under one version.
+/// A record that was received with other content than the one held under the same version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Conflict {
-    /// About what.
+    /// The key of the received record.
     pub key: Key,
-    /// Which version.
+    /// The version of both.
     pub version: u64,
-    /// What was held.
+    /// The content that was held.
     pub held: Option<Value>,
-    /// What was told.
+    /// The content that was received.
     pub received: Option<Value>,
 }
 
-/// A stream.
+/// The records that one member wrote in one incarnation, or a copy of them.
 #[derive(Clone, Debug, Default)]
 pub struct Stream {
     version: u64,
@@ -47,53 +49,53 @@
 }
 
 impl Stream {
-    /// Up to which version it goes.
+    /// The version that it reaches.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Who is behind this needs the whole.
+    /// A copy that is behind this version needs the whole stream.
     pub fn horizon(&self) -> u64 {
         self.horizon
     }
 
-    /// A hash of its records, whatever the order in which they came.
+    /// A hash of its records, independent of the order in which they arrived.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Records that are there, without tombstones.
+    /// The number of records, without tombstones.
     pub fn len(&self) -> usize {
         self.counts.iter().sum()
     }
 
-    /// Whether there are none.
+    /// Whether it has no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Records that are there, by kind.
+    /// The number of records by kind, without tombstones.
     pub fn counts(&self) -> [usize; KINDS.len()] {
         self.counts
     }
 
-    /// Records and tombstones.
+    /// The number of records and tombstones.
     pub fn len_with_tombstones(&self) -> usize {
         self.records.len()
     }
 
-    /// What it says of a key, and when that was.
+    /// The value of a key, if it has one, and the time of the evidence.
     pub fn get(&self, key: &Key) -> Option<(f64, Value)> {
         let entry = self.records.get(key)?;
         Some((entry.at, entry.value?))
     }
 
-    /// Whether it said something of a key and has withdrawn that, as far back as tombstones are kept.
+    /// Whether it had a record of this key and has withdrawn it, as far back as tombstones are kept.
     pub fn is_withdrawn(&self, key: &Key) -> bool {
         self.records.get(key).is_some_and(|entry| entry.value.is_none())
     }
 
-    /// What it says of the keys in a range.
+    /// The records whose keys are in a range: key, time of the evidence, value.
     pub fn range(
         &self,
         keys: impl std::ops::RangeBounds<Key>,
@@ -101,7 +103,8 @@
         self.records.range(keys).filter_map(|(key, entry)| Some((*key, entry.at, entry.value?)))
     }
 
-    /// Writes a record of the own stream, or withdraws it; returns whether that changes what it says.
+    /// Writes a record of the own stream, or withdraws it if `value` is `None`; returns whether that changes the
+    /// stream.
     pub fn write(&mut self, at: f64, key: Key, value: Option<Value>) -> bool {
         let held = self.records.get(&key).and_then(|entry| entry.value);
         if held == value {
@@ -112,11 +115,11 @@
         true
     }
 
-    /// Takes a record of a copy; tells of one that contradicts what is held under its version.
+    /// Applies a received record to a copy; returns the conflict if it contradicts what is held under its version.
     pub fn apply(&mut self, at: f64, record: &Record) -> Option<Conflict> {
         let Record { key, version, value, .. } = *record;
         let entry = Entry { version, at, value };
-        // One version is one change of one record: another key under it is a second writer's.
+        // Each version is one change of one record: another key under the same version comes from a second writer.
         if let Some(other) = self.by_version.get(&version).copied().filter(|other| *other != key) {
             let held = self.records.get(&other).and_then(|e| e.value);
             if content_hash(&key, version, &value) > content_hash(&other, version, &held) {
@@ -135,7 +138,7 @@
                 }
                 Some(conflict)
             }
-            // Withdrawn and forgotten here; what is told is older than that.
+            // Withdrawn and its tombstone dropped here; the received record is older than that.
             None if version <= self.horizon => None,
             _ => {
                 self.insert(key, entry);
@@ -153,7 +156,7 @@
         }
     }
 
-    /// All changes up to this version have been taken.
+    /// Records that all changes up to this version have been applied.
     pub fn advance_to(&mut self, version: u64, horizon: u64) {
         self.version = self.version.max(version);
         self.horizon = self.horizon.max(horizon.min(self.version));
@@ -172,8 +175,8 @@
         }
         while self.tombstones.len() > MAX_TOMBSTONES {
             let Some((version, key)) = self.tombstones.pop_front() else { break };
-            let grave = |e: &Entry| e.version == version && e.value.is_none();
-            if self.records.get(&key).is_some_and(grave) {
+            let is_tombstone = |e: &Entry| e.version == version && e.value.is_none();
+            if self.records.get(&key).is_some_and(is_tombstone) {
                 self.records.remove(&key);
                 self.by_version.remove(&version);
                 self.horizon = self.horizon.max(version);
@@ -181,29 +184,35 @@
         }
     }
 
-    /// What changed after a version, in the order of versions: a piece of it, up to which version that goes, and
-    /// whether it is the last. Tombstones go with it.
+    /// The changes after a version in the order of versions, tombstones included, up to a chunk: the records, the
+    /// version that they reach, and whether they are the last.
     pub fn changes_after(&self, now: f64, after: u64) -> (Vec<Record>, u64, bool) {
         self.limited_changes_after(now, after, MAX_CHUNK_RECORDS)
     }
 
-    /// The same, of so many records at most.
-    pub fn limited_changes_after(&self, now: f64, after: u64, most: usize) -> (Vec<Record>, u64, bool) {
-        let mut left = self.by_version.range(after.saturating_add(1)..);
+    /// The same, of at most `max_records` records.
+    pub fn limited_changes_after(
+        &self,
+        now: f64,
+        after: u64,
+        max_records: usize,
+    ) -> (Vec<Record>, u64, bool) {
+        let mut remaining = self.by_version.range(after.saturating_add(1)..);
         let mut records = Vec::new();
-        for (&version, key) in left.by_ref().take(most) {
+        for (&version, key) in remaining.by_ref().take(max_records) {
             if let Some(entry) = self.records.get(key) {
                 let age_ms = ((now - entry.at).max(0.0) * 1000.0).min(f64::from(u32::MAX)) as u32;
                 records.push(Record { key: *key, version, age_ms, value: entry.value });
             }
         }
-        match left.next() {
+        match remaining.next() {
             Some(_) => (records.clone(), records.last().map_or(after, |r| r.version), false),
             None => (records, self.version, true),
         }
     }
 
-    /// Takes over what another copy has, where neither is known to be the whole: the newer of each record.
+    /// Merges another copy where neither is known to be complete: the newer of each record wins. Returns the
+    /// conflicts.
     pub fn merge(&mut self, other: &Stream) -> Vec<Conflict> {
         let mut conflicts = Vec::new();
         for (&version, key) in &other.by_version {
