--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -1,13 +1,14 @@
-//! Who lacks what, and gets it from whom.
+//! Catch-up: finds out which records are missing and fetches them from another member.
 //!
-//! Members tell each other what they hold, by version and hash. Who is behind asks: the origin itself where that is
-//! heard, else whoever has most. The answer is what changed after the asker's version; where the giver's log does not
-//! reach that far, it is the whole stream in the order of versions, which another giver can go on with from where one
-//! stopped, as long as no tombstone was dropped there since the first began. Once a member holds all of a stream, its
-//! origin tells each change as it comes.
+//! Members send each other digests of what they hold, by version and hash. A member that is behind requests what it
+//! lacks: from the origin itself where messages arrive from it, else from the member that has most. The answer holds
+//! the changes after the requester's version. Where the source's log does not reach back that far, it holds the whole
+//! stream in the order of versions; another source can continue where one stopped, as long as it has dropped no
+//! tombstone since the first one began. Once a member holds all of a stream, the origin pushes each change as it
+//! occurs.
 //!
-//! Two copies of one version with different hashes differ though all messages came. The origin's counts, if it lives;
-//! else both take what the other has.
+//! Two copies of one version with different hashes differ although all messages arrived. The origin's copy counts, if
+//! the origin is alive; otherwise both members merge the other's copy.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,72 +19,73 @@
 use crate::store::Store;
 use crate::stream::{Conflict, Stream, MAX_CHUNK_RECORDS};
 
-/// What a member holds of a stream.
+/// The state of a member's copy of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamDigest {
-    /// Which.
+    /// The stream.
     pub origin: Origin,
-    /// Up to which version.
+    /// The version that the copy reaches.
     pub version: u64,
     /// The hash of its records.
     pub hash: u64,
 }
 
-/// A question for what is lacking.
+/// A request for the part of a stream that the sender lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRequest {
-    /// Of which stream.
+    /// The stream.
     pub origin: Origin,
-    /// What came after this version.
+    /// The changes after this version are requested.
     pub after: u64,
-    /// Set where the whole stream is wanted, or the rest of one: the giver's version as its first piece left.
+    /// Set if the whole stream is requested, or the rest of one: the version that the source had when its first chunk
+    /// left.
     pub base: Option<u64>,
 }
 
-/// A part of a stream: all that changed after one version, up to another.
+/// A part of a stream: everything that changed after one version, up to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Of which stream.
+    /// The stream.
     pub origin: Origin,
-    /// After this version.
+    /// The version after which it begins.
     pub after: u64,
-    /// Up to this one.
+    /// The version that it reaches.
     pub up_to: u64,
-    /// Set in a whole stream: the giver's version as its first piece left.
+    /// Set in a transfer of a whole stream: the version that the source had when its first chunk left.
     pub base: Option<u64>,
-    /// The giver's horizon.
+    /// The source's horizon: the version of the latest tombstone that it dropped.
     pub horizon: u64,
-    /// Nothing follows.
+    /// Whether no further chunk follows.
     pub last: bool,
     /// The records, in the order of versions.
     pub records: Vec<Record>,
 }
 
-/// Why a piece was not taken, and its link is closed.
+/// Why a chunk is refused, and its link closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// Its versions make no sense.
+    /// Its versions contradict each other.
     #[error(
-        "a piece whose versions make no sense: nothing of it was taken, the rest is fetched from others; see whether that \
+        "a chunk whose versions contradict each other: nothing of it was applied, the rest is fetched from others; check whether that \
          member runs the same version of the program"
     )]
     InvalidVersions,
-    /// A value is not of its key's kind.
+    /// A value is not of the kind that its key requires.
     #[error(
-        "a piece with a value that is not of its key's kind: nothing of it was taken, the rest is fetched from others; see \
+        "a chunk with a value that does not belong to its key's kind: nothing of it was applied, the rest is fetched from others; check \
          whether that member runs the same version of the program"
     )]
     WrongKind,
-    /// The stream has more records than may be.
+    /// The stream has more records than are allowed.
     #[error(
-        "a stream of more records than `records` allows here: its calls are not known here and cannot be adopted; give all \
+        "a stream with more records than `records` allows here: its calls are not known here and cannot be adopted; give all \
          members the same `records`, above the calls that stand at one"
     )]
     TooManyRecords,
 }
 
 impl ChunkError {
-    /// In a word, for the log and the page for on-call staff.
+    /// The reason as it is written to the log and listed on the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             ChunkError::InvalidVersions => "piece-versions",
@@ -94,7 +96,8 @@
 }
 
 impl Chunk {
-    /// Whether its versions rise and its values are of their keys' kinds.
+    /// Checks that the versions rise within the chunk's bounds, that there are at most [`MAX_CHUNK_RECORDS`] records,
+    /// and that each value is of the kind that its key requires.
     pub fn check(&self) -> Result<(), ChunkError> {
         let versions = self.records.iter().map(|r| r.version);
         let rising = self.records.windows(2).all(|pair| pair[0].version < pair[1].version);
@@ -109,46 +112,47 @@
     }
 }
 
-/// What is to be said to a member next.
+/// A catch-up message to a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outgoing {
-    /// A question.
+    /// A request for what is missing here.
     Request(ChunkRequest),
     /// A part of a stream.
     Chunk(Chunk),
 }
 
-/// What taking a piece came to.
+/// The result of applying a chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Applied {
-    /// The keys that it brought.
+    /// The keys of the records in it.
     pub keys: Vec<Key>,
-    /// What contradicted what was held.
+    /// Records that contradicted what was held.
     pub conflicts: Vec<Conflict>,
-    /// Copies that differed are equal again, or will be.
+    /// Whether a copy that had diverged is equal again, or will be.
     pub repaired: bool,
 }
 
-/// What a digest came to.
+/// What a digest revealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// Its copy of this stream differs from the own one, though both are of one version.
+    /// The member's copy of this stream differs from the own one, though both are of one version.
     Diverged(Origin),
-    /// It holds more of the own stream than there is.
+    /// The member holds more of the own stream than exists: a copy up to this version.
     Ahead(u64),
 }
 
-/// The figures of it.
+/// The settings of catch-up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// A giver that brings nothing for so long is replaced, in seconds.
+    /// A source that delivers nothing for this long is replaced, in seconds.
     pub source_timeout: f64,
-    /// Bytes a second for catch-up, to all members together.
+    /// Bandwidth of catch-up to all members together, in bytes per second.
     pub bytes_per_s: f64,
-    /// Records of one stream at most.
+    /// Most records of one stream.
     pub max_records: usize,
-    /// Own changes are told to a member so far apart at least, in seconds: the first at once, what follows it together.
-    /// Each word wakes its member, and under load those wakings were most of what a link cost a set-up.
+    /// Shortest interval between two pushes of own changes to a member, in seconds: the first change goes at once,
+    /// those that follow go together. Each message wakes its receiver, and under load those wake-ups were most of
+    /// what a link cost per set-up.
     pub push_interval: f64,
 }
 
@@ -167,11 +171,11 @@
 
 #[derive(Clone, Default)]
 struct Peer {
-    /// What it holds, as it said last.
+    /// What it holds, by its last digest.
     digests: BTreeMap<Origin, StreamDigest>,
-    /// Up to which version the own stream was told on this link, once it was level.
+    /// The version up to which own changes were pushed on this link, once the member had all of the own stream.
     pushed_version: Option<u64>,
-    /// When changes of it were told last.
+    /// When own changes were last pushed.
     last_push_at: Option<f64>,
     transfers: VecDeque<Transfer>,
     requests: VecDeque<ChunkRequest>,
@@ -183,47 +187,47 @@
     last_progress_at: f64,
     after: u64,
     base: Option<u64>,
-    /// A whole stream on its way in.
+    /// A whole stream as far as it has arrived.
     incoming: Option<Stream>,
-    /// The copy differs, and neither is known to be right.
+    /// Whether the copy diverged and neither side is known to be right, so that the two are merged.
     merge: bool,
 }
 
-/// Bytes that a record takes on the way, about.
+/// Approximate encoded size of a record, in bytes.
 const ESTIMATED_RECORD_BYTES: f64 = 40.0;
 
-/// All of that, towards all members.
+/// Catch-up with all members.
 #[derive(Clone)]
 pub struct CatchUp {
     settings: Settings,
     peers: BTreeMap<MemberId, Peer>,
     fetches: BTreeMap<Origin, Fetch>,
-    /// Bytes that may be given now, as of then.
+    /// Bytes that may be sent, and the time as of which that is.
     send_budget: (f64, f64),
-    /// Records given and taken in catch-up, for reports.
+    /// Records sent in catch-up, for reports.
     pub records_sent: u64,
-    /// The same, taken.
+    /// Records received in catch-up, for reports.
     pub records_received: u64,
 }
 
 impl CatchUp {
-    /// Nobody is linked yet.
+    /// A state without any link.
     pub fn new(now: f64, settings: Settings) -> CatchUp {
         let (peers, fetches) = (BTreeMap::new(), BTreeMap::new());
         CatchUp { settings, peers, fetches, send_budget: (0.0, now), records_sent: 0, records_received: 0 }
     }
 
-    /// Takes settings read anew.
+    /// Applies changed settings.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// A link is up.
+    /// Records that a link to a member is up.
     pub fn link_up(&mut self, member: MemberId) {
         self.peers.insert(member, Peer::default());
     }
 
-    /// A link is down; whoever else has it goes on with what it gave.
+    /// Records that a link is down: another member that has the stream continues where this one stopped.
     pub fn link_down(&mut self, member: MemberId) {
         self.peers.remove(&member);
         for fetch in self.fetches.values_mut().filter(|f| f.source == Some(member)) {
@@ -231,29 +235,29 @@
         }
     }
 
-    /// What a member said last that it holds of a stream.
+    /// What a member last reported to hold of a stream.
     pub fn held_by(&self, member: MemberId, origin: &Origin) -> Option<StreamDigest> {
         self.peers.get(&member)?.digests.get(origin).copied()
     }
 
-    /// When more may be said, if somebody waits for it: the rest of a stream, or own changes since the last ones.
+    /// When more may be sent to a member that waits for it: the rest of a stream, or own changes since the last push.
     pub fn next_send_at(&self, store: &Store) -> Option<f64> {
-        let waits = self.peers.values().any(|peer| !peer.transfers.is_empty());
-        let (left, then) = self.send_budget;
-        let gives = waits.then(|| then + (-left).max(0.0) / self.settings.bytes_per_s);
+        let waiting = self.peers.values().any(|peer| !peer.transfers.is_empty());
+        let (remaining, as_of) = self.send_budget;
+        let catch_up_at = waiting.then(|| as_of + (-remaining).max(0.0) / self.settings.bytes_per_s);
         let version = store.stream(&store.own_origin()).map_or(0, Stream::version);
         let behind =
             self.peers.values().filter(|peer| peer.pushed_version.is_some_and(|level| level < version));
-        let tells = behind.filter_map(|peer| Some(peer.last_push_at? + self.settings.push_interval));
-        gives.into_iter().chain(tells).reduce(f64::min)
+        let pushes_at = behind.filter_map(|peer| Some(peer.last_push_at? + self.settings.push_interval));
+        catch_up_at.into_iter().chain(pushes_at).reduce(f64::min)
     }
 
-    /// Streams on their way in.
+    /// The number of streams that are being fetched.
     pub fn fetches_in_progress(&self) -> usize {
         self.fetches.len()
     }
 
-    /// What is held here.
+    /// The digest of all streams held here.
     pub fn digest(store: &Store) -> Vec<StreamDigest> {
         let held = |(origin, s): (&Origin, &Stream)| StreamDigest {
             origin: *origin,
@@ -263,59 +267,61 @@
         store.streams().map(held).collect()
     }
 
-    /// Takes a member's word of what it holds. `heard` tells whether a stream's origin is heard here in that life.
+    /// Handles a member's digest. `is_connected` returns whether messages arrive here from a stream's origin in that
+    /// incarnation.
     pub fn receive_digest(
         &mut self,
         now: f64,
         from: MemberId,
-        held: &[StreamDigest],
+        digests: &[StreamDigest],
         store: &Store,
-        heard: impl Fn(&Origin) -> bool,
+        is_connected: impl Fn(&Origin) -> bool,
     ) -> Vec<Mismatch> {
-        let mut compared = Vec::new();
+        let mut mismatches = Vec::new();
         let own = store.own_origin();
-        let mut differing = Vec::new();
-        let Some(peer) = self.peers.get_mut(&from) else { return compared };
-        peer.digests = held.iter().map(|h| (h.origin, *h)).collect();
-        for h in held {
-            let mine = store.stream(&h.origin);
-            let (version, hash) = mine.map_or((0, 0), |s| (s.version(), s.hash()));
-            if h.origin == own {
-                if h.version > version {
-                    compared.push(Mismatch::Ahead(h.version));
-                } else if h.version == version && h.hash == hash && peer.pushed_version.is_none() {
+        let mut diverged = Vec::new();
+        let Some(peer) = self.peers.get_mut(&from) else { return mismatches };
+        peer.digests = digests.iter().map(|digest| (digest.origin, *digest)).collect();
+        for digest in digests {
+            let copy = store.stream(&digest.origin);
+            let (version, hash) = copy.map_or((0, 0), |s| (s.version(), s.hash()));
+            if digest.origin == own {
+                if digest.version > version {
+                    mismatches.push(Mismatch::Ahead(digest.version));
+                } else if digest.version == version && digest.hash == hash && peer.pushed_version.is_none() {
                     peer.pushed_version = Some(version);
                 }
                 continue;
             }
-            let differs = mine.is_some() && h.version == version && h.hash != hash;
-            if differs && !self.fetches.contains_key(&h.origin) {
-                let (from_origin, lives) = (h.origin.member == from, heard(&h.origin));
-                // The origin's own copy counts, and it is asked when it says what it holds.
-                if from_origin || !lives {
-                    compared.push(Mismatch::Diverged(h.origin));
-                    differing.push((h.origin, !from_origin));
+            let has_diverged = copy.is_some() && digest.version == version && digest.hash != hash;
+            if has_diverged && !self.fetches.contains_key(&digest.origin) {
+                let (from_origin, is_origin_connected) =
+                    (digest.origin.member == from, is_connected(&digest.origin));
+                // The origin's own copy counts, and it is requested when the origin sends its digest.
+                if from_origin || !is_origin_connected {
+                    mismatches.push(Mismatch::Diverged(digest.origin));
+                    diverged.push((digest.origin, !from_origin));
                 }
             }
         }
-        for (origin, merge) in differing {
+        for (origin, merge) in diverged {
             self.request_chunks(now, from, origin, 0, Some(0), merge);
         }
-        self.poll(now, store, heard);
-        compared
+        self.poll(now, store, is_connected);
+        mismatches
     }
 
     fn request_chunks(
         &mut self,
         now: f64,
-        from: MemberId,
+        source: MemberId,
         origin: Origin,
         after: u64,
         base: Option<u64>,
         merge: bool,
     ) {
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.requests.retain(|ask| ask.origin != origin);
+        let Some(peer) = self.peers.get_mut(&source) else { return };
+        peer.requests.retain(|request| request.origin != origin);
         peer.requests.push_back(ChunkRequest { origin, after, base });
         let fetch = self.fetches.entry(origin).or_insert(Fetch {
             source: None,
@@ -325,181 +331,188 @@
             incoming: None,
             merge,
         });
-        (fetch.source, fetch.last_progress_at) = (Some(from), now);
+        (fetch.source, fetch.last_progress_at) = (Some(source), now);
     }
 
-    /// Asks for what is lacking, and asks others where a giver has stopped. Called now and then.
-    pub fn poll(&mut self, now: f64, store: &Store, heard: impl Fn(&Origin) -> bool) {
+    /// Requests what is missing, and turns to another source where one has stopped. Call it periodically.
+    pub fn poll(&mut self, now: f64, store: &Store, is_connected: impl Fn(&Origin) -> bool) {
         let own = store.own_origin();
         let mut best: BTreeMap<Origin, (bool, u64, MemberId)> = BTreeMap::new();
         for (&member, peer) in &self.peers {
-            for held in peer.digests.values().filter(|h| h.origin != own && !store.is_forgotten(&h.origin)) {
-                // An origin that is heard brings its own changes; to ask others for them would double them. One that
-                // is not heard may have a link that still looks open, and offers what it held long ago.
-                let is_origin = held.origin.member == member && heard(&held.origin);
-                if !is_origin && heard(&held.origin) {
+            for digest in peer.digests.values().filter(|h| h.origin != own && !store.is_forgotten(&h.origin))
+            {
+                // An origin from which messages arrive pushes its own changes; requesting them from others would
+                // transfer them twice. One from which none arrive may have a link that still looks open, and offers
+                // what it held long ago.
+                let is_origin = digest.origin.member == member && is_connected(&digest.origin);
+                if !is_origin && is_connected(&digest.origin) {
                     continue;
                 }
-                let offer = (is_origin, held.version, member);
-                let known = best.entry(held.origin).or_insert(offer);
-                *known = (*known).max(offer);
+                let offer = (is_origin, digest.version, member);
+                let best_offer = best.entry(digest.origin).or_insert(offer);
+                *best_offer = (*best_offer).max(offer);
             }
         }
         self.fetches.retain(|origin, fetch| {
             let stalled =
                 fetch.source.is_none() || now - fetch.last_progress_at >= self.settings.source_timeout;
-            // Nobody has it any more, or it came another way.
+            // Nobody has it any more, or it arrived another way.
             !stalled || best.contains_key(origin) && !store.is_forgotten(origin)
         });
         for (origin, (_, version, member)) in best {
-            let mine = store.stream(&origin).map_or(0, Stream::version);
+            let own_version = store.stream(&origin).map_or(0, Stream::version);
             match self.fetches.get(&origin) {
-                Some(f) if f.source.is_some() && now - f.last_progress_at < self.settings.source_timeout => {}
-                Some(f) => {
-                    // Goes on from where the last giver stopped.
-                    let (after, base, merge) = (f.after, f.base, f.merge);
+                Some(fetch)
+                    if fetch.source.is_some()
+                        && now - fetch.last_progress_at < self.settings.source_timeout => {}
+                Some(fetch) => {
+                    // Continues where the last source stopped.
+                    let (after, base, merge) = (fetch.after, fetch.base, fetch.merge);
                     self.request_chunks(now, member, origin, after, base, merge);
                 }
-                None if version > mine || store.stream(&origin).is_none() => {
-                    self.request_chunks(now, member, origin, mine, None, false);
+                None if version > own_version || store.stream(&origin).is_none() => {
+                    self.request_chunks(now, member, origin, own_version, None, false);
                 }
                 None => {}
             }
         }
     }
 
-    /// Takes a question.
-    pub fn receive_request(&mut self, from: MemberId, ask: &ChunkRequest, store: &Store) {
-        let (Some(peer), Some(stream)) = (self.peers.get_mut(&from), store.stream(&ask.origin)) else {
+    /// Handles a request.
+    pub fn receive_request(&mut self, from: MemberId, request: &ChunkRequest, store: &Store) {
+        let (Some(peer), Some(stream)) = (self.peers.get_mut(&from), store.stream(&request.origin)) else {
             return;
         };
-        // What it lacks is on its way already: the origin tells its changes from there.
-        let told =
-            ask.origin == store.own_origin() && peer.pushed_version == Some(ask.after) && ask.base.is_none();
-        if told && ask.after >= stream.horizon() {
+        // What it lacks is already on its way: the origin pushes its changes from there.
+        let already_pushed = request.origin == store.own_origin()
+            && peer.pushed_version == Some(request.after)
+            && request.base.is_none();
+        if already_pushed && request.after >= stream.horizon() {
             return;
         }
-        let whole = Transfer { origin: ask.origin, after: 0, base: Some(stream.version()) };
-        let serve = match ask.base {
-            None if ask.after >= stream.horizon() => {
-                Transfer { origin: ask.origin, after: ask.after, base: None }
+        let whole = Transfer { origin: request.origin, after: 0, base: Some(stream.version()) };
+        let transfer = match request.base {
+            None if request.after >= stream.horizon() => {
+                Transfer { origin: request.origin, after: request.after, base: None }
             }
             Some(base) if stream.horizon() <= base => {
-                Transfer { origin: ask.origin, after: ask.after, base: Some(base) }
+                Transfer { origin: request.origin, after: request.after, base: Some(base) }
             }
             _ => whole,
         };
-        // One answer for a stream at a time: the last question counts.
-        peer.transfers.retain(|s| s.origin != ask.origin);
-        peer.transfers.push_back(serve);
+        // One answer per stream at a time: the last request counts.
+        peer.transfers.retain(|s| s.origin != request.origin);
+        peer.transfers.push_back(transfer);
     }
 
-    /// Takes a part of a stream, of which the word may be so much older than it says; none where that is not known yet.
+    /// Handles a chunk. `lag` is how much older, in seconds, its records may be than they state; `None` as long as
+    /// that is not known.
     pub fn receive_chunk(
         &mut self,
         now: f64,
         lag: Option<f64>,
         from: MemberId,
-        piece: &Chunk,
+        chunk: &Chunk,
         store: &mut Store,
     ) -> Result<Applied, ChunkError> {
-        piece.check()?;
-        let mut taken = Applied::default();
-        let most = self.settings.max_records;
+        chunk.check()?;
+        let mut applied = Applied::default();
+        let max_records = self.settings.max_records;
         let at = |r: &Record| match (lag, r.key) {
-            // A lease must not be counted for longer than its lender does without: of unknown age it is worth nothing.
+            // A lease must not count for longer than its lender does without the part: of unknown age it is worth
+            // nothing.
             (None, Key::Lent(..)) => f64::NEG_INFINITY,
             _ => now - lag.unwrap_or(0.0) - f64::from(r.age_ms) / 1000.0,
         };
-        let Some(copy) = store.copy_mut(piece.origin) else { return Ok(taken) };
-        let fetch = self.fetches.get_mut(&piece.origin).filter(|f| f.source == Some(from));
-        match (piece.base, fetch) {
+        let Some(copy) = store.copy_mut(chunk.origin) else { return Ok(applied) };
+        let fetch = self.fetches.get_mut(&chunk.origin).filter(|fetch| fetch.source == Some(from));
+        match (chunk.base, fetch) {
             (None, fetch) => {
-                // A gap: what lies in it is asked for when the next digest shows it.
-                if piece.after > copy.version() {
-                    return Ok(taken);
+                // A gap: what lies in it is requested when the next digest shows it.
+                if chunk.after > copy.version() {
+                    return Ok(applied);
                 }
-                for record in &piece.records {
-                    taken.conflicts.extend(copy.apply(at(record), record));
-                    taken.keys.push(record.key);
+                for record in &chunk.records {
+                    applied.conflicts.extend(copy.apply(at(record), record));
+                    applied.keys.push(record.key);
                 }
-                copy.advance_to(piece.up_to, 0);
-                if copy.len_with_tombstones() > most + crate::stream::MAX_TOMBSTONES {
+                copy.advance_to(chunk.up_to, 0);
+                if copy.len_with_tombstones() > max_records + crate::stream::MAX_TOMBSTONES {
                     return Err(ChunkError::TooManyRecords);
                 }
                 if let Some(fetch) = fetch {
-                    self.records_received += piece.records.len() as u64;
-                    (fetch.last_progress_at, fetch.after) = (now, piece.up_to);
-                    if piece.last {
-                        self.fetches.remove(&piece.origin);
+                    self.records_received += chunk.records.len() as u64;
+                    (fetch.last_progress_at, fetch.after) = (now, chunk.up_to);
+                    if chunk.last {
+                        self.fetches.remove(&chunk.origin);
                     }
                 }
             }
-            // Not asked for any more.
+            // No longer requested.
             (Some(_), None) => {}
             (Some(base), Some(fetch)) => {
-                if piece.after == 0 {
+                if chunk.after == 0 {
                     (fetch.incoming, fetch.base, fetch.after) = (Some(Stream::default()), Some(base), 0);
                 }
-                let Some(incoming) = fetch.incoming.as_mut().filter(|_| fetch.after == piece.after) else {
-                    return Ok(taken);
+                let Some(incoming) = fetch.incoming.as_mut().filter(|_| fetch.after == chunk.after) else {
+                    return Ok(applied);
                 };
-                for record in &piece.records {
-                    taken.conflicts.extend(incoming.apply(at(record), record));
+                for record in &chunk.records {
+                    applied.conflicts.extend(incoming.apply(at(record), record));
                 }
-                if incoming.len_with_tombstones() > most + crate::stream::MAX_TOMBSTONES {
-                    self.fetches.remove(&piece.origin);
+                if incoming.len_with_tombstones() > max_records + crate::stream::MAX_TOMBSTONES {
+                    self.fetches.remove(&chunk.origin);
                     return Err(ChunkError::TooManyRecords);
                 }
-                self.records_received += piece.records.len() as u64;
-                (fetch.last_progress_at, fetch.after) = (now, piece.up_to);
-                if piece.last {
-                    incoming.advance_to(piece.up_to.max(base), piece.horizon);
+                self.records_received += chunk.records.len() as u64;
+                (fetch.last_progress_at, fetch.after) = (now, chunk.up_to);
+                if chunk.last {
+                    incoming.advance_to(chunk.up_to.max(base), chunk.horizon);
                     let (whole, merge) = (std::mem::take(incoming), fetch.merge);
-                    taken.keys.extend(whole.range(..).map(|(key, ..)| key));
-                    taken.repaired = copy.version() == whole.version() && copy.hash() != whole.hash();
+                    applied.keys.extend(whole.range(..).map(|(key, ..)| key));
+                    applied.repaired = copy.version() == whole.version() && copy.hash() != whole.hash();
                     match merge {
-                        true => taken.conflicts.extend(copy.merge(&whole)),
-                        // A change told meanwhile is not lost: what the origin says next starts from here.
-                        false => store.install(piece.origin, whole),
+                        true => applied.conflicts.extend(copy.merge(&whole)),
+                        // A change pushed meanwhile is not lost: the origin's next push continues from here.
+                        false => store.install(chunk.origin, whole),
                     }
-                    self.fetches.remove(&piece.origin);
+                    self.fetches.remove(&chunk.origin);
                 }
             }
         }
-        Ok(taken)
+        Ok(applied)
     }
 
-    /// What is to be said to a member, if anything is.
+    /// The next catch-up message to a member, if there is one.
     pub fn next_outgoing(&mut self, now: f64, to: MemberId, store: &Store) -> Option<Outgoing> {
-        let (left, then) = self.send_budget;
-        let rate = self.settings.bytes_per_s;
-        // A piece at a time: what a set-up waits for it is one piece, however much is lacking.
-        let room = MAX_CHUNK_RECORDS as f64 * ESTIMATED_RECORD_BYTES;
-        self.send_budget = ((left + (now - then).max(0.0) * rate).min(room), now);
+        let (remaining, as_of) = self.send_budget;
+        let bytes_per_s = self.settings.bytes_per_s;
+        // One chunk at a time: a set-up waits for one chunk at most, however much is missing.
+        let max_budget = MAX_CHUNK_RECORDS as f64 * ESTIMATED_RECORD_BYTES;
+        self.send_budget = ((remaining + (now - as_of).max(0.0) * bytes_per_s).min(max_budget), now);
         let peer = self.peers.get_mut(&to)?;
-        if let Some(ask) = peer.requests.pop_front() {
-            return Some(Outgoing::Request(ask));
+        if let Some(request) = peer.requests.pop_front() {
+            return Some(Outgoing::Request(request));
         }
         let own = store.own_origin();
-        if let (Some(level), Some(stream)) = (peer.pushed_version, store.stream(&own)) {
-            if level < stream.horizon() {
-                // It is behind what is still known: it asks when it sees that.
+        if let (Some(pushed), Some(stream)) = (peer.pushed_version, store.stream(&own)) {
+            if pushed < stream.horizon() {
+                // The member is behind the tombstones that are kept: it requests the rest when it sees that.
                 peer.pushed_version = None;
-            } else if stream.version() > level
+            } else if stream.version() > pushed
                 && peer.last_push_at.is_none_or(|at| now - at >= self.settings.push_interval)
             {
-                let (records, upto, last) = stream.changes_after(now, level);
-                peer.pushed_version = Some(upto);
-                // What does not fit into one piece goes on with the next.
+                let (records, up_to, last) = stream.changes_after(now, pushed);
+                peer.pushed_version = Some(up_to);
+                // What does not fit into one chunk continues with the next.
                 if last {
                     peer.last_push_at = Some(now);
                 }
-                let (from, horizon) = (level, stream.horizon());
+                let (from, horizon) = (pushed, stream.horizon());
                 return Some(Outgoing::Chunk(Chunk {
                     origin: own,
                     after: from,
-                    up_to: upto,
+                    up_to,
                     base: None,
                     horizon,
                     last,
@@ -512,21 +525,21 @@
         }
         let Transfer { origin, after, base } = peer.transfers.pop_front()?;
         let stream = store.stream(&origin)?;
-        // Tombstones were dropped since: what was given so far may hold what is over.
+        // Tombstones were dropped meanwhile: what was sent so far may include records that are withdrawn.
         let (after, base) = match base {
             None if after < stream.horizon() => (0, Some(stream.version())),
             Some(base) if base < stream.horizon() => (0, Some(stream.version())),
             same => (after, same),
         };
-        let (records, upto, last) = stream.changes_after(now, after);
+        let (records, up_to, last) = stream.changes_after(now, after);
         self.send_budget.0 -= records.len() as f64 * ESTIMATED_RECORD_BYTES;
         self.records_sent += records.len() as u64;
         match last {
-            false => peer.transfers.push_back(Transfer { origin, after: upto, base }),
-            true if origin == own => peer.pushed_version = Some(upto),
+            false => peer.transfers.push_back(Transfer { origin, after: up_to, base }),
+            true if origin == own => peer.pushed_version = Some(up_to),
             true => {}
         }
         let horizon = stream.horizon();
-        Some(Outgoing::Chunk(Chunk { origin, after, up_to: upto, base, horizon, last, records }))
+        Some(Outgoing::Chunk(Chunk { origin, after, up_to, base, horizon, last, records }))
     }
 }
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -1,9 +1,9 @@
-//! A member of a fleet, without its sockets: words in, words out.
+//! One member of a fleet, without its sockets: messages in, messages out.
 //!
-//! The front hands in what came from other members ([`Member::receive`]) and the time ([`Member::tick`]), says what it knows
-//! itself ([`Member::record_server`], [`Member::call_established`], [`Member::call_ended`]), and asks for the next word to each member for which
-//! its link has room ([`Member::next_message`]). Nothing is queued here for a member that takes nothing: a word is made as it is
-//! asked for, of the newest state.
+//! The gatekeeper passes in the messages of other members ([`Member::receive`]) and the time ([`Member::tick`]),
+//! records what it knows itself ([`Member::record_server`], [`Member::call_established`], [`Member::call_ended`]),
+//! and fetches the next message to each member whose link has room ([`Member::next_message`]). No messages are queued
+//! here for a member that reads none: a message is built when it is fetched, from the latest state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -20,35 +20,36 @@
 use crate::store::{ServerObservation, Store};
 use crate::stream::Conflict;
 
-/// The version of what members say to each other; others are not understood.
+/// The version of the protocol between members; members of other versions are refused.
 pub const PROTOCOL: u16 = 2;
-/// Time between two looks at what fetches lack, and at what may be forgotten, in seconds.
+/// Interval between two checks of what fetches lack, in seconds.
 const POLL_INTERVAL_S: f64 = 0.1;
+/// Interval between two sweeps of what may be dropped, in seconds.
 const SWEEP_INTERVAL_S: f64 = 1.0;
-/// Ends that are owed to callers elsewhere are told to the others for so long, in seconds: whoever has callers has told
-/// them by then.
+/// How long an end that is handed over stays published, in seconds: by then a member that has callers has delivered
+/// it.
 const OWED_END_LIFETIME_S: f64 = 10.0;
-/// Ended calls that are looked at in a sweep at most.
+/// Most ended calls that are checked in one sweep.
 const MAX_ENDS_PER_SWEEP: usize = 512;
-/// Things to be told to the log that are kept until they are taken; beyond it they are counted alone.
+/// Most events kept for the log until they are taken; those beyond it are only counted.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// The figures of it, in seconds.
+/// The settings of a member; times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Of membership.
+    /// Settings of membership.
     pub membership: view::Settings,
-    /// Of catch-up.
+    /// Settings of catch-up.
     pub catch_up: catch_up::Settings,
-    /// Between two digests to a member.
+    /// Interval between two digests to a member.
     pub digest_interval: f64,
-    /// A start waits so long at most until it has caught up.
+    /// Longest time that a start waits until the member has caught up.
     pub catch_up_timeout: f64,
-    /// Members that cannot be reached by then are not waited for.
+    /// Members that cannot be reached within this time are not waited for.
     pub unreachable_grace: f64,
-    /// The stream of a life that has ended is forgotten after so long.
+    /// The stream of an incarnation that has ended is dropped after this time.
     pub forget_after: f64,
-    /// What the resolver has to tell may come so much later at one gatekeeper than at another.
+    /// How much later the same news from the resolver may arrive at one gatekeeper than at another.
     pub max_list_delay: f64,
 }
 
@@ -61,76 +62,77 @@
             catch_up_timeout: 2.0,
             unreachable_grace: 0.5,
             forget_after: 120.0,
-            // The platform counts a word as told after so long, whether it came or not.
+            // The platform regards a message as delivered after this time, whether it arrived or not.
             max_list_delay: 7.0,
         }
     }
 }
 
-/// What members say to each other.
+/// Messages between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The first on a link, each way.
+    /// The first message on a link, in each direction.
     Hello {
         /// The version of the protocol.
         protocol: u16,
-        /// Who speaks.
+        /// The sender.
         from: MemberId,
-        /// To whom.
+        /// The intended receiver.
         to: MemberId,
-        /// In which life.
+        /// The sender's incarnation.
         life: Incarnation,
-        /// Which life of the other is known, and how long ago that was alive, in milliseconds.
+        /// The receiver's incarnation as the sender knows it, and how long ago that was alive, in milliseconds.
         known: Option<(Incarnation, u32)>,
     },
-    /// All the time.
+    /// Sent periodically; carries the sender's liveness.
     Heartbeat(Heartbeat),
-    /// What the speaker holds, and below which incarnation each member's streams are over.
+    /// What the sender holds, and for each member the incarnation below which its streams are over.
     Digest(Vec<StreamDigest>, Vec<(MemberId, u64)>),
-    /// A question for what is lacking.
+    /// Requests what the sender lacks.
     Request(ChunkRequest),
     /// A part of a stream.
     Chunk(Chunk),
-    /// The speaker ends.
+    /// The sender ends.
     Leave,
 }
 
-/// Why a word ends its link. The link is made anew by itself; meanwhile that member is not heard, and is suspected.
+/// Why a message closes its link. A new link is made without any action; meanwhile no messages arrive from that
+/// member, and it is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// It is of another version of the protocol.
+    /// The member speaks another version of the protocol.
     #[error(
-        "version {0} of the protocol, expected {PROTOCOL}: members of different versions do not hear each other; bring all \
+        "version {0} of the protocol, expected {PROTOCOL}: members of different versions refuse each other; bring all \
          to one version of the program"
     )]
     Protocol(u16),
-    /// It was meant for another member.
+    /// The message was meant for another member.
     #[error(
         "meant for another member: two members' addresses are mixed up in a block `fleet`; compare the files"
     )]
     WrongRecipient,
-    /// It comes a second time, or too early.
+    /// The message came a second time, or too early.
     #[error(
-        "a word that has no place there: a stranger, or a fault; if it is a member's address, file the line with the \
+        "a message that is not expected at this point: an unknown sender, or a fault; if it is a member's address, file the line with the \
          maintainers"
     )]
     UnexpectedMessage,
-    /// A stream of nobody in the configuration.
+    /// The stream belongs to no member of the configuration.
     #[error(
-        "a stream of no member: the other one's file names a member that this one's does not; send SIGHUP to all after a \
+        "a stream of no configured member: the other member's file names a member that this one's does not; send SIGHUP to all after a \
          change"
     )]
     UnknownOrigin,
-    /// Of membership.
+    /// Membership refused the message.
     #[error(transparent)]
     Membership(#[from] view::Rejection),
-    /// Of a piece.
+    /// The chunk was invalid.
     #[error(transparent)]
     Chunk(#[from] ChunkError),
 }
 
 impl Rejection {
-    /// In a word, for the log and the page for on-call staff.
+    /// The reason as it is written to the log and listed on the page for on-call staff.
     pub fn name(&self) -> &'static str {
         match self {
             Rejection::Protocol(_) => "protocol",
@@ -143,46 +145,47 @@
     }
 }
 
-/// How a member came to take calls.
+/// How a member came to accept calls after a start or a pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CatchUpOutcome {
-    /// It holds what those held that it reached.
+    /// It holds everything that the members it reached held.
     Complete,
-    /// Nobody could be reached.
+    /// No other member could be reached.
     Alone,
-    /// Its time was up; it goes on catching up.
+    /// The time limit was reached; it continues to catch up.
     Late,
 }
 
-/// What is to be told to the staff.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Of a member.
+    /// A change of membership.
     Member(Change),
-    /// It takes calls, so long after its start or its pause.
+    /// The member accepts calls, this many seconds after its start or its pause.
     CaughtUp(CatchUpOutcome, f64),
-    /// Two contents under one version.
+    /// Two contents under one version were found in a stream.
     Conflict(Origin, Conflict),
-    /// A copy differed from another's though all messages came.
+    /// A copy differs from another member's although all messages arrived.
     CopyDiverged(Origin, MemberId),
-    /// It is mended.
+    /// A copy that differed was repaired.
     CopyRepaired(Origin),
-    /// A stream that is over was dropped, with so many records.
+    /// A stream that is over was dropped, with this many records.
     StreamForgotten(Origin, usize),
-    /// Records were not published, for want of room.
+    /// This many records were not published so far, as the stream is full.
     RecordsLeftOut(u64),
 }
 
-/// What the front is to do about a call.
+/// What the gatekeeper is to do about a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallAction {
-    /// See to a call of a member that is gone.
+    /// Look after a call of a member that is gone.
     Adopt(u64, AdoptedCall),
-    /// A call seen to so far is another's again, or over.
+    /// Stop looking after a call: it belongs to another member again, or has ended.
     Yield(u64),
     /// An own call was ended by another member, which has told its caller.
     EndedElsewhere(u64),
-    /// Tell the end of a call, and whether it was cut, in place of a member that has no caller to tell it to.
+    /// Deliver the end of a call to its caller, in place of a member that has no such caller; whether the call was
+    /// cut.
     DeliverEnd(u64, bool),
 }
 
@@ -190,11 +193,11 @@
 #[derive(Clone, Debug)]
 struct Resync {
     started_at: f64,
-    /// What each member said that it holds, as of after `since`.
+    /// What each member reported to hold after `started_at`.
     targets: BTreeMap<MemberId, Vec<StreamDigest>>,
 }
 
-/// A member.
+/// A member of the fleet: its view of the others, the records it holds, and the calls it looks after.
 #[derive(Clone)]
 pub struct Member {
     settings: Settings,
@@ -206,50 +209,51 @@
     next_digest_at: BTreeMap<MemberId, f64>,
     next_poll_at: f64,
     next_sweep_at: f64,
-    /// Since when each stream's life has ended.
+    /// Since when the incarnation of each stream has been over.
     origin_ended_at: BTreeMap<Origin, f64>,
-    /// The calls seen to, and whether that has to be looked at again.
+    /// The calls that this member looks after for others, and whether that is to be computed again
+    /// (`adoption_outdated`).
     adopted: BTreeMap<u64, AdoptedCall>,
     adoption_outdated: bool,
-    /// Whether a majority was heard, as of the last turn.
+    /// Whether messages arrived from a majority, as of the last tick.
     has_quorum: bool,
-    /// Ends that were told in place of others, as long as those say that they owe them.
+    /// Ends delivered for others, kept as long as those publish them.
     delivered_ends: BTreeSet<u64>,
-    /// Where the last sweep of ended calls stopped.
+    /// The call at which the last sweep of ended calls stopped.
     last_swept_call: u64,
     events: Vec<Event>,
     call_actions: Vec<CallAction>,
-    /// Counted since the start.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
-/// What happened since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Records found with two contents under one version.
     pub conflicts: u64,
-    /// Copies that differed though all messages came.
+    /// Copies that differed although all messages arrived.
     #[serde(rename = "differed")]
     pub diverged: u64,
-    /// Copies mended.
+    /// Copies repaired.
     #[serde(rename = "mended")]
     pub repaired: u64,
-    /// Records that were not published for want of room.
+    /// Records that were not published because the stream is full.
     pub left_out: u64,
-    /// Events that were not told, as too many came at once.
+    /// Events dropped because too many occurred at once.
     pub events_dropped: u64,
     /// Calls adopted.
     pub adopted: u64,
-    /// Ends handed to members that have callers, and told in place of others.
+    /// Ends that this member handed over to members that have callers.
     #[serde(rename = "owed")]
     pub ends_handed_over: u64,
-    /// The latter.
+    /// Ends that this member delivered to callers for others.
     #[serde(rename = "told")]
     pub ends_delivered_for_others: u64,
 }
 
 impl Member {
-    /// A member that has just started, with those of the configuration.
+    /// A member that has just started, in a configuration with these members.
     pub fn new(
         now: f64,
         own: MemberId,
@@ -279,7 +283,7 @@
         }
     }
 
-    /// Takes members and settings of a configuration read anew.
+    /// Applies changed settings and members.
     pub fn reconfigure(&mut self, settings: Settings, members: &[MemberId]) {
         self.settings = settings;
         self.catch_up.reconfigure(settings.catch_up);
@@ -288,37 +292,37 @@
         self.adoption_outdated = true;
     }
 
-    /// What is believed of the others.
+    /// The membership view.
     pub fn view(&self) -> &Membership {
         &self.view
     }
 
-    /// What is held.
+    /// The streams that are held here.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// When more may be said to a member that waits for it, if one does.
+    /// When more may be sent to a member that waits for it, if there is one.
     pub fn next_send_at(&self) -> Option<f64> {
         self.catch_up.next_send_at(&self.store)
     }
 
-    /// Records given and taken in catch-up, and streams on their way in.
+    /// Records sent and received in catch-up, and the number of streams that are being fetched.
     pub fn catch_up_counts(&self) -> (u64, u64, usize) {
         (self.catch_up.records_sent, self.catch_up.records_received, self.catch_up.fetches_in_progress())
     }
 
-    /// Whether it knows what the others held when it met them, or has waited for that long enough.
+    /// Whether the member holds what the others held when it met them, or has waited long enough for that.
     pub fn is_caught_up(&self) -> bool {
         self.resync.is_none()
     }
 
-    /// What is to be told to the staff since this was last asked.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// What is to be done about calls since this was last asked.
+    /// Returns the actions on calls since the last call.
     pub fn take_call_actions(&mut self) -> Vec<CallAction> {
         std::mem::take(&mut self.call_actions)
     }
@@ -330,14 +334,14 @@
         }
     }
 
-    // ---- What is known here
+    // ---- What this member knows itself
 
-    /// What the own list says of a server, as of then.
+    /// Records what the own list reports of a server, and when it did.
     pub fn record_server(&mut self, at: f64, server: ServerKey, fact: ServerFact) {
         self.write(at, Key::Server(server), Value::Server(fact));
     }
 
-    /// A server of that start is silent since then, or it is not.
+    /// Records since when a server of that start has been silent; `None` if it is not silent.
     pub fn record_silence(&mut self, now: f64, server: ServerKey, started_ms: u64, since: Option<f64>) {
         match since {
             Some(at) => self.write(at, Key::Silent(server), Value::Silent(started_ms)),
@@ -345,16 +349,16 @@
         }
     }
 
-    /// A call stands since then.
+    /// Records a call that has stood since `at`.
     pub fn call_established(&mut self, at: f64, id: u64, fact: CallFact) {
         self.write(at, Key::Call(id), Value::Call(fact));
     }
 
-    /// A call is over: an own one is withdrawn, the end of another's is recorded.
+    /// Records that a call has ended: an own one is withdrawn, the end of another member's is published.
     pub fn call_ended(&mut self, now: f64, id: u64) {
         let own = self.store.own_stream().write(now, Key::Call(id), None);
-        // A stream of an earlier life may say that it stands, too. And one that is back may end a call of which it
-        // hears only later that it stood.
+        // A stream of an earlier incarnation may also have the call as standing. And a member that has restarted may
+        // end a call of which it learns only later that it stood.
         if self.store.standing_call(id).is_some()
             || !own && now - self.started_at < self.settings.forget_after
         {
@@ -363,18 +367,18 @@
         self.adopted.remove(&id);
     }
 
-    /// A call that stands through another member, as far as is known.
+    /// A call that stands through another member, as far as is known here.
     pub fn call_elsewhere(&self, id: u64) -> Option<AdoptedCall> {
         let (origin, since, fact) = self.store.standing_call(id)?;
         (origin != self.store.own_origin()).then_some(AdoptedCall { origin, since, fact })
     }
 
-    /// A call that this member sees to in place of one that is gone.
+    /// A call that this member looks after in place of one that is gone.
     pub fn adopted_call(&self, id: u64) -> Option<&AdoptedCall> {
         self.adopted.get(&id)
     }
 
-    /// Writes a record of a relay's into the own stream, or withdraws it.
+    /// Writes a relay's record to the own stream, or withdraws it if `value` is `None`.
     pub fn publish(&mut self, at: f64, key: Key, value: Option<Value>) {
         match value {
             Some(value) => self.write(at, key, value),
@@ -387,7 +391,7 @@
         let stream = self.store.own_stream();
         if stream.get(&key).is_none() && stream.len() >= most {
             self.counts.left_out += 1;
-            // Told at each doubling.
+            // Reported whenever the count has doubled.
             if self.counts.left_out.is_power_of_two() {
                 let count = self.counts.left_out;
                 self.push_event(Event::RecordsLeftOut(count));
@@ -397,42 +401,44 @@
         stream.write(at, key, Some(value));
     }
 
-    /// What the others that are heard say of the servers.
+    /// What the other members from which messages arrive report of the servers.
     pub fn peer_observations(&self) -> BTreeMap<ServerKey, ServerObservation> {
         self.store.peer_observations(|origin| self.is_origin_connected(origin))
     }
 
-    /// Whether a stream's origin is heard here, in that life.
+    /// Whether messages arrive here from a stream's origin, in that incarnation.
     fn is_origin_connected(&self, origin: &Origin) -> bool {
-        heard(&self.view, origin)
+        is_origin_connected(&self.view, origin)
     }
 
-    /// Callers are there to whom the end of any call can be told, or there are none.
+    /// Sets whether there are callers here to which the end of any call can be delivered.
     pub fn set_has_callers(&mut self, callers: bool) {
-        // What others owe may be this member's to tell now.
+        // Ends of others may be this member's to deliver now.
         self.adoption_outdated |= self.view.set_callers(callers);
     }
 
-    /// Whether another member has callers to tell ends to.
+    /// Whether another member has callers to deliver ends to.
     pub fn others_have_callers(&self) -> bool {
         self.view.members_with_callers().any(|member| member != self.view.own_id())
     }
 
-    /// An end was heard and there is no caller to tell it to: one of those who have some is to do it.
+    /// Hands over an end that was received here without a caller to deliver it to: one of the members with callers is
+    /// to deliver it. `cut` is whether the call was cut.
     pub fn hand_over_end(&mut self, now: f64, id: u64, cut: bool) {
         self.counts.ends_handed_over += 1;
         self.write(now, Key::Owed(id), Value::Owed(cut));
     }
 
-    /// Tells what others owe, as far as that is this member's to do: of those with callers one does it, by rendezvous
-    /// hashing. Two that see others with callers may both do it, which costs a doubled word.
+    /// Delivers those ends of others that fall to this member: one of the members with callers does it, chosen by
+    /// rendezvous hashing. Two members with different views of who has callers may both do it; the cost is a
+    /// duplicate message.
     fn deliver_owed_ends(&mut self) {
         let owed = self.store.owed_ends();
         self.delivered_ends.retain(|id| owed.contains_key(id));
         let own = self.view.own_id();
-        let may: Vec<(MemberId, u64)> = self.view.members_with_callers().map(|m| (m, m.0)).collect();
+        let candidates: Vec<(MemberId, u64)> = self.view.members_with_callers().map(|m| (m, m.0)).collect();
         for (id, cut) in owed {
-            if !self.delivered_ends.contains(&id) && owner(id, may.iter().copied()) == Some(own) {
+            if !self.delivered_ends.contains(&id) && owner(id, candidates.iter().copied()) == Some(own) {
                 self.counts.ends_delivered_for_others += 1;
                 self.delivered_ends.insert(id);
                 self.call_actions.push(CallAction::DeliverEnd(id, cut));
@@ -442,9 +448,9 @@
 
     // ---- Budgets
 
-    /// Tells the others what this member wants of a budget, or lends of its part.
-    pub fn announce_lending(&mut self, now: f64, tell: Announcement) {
-        let (key, value) = match tell {
+    /// Publishes what this member requests of a budget, or lends of its part.
+    pub fn announce_lending(&mut self, now: f64, announcement: Announcement) {
+        let (key, value) = match announcement {
             Announcement::Request(budget, part) => (Key::Want(budget), part.map(Value::Want)),
             Announcement::Lease(budget, to, lease) => (Key::Lent(budget, to), lease.map(Value::Lent)),
         };
@@ -454,19 +460,19 @@
         }
     }
 
-    /// What the others that are heard want of budgets.
+    /// What the other members from which messages arrive request of budgets.
     pub fn budget_requests(&self) -> Vec<BudgetRequest> {
         self.store.budget_requests(|origin| self.is_origin_connected(origin))
     }
 
-    /// What is lent to this member: of which budget, as of when, and how much in millionths.
+    /// The leases to this member: the budget, the time of the evidence, and the part in millionths of the whole.
     pub fn leases(&self) -> Vec<(BudgetKey, f64, u32)> {
         self.store.leases()
     }
 
     // ---- Links
 
-    /// The first word on a link to a member.
+    /// The first message on a link to a member.
     pub fn hello(&self, now: f64, to: MemberId) -> Message {
         let known = self.view.known_incarnation_of(now, to);
         Message::Hello {
@@ -478,9 +484,9 @@
         }
     }
 
-    /// Reads the first word on a link: who speaks.
-    pub fn receive_hello(&mut self, now: f64, word: &Message) -> Result<MemberId, Rejection> {
-        let Message::Hello { protocol, from, to, life, known } = *word else {
+    /// Handles the first message on a link and returns its sender.
+    pub fn receive_hello(&mut self, now: f64, message: &Message) -> Result<MemberId, Rejection> {
+        let Message::Hello { protocol, from, to, life, known } = *message else {
             return Err(Rejection::UnexpectedMessage);
         };
         if protocol != PROTOCOL {
@@ -496,26 +502,26 @@
         Ok(from)
     }
 
-    /// A link is down.
+    /// Records that a link is down.
     pub fn link_down(&mut self, member: MemberId) {
         self.view.link_down(member);
         self.catch_up.link_down(member);
         self.next_digest_at.remove(&member);
     }
 
-    /// A member's address refused a link.
+    /// Records that a member's address refused a link.
     pub fn link_refused(&mut self, now: f64, member: MemberId) {
         self.view.link_refused(now, member);
     }
 
-    /// Takes a word of a member; an error ends its link.
-    pub fn receive(&mut self, now: f64, from: MemberId, word: &Message) -> Result<(), Rejection> {
-        match word {
+    /// Handles a message of a member; after an error its link must be closed.
+    pub fn receive(&mut self, now: f64, from: MemberId, message: &Message) -> Result<(), Rejection> {
+        match message {
             Message::Hello { .. } => return Err(Rejection::UnexpectedMessage),
-            Message::Heartbeat(beat) => self.view.receive_heartbeat(now, from, beat)?,
+            Message::Heartbeat(heartbeat) => self.view.receive_heartbeat(now, from, heartbeat)?,
             Message::Digest(held, floors) => self.receive_digest(now, from, held, floors),
-            Message::Request(ask) => self.catch_up.receive_request(from, ask, &self.store),
-            Message::Chunk(piece) => self.receive_chunk(now, from, piece)?,
+            Message::Request(request) => self.catch_up.receive_request(from, request, &self.store),
+            Message::Chunk(chunk) => self.receive_chunk(now, from, chunk)?,
             Message::Leave => self.view.member_left(now, from),
         }
         self.apply_membership_changes(now);
@@ -526,34 +532,35 @@
         &mut self,
         now: f64,
         from: MemberId,
-        held: &[StreamDigest],
+        digests: &[StreamDigest],
         floors: &[(MemberId, u64)],
     ) {
         for (member, floor) in floors {
-            // Nobody but this member says when its own life is over.
+            // Only this member itself decides when its own incarnation is over.
             if self.view.incarnation_of(*member).is_some() && *member != self.view.own_id() {
                 self.forget_streams(*member, *floor);
             }
         }
         let view = &self.view;
         let known = |h: &&StreamDigest| view.incarnation_of(h.origin.member).is_some();
-        let held: Vec<StreamDigest> = held.iter().filter(known).copied().collect();
-        let fresh = self.resync.as_ref().is_some_and(|r| {
-            // What was on its way before counts for nothing: it must have been said after an own beat was heard.
+        let digests: Vec<StreamDigest> = digests.iter().filter(known).copied().collect();
+        let is_fresh = self.resync.as_ref().is_some_and(|r| {
+            // What was already on its way does not count: it must have been sent after an own heartbeat was received.
             self.view.last_echoed_at(from).is_some_and(|at| at >= r.started_at)
         });
-        if let (true, Some(resync)) = (fresh, &mut self.resync) {
-            resync.targets.entry(from).or_insert_with(|| held.clone());
-        }
-        let compared =
-            self.catch_up.receive_digest(now, from, &held, &self.store, |origin| heard(view, origin));
-        for compared in compared {
-            match compared {
+        if let (true, Some(resync)) = (is_fresh, &mut self.resync) {
+            resync.targets.entry(from).or_insert_with(|| digests.clone());
+        }
+        let mismatches = self
+            .catch_up
+            .receive_digest(now, from, &digests, &self.store, |origin| is_origin_connected(view, origin));
+        for mismatch in mismatches {
+            match mismatch {
                 Mismatch::Diverged(origin) => {
                     self.counts.diverged += 1;
                     self.push_event(Event::CopyDiverged(origin, from));
                 }
-                // Somebody wrote to this life's stream before us: another life is needed.
+                // Another process wrote to this incarnation's stream before this one: a new incarnation is needed.
                 Mismatch::Ahead(_) => self.raise_incarnation(now),
             }
         }
@@ -561,7 +568,7 @@
 
     fn raise_incarnation(&mut self, now: f64) {
         let mut life = self.view.incarnation();
-        // Also where a word told of the last one there is.
+        // Also if a message named the last incarnation there is.
         life.number = life.number.saturating_add(1);
         self.view.set_incarnation(life);
         self.store.set_own_incarnation(life);
@@ -569,7 +576,7 @@
         self.reset_links(now);
     }
 
-    /// The own stream is another: everybody is told what is held now.
+    /// The own stream was replaced: all members are sent a new digest.
     fn reset_links(&mut self, now: f64) {
         let members: Vec<MemberId> = self.next_digest_at.keys().copied().collect();
         for member in members {
@@ -579,21 +586,21 @@
         }
     }
 
-    fn receive_chunk(&mut self, now: f64, from: MemberId, piece: &Chunk) -> Result<(), Rejection> {
-        if self.view.incarnation_of(piece.origin.member).is_none() {
+    fn receive_chunk(&mut self, now: f64, from: MemberId, chunk: &Chunk) -> Result<(), Rejection> {
+        if self.view.incarnation_of(chunk.origin.member).is_none() {
             return Err(Rejection::UnknownOrigin);
         }
         let lag = self.view.lag(now, from);
-        let taken = self.catch_up.receive_chunk(now, lag, from, piece, &mut self.store)?;
-        for conflict in taken.conflicts {
+        let applied = self.catch_up.receive_chunk(now, lag, from, chunk, &mut self.store)?;
+        for conflict in applied.conflicts {
             self.counts.conflicts += 1;
-            self.push_event(Event::Conflict(piece.origin, conflict));
+            self.push_event(Event::Conflict(chunk.origin, conflict));
         }
-        if taken.repaired {
+        if applied.repaired {
             self.counts.repaired += 1;
-            self.push_event(Event::CopyRepaired(piece.origin));
+            self.push_event(Event::CopyRepaired(chunk.origin));
         }
-        let ended = taken.keys.iter().filter_map(|key| match key {
+        let ended = applied.keys.iter().filter_map(|key| match key {
             Key::Over(id) => Some(*id),
             _ => None,
         });
@@ -603,44 +610,45 @@
                 self.store.own_stream().write(now, Key::Call(id), None);
             }
         }
-        // What changes the calls of those that are gone, or ends some that are seen to.
-        self.adoption_outdated |= !taken.keys.is_empty()
-            && (adoption::call_owner(&piece.origin, &self.view) != adoption::CallOwner::Origin
-                || taken.keys.iter().any(|key| matches!(key, Key::Over(_) | Key::Owed(_))));
+        // Whether the chunk changes the calls of members that are gone, or ends some that are looked after.
+        self.adoption_outdated |= !applied.keys.is_empty()
+            && (adoption::call_owner(&chunk.origin, &self.view) != adoption::CallOwner::Origin
+                || applied.keys.iter().any(|key| matches!(key, Key::Over(_) | Key::Owed(_))));
         Ok(())
     }
 
-    /// The next word to a member for which there is room, if there is one.
+    /// The next message to a member whose link has room, if there is one.
     pub fn next_message(&mut self, now: f64, to: MemberId) -> Option<Message> {
         if self.view.superseded() || !self.next_digest_at.contains_key(&to) {
             return None;
         }
-        if let Some(beat) = self.view.next_heartbeat(now, to, self.resync.is_none()) {
-            return Some(Message::Heartbeat(beat));
+        if let Some(heartbeat) = self.view.next_heartbeat(now, to, self.resync.is_none()) {
+            return Some(Message::Heartbeat(heartbeat));
         }
         match self.catch_up.next_outgoing(now, to, &self.store) {
-            Some(Outgoing::Request(ask)) => return Some(Message::Request(ask)),
-            Some(Outgoing::Chunk(piece)) => return Some(Message::Chunk(piece)),
+            Some(Outgoing::Request(request)) => return Some(Message::Request(request)),
+            Some(Outgoing::Chunk(chunk)) => return Some(Message::Chunk(chunk)),
             None => {}
         }
-        let due = self.next_digest_at.get_mut(&to).filter(|at| now >= **at)?;
-        *due = now + self.settings.digest_interval;
+        let next_digest_at = self.next_digest_at.get_mut(&to).filter(|at| now >= **at)?;
+        *next_digest_at = now + self.settings.digest_interval;
         Some(Message::Digest(CatchUp::digest(&self.store), self.store.floors().collect()))
     }
 
     // ---- Time
 
-    /// What time brings. Called at least every few tens of milliseconds, before anything that came is taken.
+    /// Advances everything that depends on time. Call it at least every few tens of milliseconds, before any received
+    /// message is handled.
     pub fn tick(&mut self, now: f64) {
         self.view.tick(now);
         let had_quorum = std::mem::replace(&mut self.has_quorum, self.view.quorum_is_stable());
-        // What had to wait for a majority may be adopted now.
+        // Calls whose adoption had to wait for a majority may be adopted now.
         self.adoption_outdated |= self.has_quorum && !had_quorum;
         self.apply_membership_changes(now);
         if now >= self.next_poll_at {
             self.next_poll_at = now + POLL_INTERVAL_S;
             let view = &self.view;
-            self.catch_up.poll(now, &self.store, |origin| heard(view, origin));
+            self.catch_up.poll(now, &self.store, |origin| is_origin_connected(view, origin));
             if std::mem::take(&mut self.adoption_outdated) {
                 self.update_adoptions();
                 self.deliver_owed_ends();
@@ -653,7 +661,7 @@
         self.check_catch_up(now);
     }
 
-    /// Takes over what membership found.
+    /// Applies what membership found.
     fn apply_membership_changes(&mut self, now: f64) {
         for change in self.view.take_changes() {
             match change {
@@ -680,28 +688,30 @@
         let settled = self.view.peers().all(|member| {
             let state = self.view.state(member);
             let linked = self.view.is_linked(member) && matches!(state, State::Alive);
-            let holds = |h: &StreamDigest| {
-                let mine = self.store.stream(&h.origin).map_or(0, |s| s.version());
-                h.origin == self.store.own_origin() || self.store.is_forgotten(&h.origin) || mine >= h.version
+            let holds = |digest: &StreamDigest| {
+                let own_version = self.store.stream(&digest.origin).map_or(0, |s| s.version());
+                digest.origin == self.store.own_origin()
+                    || self.store.is_forgotten(&digest.origin)
+                    || own_version >= digest.version
             };
             match resync.targets.get(&member) {
-                Some(goals) if linked => {
+                Some(targets) if linked => {
                     reached += 1;
-                    goals.iter().all(holds)
+                    targets.iter().all(holds)
                 }
                 _ if linked => false,
-                // Nobody is there, or nobody comes: a restart of all must not wait for itself.
+                // Nobody is there, or nobody connects: a restart of all members must not wait for itself.
                 _ => self.view.refuses_links(member) || waited >= self.settings.unreachable_grace,
             }
         });
-        let how = match (settled, reached) {
+        let outcome = match (settled, reached) {
             (true, 0) => CatchUpOutcome::Alone,
             (true, _) => CatchUpOutcome::Complete,
             (false, _) if waited >= self.settings.catch_up_timeout => CatchUpOutcome::Late,
             _ => return,
         };
         self.resync = None;
-        self.push_event(Event::CaughtUp(how, waited));
+        self.push_event(Event::CaughtUp(outcome, waited));
     }
 
     fn update_adoptions(&mut self) {
@@ -717,7 +727,8 @@
         self.adopted = new;
     }
 
-    /// Forgets what is over: streams of lives that ended long ago, and ends of calls that no stream has any more.
+    /// Drops what is over: streams of incarnations that ended long ago, and ends of calls that no stream has any
+    /// more.
     fn sweep(&mut self, now: f64) {
         let view = &self.view;
         let over = |o: &Origin| {
@@ -727,30 +738,32 @@
         self.origin_ended_at.retain(|origin, _| over.contains(origin));
         for origin in over {
             let since = *self.origin_ended_at.entry(origin).or_insert(now);
-            // As long as a member may come back in that life its stream stays, up to the bound.
-            let later = self.view.incarnation_of(origin.member).is_some_and(|life| life > origin.life);
-            if now - since >= self.settings.forget_after && later {
+            // As long as a member may come back in that incarnation its stream stays, up to the limit on
+            // incarnations.
+            let has_later_incarnation =
+                self.view.incarnation_of(origin.member).is_some_and(|life| life > origin.life);
+            if now - since >= self.settings.forget_after && has_later_incarnation {
                 self.forget_streams(origin.member, origin.life.number.saturating_add(1));
             }
         }
         for (member, floor) in self.store.excess_incarnations() {
             self.forget_streams(member, floor);
         }
-        let old = now - self.settings.forget_after;
-        // A server that left the list long ago comes back under no list, and so need not be told of.
+        let cutoff = now - self.settings.forget_after;
+        // A server that left the list long ago is on no list any more, so others need not know of it.
         let servers = Key::Server(ServerKey(0))..=Key::Server(ServerKey(u64::MAX));
         let gone = |(key, at, value): (Key, f64, Value)| {
             let left = matches!(value, Value::Server(fact) if fact.place == ServerState::Gone);
-            (left && at < old).then_some(key)
+            (left && at < cutoff).then_some(key)
         };
         let gone: Vec<Key> = self.store.own_stream().range(servers).filter_map(gone).collect();
         for key in gone {
             self.store.own_stream().write(now, key, None);
         }
         let owed = self.store.own_stream().range(Key::Owed(0)..=Key::Owed(u64::MAX));
-        let told: Vec<Key> =
+        let expired: Vec<Key> =
             owed.filter(|(_, at, _)| now - at >= OWED_END_LIFETIME_S).map(|(key, ..)| key).collect();
-        for key in told {
+        for key in expired {
             self.store.own_stream().write(now, key, None);
         }
         let from = Key::Over(self.last_swept_call.wrapping_add(1));
@@ -763,17 +776,17 @@
                 .collect();
         self.last_swept_call =
             if ends.len() < MAX_ENDS_PER_SWEEP { u64::MAX } else { ends.last().map_or(u64::MAX, |e| e.0) };
-        for (id, _) in ends.into_iter().filter(|(_, at)| *at < old) {
+        for (id, _) in ends.into_iter().filter(|(_, at)| *at < cutoff) {
             let own = self.store.own_origin();
-            let stands = self.store.streams().any(|(o, s)| *o != own && s.get(&Key::Call(id)).is_some());
-            if !stands {
+            let is_standing = self.store.streams().any(|(o, s)| *o != own && s.get(&Key::Call(id)).is_some());
+            if !is_standing {
                 self.store.own_stream().write(now, Key::Over(id), None);
             }
         }
     }
 
     fn forget_streams(&mut self, member: MemberId, below: u64) {
-        // Not what its present life writes.
+        // Never what its present incarnation writes.
         let present = self.view.incarnation_of(member).map_or(0, |life| life.number);
         for (origin, records) in self.store.forget(member, below.min(present)) {
             self.adoption_outdated = true;
@@ -783,43 +796,43 @@
 
     // ---- Reports
 
-    /// What is held of each stream: who looks at it sees in one line what lags.
+    /// The state of each stream that is held; one line shows how far each member lags.
     pub fn snapshot(&self) -> Vec<StreamStatus> {
         let lag = |member: MemberId| {
             let own = self.store.own_origin();
             let version = self.store.stream(&own)?.version();
             Some(version - self.catch_up.held_by(member, &own)?.version.min(version))
         };
-        let row = |(origin, stream): (&Origin, &crate::stream::Stream)| StreamStatus {
+        let status = |(origin, stream): (&Origin, &crate::stream::Stream)| StreamStatus {
             origin: *origin,
             version: stream.version(),
             hash: stream.hash(),
             counts: stream.counts(),
             lag: lag(origin.member),
         };
-        self.store.streams().map(row).collect()
+        self.store.streams().map(status).collect()
     }
 }
 
-/// Whether a stream's origin is heard here, in that life.
-fn heard(view: &Membership, origin: &Origin) -> bool {
+/// Whether messages arrive here from a stream's origin, in that incarnation.
+fn is_origin_connected(view: &Membership, origin: &Origin) -> bool {
     view.state(origin.member) == State::Alive
         && view.is_linked(origin.member)
         && view.incarnation_of(origin.member) == Some(origin.life)
 }
 
-/// A stream as an operator or a test sees it.
+/// The state of a stream, for operators and tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamStatus {
-    /// Whose.
+    /// The stream.
     pub origin: Origin,
-    /// Up to which version it is held.
+    /// The version up to which it is held.
     pub version: u64,
     /// The hash of its records.
     pub hash: u64,
-    /// Records by kind.
+    /// The number of records by kind.
     pub counts: [usize; KINDS.len()],
-    /// By how many changes of the own stream its member was behind when it last said so.
+    /// By how many changes of the own stream the origin's member was behind, by its last digest.
     pub lag: Option<u64>,
 }
 
