--- a/crates/replica/tests/laws.rs
+++ b/crates/replica/tests/laws.rs
@@ -1,4 +1,5 @@
-//! The laws of the joins, and copies that converge however records come, against a naive model that keeps everything.
+//! Algebraic laws of the joins, and convergence of copies however records arrive, checked against a naive model that
+//! keeps every change.
 
 use std::collections::BTreeMap;
 
@@ -14,11 +15,11 @@
 use proptest::prelude::*;
 
 fn fact() -> impl Strategy<Value = ServerFact> {
-    let place = prop_oneof![Just(ServerState::Ready), Just(ServerState::Draining), Just(ServerState::Gone)];
-    (0u64..3, place).prop_map(|(started_ms, place)| ServerFact { started_ms, place })
+    let state = prop_oneof![Just(ServerState::Ready), Just(ServerState::Draining), Just(ServerState::Gone)];
+    (0u64..3, state).prop_map(|(started_ms, place)| ServerFact { started_ms, place })
 }
 
-fn said() -> impl Strategy<Value = ServerObservation> {
+fn observation() -> impl Strategy<Value = ServerObservation> {
     let silent = proptest::option::of((0u8..4, 0u64..3));
     (0u8..4, fact(), silent).prop_map(|(at, fact, silent)| ServerObservation {
         at: f64::from(at),
@@ -28,9 +29,9 @@
 }
 
 proptest! {
-    /// Commutative, associative, idempotent: so it does not matter in which order and how often copies come.
+    /// Commutative, associative and idempotent: so it does not matter in which order and how often copies arrive.
     #[test]
-    fn what_is_known_of_a_server_joins_by_the_laws(a in said(), b in said(), c in said()) {
+    fn observations_of_a_server_join_commutatively_associatively_and_idempotently(a in observation(), b in observation(), c in observation()) {
         prop_assert_eq!(a.join(&b), b.join(&a));
         prop_assert_eq!(a.join(&b).join(&c), a.join(&b.join(&c)));
         prop_assert_eq!(a.join(&a), a);
@@ -44,7 +45,7 @@
     }
 }
 
-/// One step of an origin: it says something of a key, or takes it back.
+/// One change by an origin: it writes a key or withdraws it.
 fn change() -> impl Strategy<Value = (Key, Option<Value>)> {
     let server = (0u64..4, proptest::option::of(fact()))
         .prop_map(|(n, fact)| (Key::Server(ServerKey(n)), fact.map(Value::Server)));
@@ -61,7 +62,7 @@
     Origin { member: MemberId(member), life: Incarnation { number: 1, nonce: 0 } }
 }
 
-/// What the naive model holds: every change ever, replayed.
+/// The state of the naive model: all changes, replayed.
 fn replay(changes: &[(Key, Option<Value>)]) -> BTreeMap<Key, Value> {
     let mut all = BTreeMap::new();
     for (key, value) in changes {
@@ -78,106 +79,109 @@
 }
 
 proptest! {
-    /// Pieces of any length, repeated and out of order, lost and asked for again, bring a copy to the origin's state;
-    /// equal versions have equal hashes, and none are equal on the way unless the content is.
+    /// Chunks of any length, repeated and out of order, lost and requested again, bring a copy to the origin's state.
+    /// Equal versions have equal hashes, and on the way hashes are equal only if the content is.
     #[test]
-    fn a_copy_becomes_what_its_origin_says(
+    fn a_copy_reaches_the_state_of_its_origin_whatever_the_order_of_chunks(
         changes in prop::collection::vec(change(), 1..60),
         order in prop::collection::vec((0usize..60, 0usize..60), 0..120),
     ) {
         let (mut source, mut copy) = (Stream::default(), Stream::default());
-        let mut told: Vec<Chunk> = Vec::new();
+        let mut chunks: Vec<Chunk> = Vec::new();
         for (key, value) in &changes {
             let before = source.version();
             source.write(0.0, *key, *value);
-            let (records, upto, last) = source.changes_after(0.0, before);
-            told.push(Chunk { origin: origin(1), after: before, up_to: upto, base: None, horizon: 0, last, records });
+            let (records, up_to, last) = source.changes_after(0.0, before);
+            chunks.push(Chunk { origin: origin(1), after: before, up_to, base: None, horizon: 0, last, records });
         }
-        // As a lossy, repeating way brings them: a piece counts only where it leaves no gap.
+        // As a network that loses and repeats messages delivers them: a chunk is applied only if it leaves no gap.
         for (from, to) in order {
-            for at in [from, to] {
-                let Some(piece) = told.get(at) else { continue };
-                if piece.after <= copy.version() {
-                    prop_assert!(piece.records.iter().all(|r| copy.apply(0.0, r).is_none()));
-                    copy.advance_to(piece.up_to, 0);
+            for n in [from, to] {
+                let Some(chunk) = chunks.get(n) else { continue };
+                if chunk.after <= copy.version() {
+                    prop_assert!(chunk.records.iter().all(|r| copy.apply(0.0, r).is_none()));
+                    copy.advance_to(chunk.up_to, 0);
                 }
             }
-            let then: BTreeMap<Key, Value> = holds(&copy);
+            let records: BTreeMap<Key, Value> = holds(&copy);
             if copy.version() == source.version() {
                 prop_assert_eq!(copy.hash(), source.hash());
             }
-            prop_assert!(then.iter().all(|(key, value)| value.fits(key)));
+            prop_assert!(records.iter().all(|(key, value)| value.fits(key)));
         }
-        let (records, upto, last) = source.changes_after(0.0, copy.version());
+        let (records, up_to, last) = source.changes_after(0.0, copy.version());
         prop_assert!(last);
         prop_assert!(records.iter().all(|r| copy.apply(0.0, r).is_none()));
-        copy.advance_to(upto, source.horizon());
+        copy.advance_to(up_to, source.horizon());
         prop_assert_eq!(holds(&copy), replay(&changes));
         prop_assert_eq!((copy.version(), copy.hash()), (source.version(), source.hash()));
         prop_assert_eq!(copy.counts().iter().sum::<usize>(), replay(&changes).len());
     }
 }
 
-/// One who asks and one who gives, without links.
+/// A member that requests and one that answers, without links.
 struct Pair {
-    giver: (Store, CatchUp),
-    asker: (Store, CatchUp),
+    source: (Store, CatchUp),
+    requester: (Store, CatchUp),
     now: f64,
 }
 
-const GIVER: MemberId = MemberId(1);
-const ASKER: MemberId = MemberId(2);
+const SOURCE: MemberId = MemberId(1);
+const REQUESTER: MemberId = MemberId(2);
 
 impl Pair {
-    fn new(giver: Store) -> Pair {
+    fn new(source: Store) -> Pair {
         let mut pair = Pair {
-            giver: (giver, CatchUp::new(0.0, Settings::default())),
-            asker: (Store::new(origin(2)), CatchUp::new(0.0, Settings::default())),
+            source: (source, CatchUp::new(0.0, Settings::default())),
+            requester: (Store::new(origin(2)), CatchUp::new(0.0, Settings::default())),
             now: 0.0,
         };
-        pair.giver.1.link_up(ASKER);
-        pair.asker.1.link_up(GIVER);
+        pair.source.1.link_up(REQUESTER);
+        pair.requester.1.link_up(SOURCE);
         pair
     }
 
     fn digest(&mut self) -> Vec<Mismatch> {
-        let held: Vec<StreamDigest> = CatchUp::digest(&self.giver.0);
-        self.asker.1.receive_digest(self.now, GIVER, &held, &self.asker.0, |_| true)
+        let digests: Vec<StreamDigest> = CatchUp::digest(&self.source.0);
+        self.requester.1.receive_digest(self.now, SOURCE, &digests, &self.requester.0, |_| true)
     }
 
-    fn asked(&mut self) -> Option<ChunkRequest> {
-        match self.asker.1.next_outgoing(self.now, GIVER, &self.asker.0) {
-            Some(Outgoing::Request(ask)) => Some(ask),
+    fn next_request(&mut self) -> Option<ChunkRequest> {
+        match self.requester.1.next_outgoing(self.now, SOURCE, &self.requester.0) {
+            Some(Outgoing::Request(request)) => Some(request),
             _ => None,
         }
     }
 
-    fn piece(&mut self) -> Option<Chunk> {
+    fn next_chunk(&mut self) -> Option<Chunk> {
         self.now += 0.1;
-        match self.giver.1.next_outgoing(self.now, ASKER, &self.giver.0) {
-            Some(Outgoing::Chunk(piece)) => Some(piece),
+        match self.source.1.next_outgoing(self.now, REQUESTER, &self.source.0) {
+            Some(Outgoing::Chunk(chunk)) => Some(chunk),
             _ => None,
         }
     }
 
-    /// Lets them talk until nothing is left to say; returns the pieces that went.
+    /// Exchanges messages until there is nothing left to send; returns the chunks that were sent.
     fn run(&mut self) -> Vec<Chunk> {
         self.digest();
-        while let Some(ask) = self.asked() {
-            self.giver.1.receive_request(ASKER, &ask, &self.giver.0);
+        while let Some(request) = self.next_request() {
+            self.source.1.receive_request(REQUESTER, &request, &self.source.0);
         }
-        let mut pieces = Vec::new();
-        while let Some(piece) = self.piece() {
-            self.asker.1.receive_chunk(self.now, Some(0.0), GIVER, &piece, &mut self.asker.0).unwrap();
-            pieces.push(piece);
-            assert!(pieces.len() < 10_000, "it never ends");
+        let mut chunks = Vec::new();
+        while let Some(chunk) = self.next_chunk() {
+            self.requester
+                .1
+                .receive_chunk(self.now, Some(0.0), SOURCE, &chunk, &mut self.requester.0)
+                .unwrap();
+            chunks.push(chunk);
+            assert!(chunks.len() < 10_000, "the exchange does not end");
         }
-        pieces
+        chunks
     }
 
-    fn level(&self) -> bool {
+    fn is_level(&self) -> bool {
         let of = |store: &Store| store.stream(&origin(1)).map(|s| (s.version(), s.hash(), holds(s)));
-        of(&self.giver.0) == of(&self.asker.0)
+        of(&self.source.0) == of(&self.requester.0)
     }
 }
 
@@ -189,123 +193,134 @@
     store.own_stream().write(0.0, key, value);
 }
 
-fn giver(calls: u64) -> Store {
+fn source(calls: u64) -> Store {
     let mut store = Store::new(origin(1));
     (0..calls).map(call).for_each(|(key, value)| write(&mut store, key, value));
     store
 }
 
 #[test]
-fn one_within_the_reach_of_the_log_gets_the_changes_alone() {
-    let mut pair = Pair::new(giver(1000));
+fn a_copy_within_reach_of_the_log_receives_only_the_changes() {
+    let mut pair = Pair::new(source(1000));
     assert_eq!(pair.run().len(), 1000usize.div_ceil(MAX_CHUNK_RECORDS));
-    assert!(pair.level());
-    (0..40).for_each(|n| write(&mut pair.giver.0, Key::Call(n), None));
-    let pieces = pair.run();
+    assert!(pair.is_level());
+    (0..40).for_each(|n| write(&mut pair.source.0, Key::Call(n), None));
+    let chunks = pair.run();
     assert_eq!(
-        pieces.iter().map(|p| p.records.len()).sum::<usize>(),
+        chunks.iter().map(|chunk| chunk.records.len()).sum::<usize>(),
         40,
-        "what was withdrawn, and nothing else"
+        "the withdrawn records and nothing else"
     );
-    assert!(pieces.iter().all(|p| p.base.is_none()) && pair.level());
+    assert!(chunks.iter().all(|chunk| chunk.base.is_none()) && pair.is_level());
 }
 
-/// More was withdrawn than tombstones are kept: what the log cannot tell, the whole does.
+/// More records are withdrawn than tombstones are kept, so the log cannot tell which, and the whole stream is sent.
 #[test]
-fn one_behind_the_log_gets_the_whole_and_loses_what_is_over() {
-    let mut pair = Pair::new(giver(6000));
+fn a_copy_behind_the_log_receives_the_whole_stream_and_drops_withdrawn_records() {
+    let mut pair = Pair::new(source(6000));
     pair.run();
-    assert!(pair.level());
-    (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Call(n), None));
-    let kept = pair.giver.0.stream(&origin(1)).unwrap();
+    assert!(pair.is_level());
+    (0..5000).for_each(|n| write(&mut pair.source.0, Key::Call(n), None));
+    let stream = pair.source.0.stream(&origin(1)).unwrap();
     assert!(
-        kept.horizon() > 0 && kept.len_with_tombstones() <= 1000 + MAX_TOMBSTONES,
-        "tombstones have a bound"
+        stream.horizon() > 0 && stream.len_with_tombstones() <= 1000 + MAX_TOMBSTONES,
+        "the number of tombstones is bounded"
     );
-    // The origin tells changes from where the copy was, which its log does not reach any more.
-    let pieces = pair.run();
-    assert!(!pieces.is_empty() && pieces.iter().all(|p| p.base.is_some()), "the whole");
-    assert!(pair.level());
+    // The origin pushes changes from where the copy was, which its log does not reach back to any more.
+    let chunks = pair.run();
+    assert!(!chunks.is_empty() && chunks.iter().all(|chunk| chunk.base.is_some()), "the whole stream");
+    assert!(pair.is_level());
 }
 
-/// The giver dies in the middle; another copy goes on from where it stopped, if it still can.
+/// The source fails in the middle of a whole stream; another copy continues where it stopped, if it still can.
 #[test]
-fn a_giver_that_stops_is_replaced_where_it_stopped() {
+fn another_source_continues_a_transfer_where_the_first_one_stopped() {
     for dropped in [false, true] {
-        let mut pair = Pair::new(giver(3000));
-        // So that the whole is given, not the changes alone.
-        (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Over(n), Some(Value::Over)));
-        (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Over(n), None));
+        let mut pair = Pair::new(source(3000));
+        // So that the whole stream is sent, not only the changes.
+        (0..5000).for_each(|n| write(&mut pair.source.0, Key::Over(n), Some(Value::Over)));
+        (0..5000).for_each(|n| write(&mut pair.source.0, Key::Over(n), None));
         pair.digest();
-        let ask = pair.asked().unwrap();
-        pair.giver.1.receive_request(ASKER, &ask, &pair.giver.0);
+        let request = pair.next_request().unwrap();
+        pair.source.1.receive_request(REQUESTER, &request, &pair.source.0);
         for _ in 0..5 {
-            let piece = pair.piece().unwrap();
-            assert!(piece.base.is_some());
-            pair.asker.1.receive_chunk(pair.now, Some(0.0), GIVER, &piece, &mut pair.asker.0).unwrap();
+            let chunk = pair.next_chunk().unwrap();
+            assert!(chunk.base.is_some());
+            pair.requester
+                .1
+                .receive_chunk(pair.now, Some(0.0), SOURCE, &chunk, &mut pair.requester.0)
+                .unwrap();
         }
         assert!(
-            pair.asker.0.stream(&origin(1)).is_none_or(Stream::is_empty),
-            "nothing counts before it is whole"
+            pair.requester.0.stream(&origin(1)).is_none_or(Stream::is_empty),
+            "nothing is applied before the stream is complete"
         );
-        // The next giver has the same stream, with some changes since; or so many that it forgot which.
-        write(&mut pair.giver.0, Key::Call(17), None);
-        write(&mut pair.giver.0, Key::Call(9999), call(0).1);
+        // The next source has the same stream with some changes since, or with so many that it has dropped
+        // tombstones.
+        write(&mut pair.source.0, Key::Call(17), None);
+        write(&mut pair.source.0, Key::Call(9999), call(0).1);
         if dropped {
-            (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Over(n), Some(Value::Over)));
-            (0..5000).for_each(|n| write(&mut pair.giver.0, Key::Over(n), None));
+            (0..5000).for_each(|n| write(&mut pair.source.0, Key::Over(n), Some(Value::Over)));
+            (0..5000).for_each(|n| write(&mut pair.source.0, Key::Over(n), None));
         }
-        let other = MemberId(3);
-        pair.asker.1.link_down(GIVER);
-        pair.asker.1.link_up(other);
+        let third_member = MemberId(3);
+        pair.requester.1.link_down(SOURCE);
+        pair.requester.1.link_up(third_member);
         let mut third = CatchUp::new(0.0, Settings::default());
-        third.link_up(ASKER);
-        let held = CatchUp::digest(&pair.giver.0);
-        // The origin is not heard any more.
-        pair.asker.1.receive_digest(pair.now, other, &held, &pair.asker.0, |_| false);
-        let ask = match pair.asker.1.next_outgoing(pair.now, other, &pair.asker.0) {
-            Some(Outgoing::Request(ask)) => ask,
-            said => panic!("it asks the other, not {said:?}"),
+        third.link_up(REQUESTER);
+        let digests = CatchUp::digest(&pair.source.0);
+        // No messages arrive from the origin any more.
+        pair.requester.1.receive_digest(pair.now, third_member, &digests, &pair.requester.0, |_| false);
+        let request = match pair.requester.1.next_outgoing(pair.now, third_member, &pair.requester.0) {
+            Some(Outgoing::Request(request)) => request,
+            outgoing => panic!("expected a request to the third member, got {outgoing:?}"),
         };
-        assert!(ask.after > 0 && ask.base.is_some(), "the rest of it");
-        third.receive_request(ASKER, &ask, &pair.giver.0);
+        assert!(request.after > 0 && request.base.is_some(), "the rest of the stream");
+        third.receive_request(REQUESTER, &request, &pair.source.0);
         let mut first = None;
-        while let Some(said) = {
+        while let Some(outgoing) = {
             pair.now += 0.1;
-            third.next_outgoing(pair.now, ASKER, &pair.giver.0)
+            third.next_outgoing(pair.now, REQUESTER, &pair.source.0)
         } {
-            let Outgoing::Chunk(piece) = said else { continue };
-            first.get_or_insert(piece.after);
-            pair.asker.1.receive_chunk(pair.now, Some(0.0), other, &piece, &mut pair.asker.0).unwrap();
+            let Outgoing::Chunk(chunk) = outgoing else { continue };
+            first.get_or_insert(chunk.after);
+            pair.requester
+                .1
+                .receive_chunk(pair.now, Some(0.0), third_member, &chunk, &mut pair.requester.0)
+                .unwrap();
         }
-        assert_eq!(first == Some(0), dropped, "from where it stopped, or anew if that cannot be told");
-        assert!(pair.level(), "dropped {dropped}");
+        assert_eq!(
+            first == Some(0),
+            dropped,
+            "continues where the first source stopped, or starts anew if that is not possible"
+        );
+        assert!(pair.is_level(), "dropped {dropped}");
     }
 }
 
-/// The whole as it is, but for one record that differs under its version: found by the hash, told with both sides, and
-/// mended by the origin's word.
+/// A copy that is complete but for one record with other content under its version: the hash reveals it, and the
+/// origin's copy replaces it.
 #[test]
-fn a_copy_that_differs_is_found_and_mended() {
-    let mut pair = Pair::new(giver(500));
+fn a_copy_that_diverged_is_detected_and_repaired() {
+    let mut pair = Pair::new(source(500));
     pair.run();
     let wrong = Value::Call(CallFact { server: ServerKey(8), class: 9 });
-    let mut bent = Stream::default();
-    for (key, at, value) in pair.giver.0.stream(&origin(1)).unwrap().range(..) {
-        bent.write(at, key, Some(if key == Key::Call(250) { wrong } else { value }));
+    let mut diverged = Stream::default();
+    for (key, at, value) in pair.source.0.stream(&origin(1)).unwrap().range(..) {
+        diverged.write(at, key, Some(if key == Key::Call(250) { wrong } else { value }));
     }
-    pair.asker.0.install(origin(1), bent);
-    assert!(!pair.level());
+    pair.requester.0.install(origin(1), diverged);
+    assert!(!pair.is_level());
     assert_eq!(pair.digest(), [Mismatch::Diverged(origin(1))]);
     pair.run();
-    assert!(pair.level(), "mended");
+    assert!(pair.is_level(), "repaired");
     assert_eq!(pair.digest(), []);
 }
 
-/// Two copies of a stream whose origin is gone take what the other has, and settle two contents under one version
+/// Two copies of a stream whose origin is gone merge each other's records, and resolve two contents under one version
 /// alike.
 #[test]
-fn copies_without_their_origin_settle_by_the_same_rule() {
+fn copies_of_a_stream_without_its_origin_merge_to_the_same_state() {
     let gone = origin(9);
     let stream = |class: u32, extra: u64| {
         let mut s = Stream::default();
@@ -317,22 +332,22 @@
     let (a, b) = (stream(1, 2), stream(2, 3));
     assert!(a.version() == b.version() && a.hash() != b.hash());
     let (mut x, mut y) = (a.clone(), b.clone());
-    assert_eq!(x.merge(&b).len(), 2, "both contradictions are told");
+    assert_eq!(x.merge(&b).len(), 2, "both conflicts are returned");
     y.merge(&a);
-    assert_eq!((x.hash(), holds(&x)), (y.hash(), holds(&y)), "whoever takes from whom");
+    assert_eq!((x.hash(), holds(&x)), (y.hash(), holds(&y)), "in either order of merging");
     let mut store = Store::new(origin(1));
     store.install(gone, x);
     assert!(store.standing_call(1).is_some());
 }
 
 #[test]
-fn what_makes_no_sense_is_refused_and_changes_nothing() {
-    let mut pair = Pair::new(giver(3));
+fn an_invalid_chunk_is_refused_and_changes_nothing() {
+    let mut pair = Pair::new(source(3));
     let record = |version, key, value| Record { key, version, age_ms: 0, value };
-    let piece = |from, upto, records| Chunk {
+    let chunk = |after, up_to, records| Chunk {
         origin: origin(1),
-        after: from,
-        up_to: upto,
+        after,
+        up_to,
         base: None,
         horizon: 0,
         last: true,
@@ -340,54 +355,57 @@
     };
     let (key, value) = call(1);
     for bad in [
-        piece(0, 5, vec![record(3, key, value), record(2, key, value)]),
-        piece(4, 5, vec![record(3, key, value)]),
-        piece(0, 2, vec![record(3, key, value)]),
-        piece(5, 2, vec![]),
-        piece(0, 5, vec![record(1, Key::Server(ServerKey(1)), value)]),
-        piece(0, 1000, (1..=MAX_CHUNK_RECORDS as u64 + 1).map(|v| record(v, Key::Call(v), value)).collect()),
+        chunk(0, 5, vec![record(3, key, value), record(2, key, value)]),
+        chunk(4, 5, vec![record(3, key, value)]),
+        chunk(0, 2, vec![record(3, key, value)]),
+        chunk(5, 2, vec![]),
+        chunk(0, 5, vec![record(1, Key::Server(ServerKey(1)), value)]),
+        chunk(0, 1000, (1..=MAX_CHUNK_RECORDS as u64 + 1).map(|v| record(v, Key::Call(v), value)).collect()),
     ] {
         assert!(
-            pair.asker.1.receive_chunk(0.0, Some(0.0), GIVER, &bad, &mut pair.asker.0).is_err(),
+            pair.requester.1.receive_chunk(0.0, Some(0.0), SOURCE, &bad, &mut pair.requester.0).is_err(),
             "{bad:?}"
         );
     }
-    assert!(pair.asker.0.stream(&origin(1)).is_none_or(Stream::is_empty));
-    // A gap is no fault; what lies in it is asked for later.
-    let gap = piece(7, 8, vec![record(8, key, value)]);
-    assert!(pair.asker.1.receive_chunk(0.0, Some(0.0), GIVER, &gap, &mut pair.asker.0).is_ok());
-    assert_eq!(pair.asker.0.stream(&origin(1)).map(Stream::version), Some(0));
-    let own = Chunk { origin: origin(2), ..piece(0, 1, vec![record(1, key, value)]) };
-    pair.asker.1.receive_chunk(0.0, Some(0.0), GIVER, &own, &mut pair.asker.0).unwrap();
-    assert!(pair.asker.0.stream(&origin(2)).unwrap().is_empty(), "nobody else writes to the own stream");
+    assert!(pair.requester.0.stream(&origin(1)).is_none_or(Stream::is_empty));
+    // A gap is no error; what lies in it is requested later.
+    let gap = chunk(7, 8, vec![record(8, key, value)]);
+    assert!(pair.requester.1.receive_chunk(0.0, Some(0.0), SOURCE, &gap, &mut pair.requester.0).is_ok());
+    assert_eq!(pair.requester.0.stream(&origin(1)).map(Stream::version), Some(0));
+    let own = Chunk { origin: origin(2), ..chunk(0, 1, vec![record(1, key, value)]) };
+    pair.requester.1.receive_chunk(0.0, Some(0.0), SOURCE, &own, &mut pair.requester.0).unwrap();
+    assert!(
+        pair.requester.0.stream(&origin(2)).unwrap().is_empty(),
+        "no other member writes to the own stream"
+    );
 }
 
-/// A stream that is over and forgotten is not brought back by one that was away.
+/// A stream that is over and forgotten is not brought back by a member that was away.
 #[test]
-fn what_is_forgotten_does_not_come_back() {
-    let mut pair = Pair::new(giver(10));
+fn a_forgotten_stream_is_not_accepted_again() {
+    let mut pair = Pair::new(source(10));
     pair.run();
-    assert_eq!(pair.asker.0.forget(MemberId(1), 2), [(origin(1), 10)]);
+    assert_eq!(pair.requester.0.forget(MemberId(1), 2), [(origin(1), 10)]);
     pair.run();
-    assert!(pair.asker.0.stream(&origin(1)).is_none() && pair.asker.0.is_forgotten(&origin(1)));
-    assert_eq!(pair.asker.0.forget(MemberId(2), 99), [], "the own stream stays");
+    assert!(pair.requester.0.stream(&origin(1)).is_none() && pair.requester.0.is_forgotten(&origin(1)));
+    assert_eq!(pair.requester.0.forget(MemberId(2), 99), [], "the own stream is never dropped");
 }
 
 proptest! {
-    /// Whatever bytes come, they are a word or an error, and a word survives the way.
+    /// Arbitrary bytes decode to a message or an error, and a message survives encoding and decoding.
     #[test]
-    fn no_bytes_break_the_decoder(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_never_panics_and_messages_round_trip(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = postcard::from_bytes::<hollypaddle_replica::Message>(&bytes);
-        let word = hollypaddle_replica::Message::Request(ChunkRequest { origin: origin(1), after: bytes.len() as u64, base: None });
-        let sent = postcard::to_allocvec(&word).unwrap();
-        prop_assert_eq!(postcard::from_bytes::<hollypaddle_replica::Message>(&sent).unwrap(), word);
+        let message = hollypaddle_replica::Message::Request(ChunkRequest { origin: origin(1), after: bytes.len() as u64, base: None });
+        let encoded = postcard::to_allocvec(&message).unwrap();
+        prop_assert_eq!(postcard::from_bytes::<hollypaddle_replica::Message>(&encoded).unwrap(), message);
     }
 }
 
-/// A hello of another version, for another member or from nobody is refused; one with the last incarnation there is
-/// does no harm.
+/// A hello of another protocol version, for another member or from a stranger is refused; one that names the last
+/// possible incarnation does no harm.
 #[test]
-fn a_greeting_that_is_not_for_us_is_refused() {
+fn a_hello_of_another_version_receiver_or_stranger_is_refused() {
     use hollypaddle_membership::view;
     use hollypaddle_replica::member::{Rejection, PROTOCOL};
     use hollypaddle_replica::{Member, Message};
@@ -411,64 +429,65 @@
     );
     assert_eq!(member.receive_hello(0.0, &Message::Leave), Err(Rejection::UnexpectedMessage));
     assert_eq!(member.receive_hello(0.0, &hello(PROTOCOL, other, own, Some((last, u32::MAX)))), Ok(other));
-    assert_eq!(member.view().incarnation().number, u64::MAX, "raised as far as may be");
+    assert_eq!(member.view().incarnation().number, u64::MAX, "raised as far as possible");
     let held = StreamDigest { origin: member.store().own_origin(), version: 9, hash: 0 };
     assert_eq!(member.receive(0.1, other, &Message::Digest(vec![held], vec![(other, u64::MAX)])), Ok(()));
     (0..3000).for_each(|n| member.tick(0.1 + f64::from(n) * 0.1));
 }
 
-/// An end wins over standing, whoever says either, and in whichever order the words come: a call that is known to be over
-/// is given to nobody as one that stands. Guards against an end that is told again, and a release that goes out again,
-/// each time that a server says it on a new connection.
+/// A recorded end wins over a record that the call stands, whoever wrote them and in whichever order they arrive: a
+/// call known to have ended is reported to nobody as standing. Guards against an end that is delivered again, and a
+/// release that is sent again, each time a server reports the call on a new connection.
 #[test]
-fn a_call_with_a_known_end_is_given_to_nobody() {
+fn a_call_with_a_recorded_end_is_not_reported_as_standing() {
     let fact = CallFact { server: ServerKey(1), class: 1 };
-    for (owner, ender) in [(2, 3), (3, 2), (2, 2)] {
+    for (owner, ended_by) in [(2, 3), (3, 2), (2, 2)] {
         for end_first in [true, false] {
             let mut store = Store::new(origin(1));
-            let mut words = [
+            let mut records = [
                 (origin(owner), Key::Call(7), Value::Call(fact)),
                 (
-                    Origin { life: Incarnation { number: 2, nonce: 0 }, ..origin(ender) },
+                    Origin { life: Incarnation { number: 2, nonce: 0 }, ..origin(ended_by) },
                     Key::Over(7),
                     Value::Over,
                 ),
             ];
             if end_first {
-                words.reverse();
+                records.reverse();
             }
-            for (n, (origin, key, value)) in words.into_iter().enumerate() {
-                let known = store.standing_call(7).is_some();
-                assert!(!known || !end_first, "before the word that it stands");
+            for (n, (origin, key, value)) in records.into_iter().enumerate() {
+                let standing = store.standing_call(7).is_some();
+                assert!(!standing || !end_first, "before the record that the call stands");
                 store.copy_mut(origin).unwrap().write(n as f64, key, Some(value));
             }
             assert!(store.is_call_over(7) && store.is_end_delivered(7));
             assert_eq!(
                 store.standing_call(7),
                 None,
-                "owner {owner}, ended by {ender}, end first: {end_first}"
+                "owner {owner}, ended by {ended_by}, end first: {end_first}"
             );
-            // Another call of the same owner is no less known for it.
+            // Another call of the same owner is unaffected.
             store.copy_mut(origin(owner)).unwrap().write(9.0, Key::Call(8), Some(Value::Call(fact)));
-            assert_eq!(store.standing_call(8).map(|known| known.0), Some(origin(owner)));
+            assert_eq!(store.standing_call(8).map(|standing| standing.0), Some(origin(owner)));
         }
     }
-    // One that its owner withdrew stands no more either.
+    // A call that its owner withdrew does not stand either.
     let mut store = Store::new(origin(1));
     store.copy_mut(origin(2)).unwrap().write(0.0, Key::Call(7), Some(Value::Call(fact)));
     store.copy_mut(origin(2)).unwrap().write(1.0, Key::Call(7), None);
     assert_eq!((store.standing_call(7), store.is_end_delivered(7)), (None, true));
 }
 
-/// Of the calls of one that is gone those are adopted that no stream ends, each by one of the living. Guards against a call
-/// that is seen to after its end was told: its caller would be told again when its server is lost.
+/// Of the calls of a member that is gone those without a recorded end are adopted, each by one live member. Guards
+/// against a call that is looked after although its end was delivered: its caller would be told again when the call's
+/// server is lost.
 #[test]
-fn calls_with_a_known_end_are_not_adopted() {
+fn calls_with_a_recorded_end_are_not_adopted() {
     use hollypaddle_membership::view::{Membership, Settings};
     use hollypaddle_replica::adoption::calls_to_adopt;
     let fact = CallFact { server: ServerKey(1), class: 1 };
     let life = Incarnation { number: 1, nonce: 0 };
-    let mut seen = BTreeMap::new();
+    let mut adopted_by = BTreeMap::new();
     for own in [1, 3] {
         let members = [1, 2, 3].map(MemberId);
         let mut view = Membership::new(0.0, MemberId(own), life, Settings::default(), members);
@@ -480,18 +499,21 @@
         for id in 0..40 {
             store.copy_mut(origin(2)).unwrap().write(0.0, Key::Call(id), Some(Value::Call(fact)));
         }
-        // Every other one is over, as the one or the other of those who live says.
+        // Every other call has ended, as recorded by one or the other of the live members.
         for id in (0..40).step_by(2) {
-            let ender = if id % 4 == 0 { 1 } else { 3 };
+            let ended_by = if id % 4 == 0 { 1 } else { 3 };
             let stream =
-                if ender == own { store.own_stream() } else { store.copy_mut(origin(ender)).unwrap() };
+                if ended_by == own { store.own_stream() } else { store.copy_mut(origin(ended_by)).unwrap() };
             stream.write(0.5, Key::Over(id), Some(Value::Over));
         }
         for id in calls_to_adopt(&store, &view).into_keys() {
             assert_eq!(id % 2, 1, "call {id} is over");
-            assert_eq!(seen.insert(id, own), None, "call {id} is adopted by two");
+            assert_eq!(adopted_by.insert(id, own), None, "call {id} is adopted by two");
         }
     }
-    assert_eq!(seen.len(), 20, "each that stands has somebody");
-    assert!(seen.values().any(|m| *m == 1) && seen.values().any(|m| *m == 3), "they are divided");
+    assert_eq!(adopted_by.len(), 20, "each standing call is adopted");
+    assert!(
+        adopted_by.values().any(|m| *m == 1) && adopted_by.values().any(|m| *m == 3),
+        "the calls are divided between the two members"
+    );
 }
