--- a/crates/duties/src/fence.rs
+++ b/crates/duties/src/fence.rs
@@ -9,8 +9,8 @@
 pub enum FenceError {
     /// It was made under an epoch that is over.
     #[error(
-        "a request under epoch {given}, while {known} is known: its holder was paused or cut off after its last check; \
-         nothing was done, and the present holder goes on"
+        "a request under epoch {given}, while {known} is known: its holder was paused or cut off after its last \
+         check; nothing was done, and the present holder goes on"
     )]
     StaleEpoch {
         /// The epoch of the request.
@@ -19,7 +19,10 @@
         known: Epoch,
     },
     /// It belongs to a duty beyond those that can be remembered.
-    #[error("a request under one duty more than the {MAX_DUTIES} that are known here: nothing was done; configure fewer duties")]
+    #[error(
+        "a request under one duty more than the {MAX_DUTIES} that are known here: nothing was done; configure \
+         fewer duties"
+    )]
     TooManyDuties,
 }
 
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -183,11 +183,15 @@
     #[error("another member holds the duty: it is taken over when that lease expires or is released")]
     AlreadyHeld,
     /// Another member requests it, and it is not known whether it got it.
-    #[error("another member requests the duty at the same time: nothing needs to be done, each retries after a random delay")]
+    #[error(
+        "another member requests the duty at the same time: nothing needs to be done, each retries after a random \
+         delay"
+    )]
     Contended,
     /// A later epoch is known.
     #[error(
-        "a later epoch of the duty is known: the member that requested under this one was paused or cut off, and requests again"
+        "a later epoch of the duty is known: the member that requested under this one was paused or cut off, and \
+         requests again"
     )]
     StaleEpoch,
     /// It is reserved for the member to which it is being handed over.
--- a/crates/lending/tests/laws.rs
+++ b/crates/lending/tests/laws.rs
@@ -21,12 +21,12 @@
     /// lender's.
     #[test]
     fn a_lender_does_not_use_what_it_lent_until_the_lease_has_expired(
-        most in 0.0f64..1.0,
+        max_lent_ratio in 0.0f64..1.0,
         part in 0.01f64..0.5,
         steps in prop::collection::vec(step(), 1..60),
     ) {
         let started_at = 1000.0;
-        let mut lending = Lending::new(started_at, most);
+        let mut lending = Lending::new(started_at, max_lent_ratio);
         // The borrower, its incarnation, until when, and how much: of one borrower the last message counts.
         let mut announced: Vec<(MemberId, Incarnation, f64, u32)> = Vec::new();
         let mut now = started_at;
@@ -50,8 +50,8 @@
             // A borrower that missed the last message still counts the one before.
             let mut counted_by: std::collections::BTreeMap<MemberId, u32> = Default::default();
             for (member, _, _, part) in announced.iter().filter(|(.., until, _)| now < *until) {
-                let most = counted_by.entry(*member).or_default();
-                *most = (*most).max(*part);
+                let largest = counted_by.entry(*member).or_default();
+                *largest = (*largest).max(*part);
             }
             let incarnations = |m: &MemberId| {
                 let valid = announced.iter().filter(|(who, _, until, _)| who == m && now < *until);
@@ -61,7 +61,7 @@
             let lent = f64::from(counted_by.values().sum::<u32>()) / f64::from(WHOLE_MILLIONTHS);
             let left = lending.own_part(now, BUDGET, part);
             prop_assert!(left >= 0.0 && left + lent <= part + 1e-9, "{left} left, {lent} lent, of a part of {part}");
-            prop_assert!(lent <= part * most.min(MAX_LENT_RATIO) + 1e-9);
+            prop_assert!(lent <= part * max_lent_ratio.min(MAX_LENT_RATIO) + 1e-9);
             if now < started_at + LENDER_TERM_S {
                 prop_assert!(left <= part * (1.0 - MAX_LENT_RATIO) + 1e-9, "as much is held back after a start");
             }
--- a/crates/replica/src/adoption.rs
+++ b/crates/replica/src/adoption.rs
@@ -16,7 +16,7 @@
 use crate::record::{CallFact, Key, Origin};
 use crate::store::Store;
 
-/// A call that this member looks after in place of its origin.
+/// A call that this member is responsible for in place of its origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdoptedCall {
     /// The stream that the call is recorded in.
@@ -27,7 +27,7 @@
     pub fact: CallFact,
 }
 
-/// Who looks after the calls that an incarnation of a member accepted.
+/// Who is responsible for the calls that an incarnation of a member accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOwner {
     /// That incarnation itself.
@@ -38,7 +38,7 @@
     LiveMembers,
 }
 
-/// Returns who looks after the calls of a stream.
+/// Returns who is responsible for the calls of a stream.
 pub fn call_owner(origin: &Origin, view: &Membership) -> CallOwner {
     let gone = matches!(view.state(origin.member), State::Gone(_));
     match view.incarnation_of(origin.member) {
@@ -48,14 +48,14 @@
     }
 }
 
-/// Whether this member may begin to look after calls of an origin. Guards against a member without a majority that
+/// Whether this member may take responsibility for calls of an origin. Guards against a member without a majority that
 /// takes over the calls of one that it merely does not receive from, and that goes on working where others receive
 /// from it.
 pub fn may_adopt(origin: &Origin, view: &Membership) -> bool {
     origin.member == view.own_id() || view.quorum_is_stable() || view.process_ended(origin.member)
 }
 
-/// The calls that this member is to look after in place of others, by call id.
+/// The calls that this member is responsible for in place of others, by call id.
 pub fn calls_to_adopt(store: &Store, view: &Membership) -> BTreeMap<u64, AdoptedCall> {
     let (own, own_stream) = (view.own_id(), store.stream(&store.own_origin()));
     let living: Vec<(MemberId, u64)> = view.live_members().map(|m| (m, m.0)).collect();
--- a/crates/replica/src/catch_up.rs
+++ b/crates/replica/src/catch_up.rs
@@ -66,20 +66,20 @@
 pub enum ChunkError {
     /// Its versions contradict each other.
     #[error(
-        "a chunk whose versions contradict each other: nothing of it was applied, the rest is fetched from others; check whether that \
-         member runs the same version of the program"
+        "a chunk whose versions contradict each other: nothing of it was applied, the rest is fetched from others; \
+         check whether that member runs the same version of the program"
     )]
     InvalidVersions,
     /// A value is not of the kind that its key requires.
     #[error(
-        "a chunk with a value that does not belong to its key's kind: nothing of it was applied, the rest is fetched from others; check \
-         whether that member runs the same version of the program"
+        "a chunk with a value that does not belong to its key's kind: nothing of it was applied, the rest is \
+         fetched from others; check whether that member runs the same version of the program"
     )]
     WrongKind,
     /// The stream has more records than are allowed.
     #[error(
-        "a stream with more records than `records` allows here: its calls are not known here and cannot be adopted; give all \
-         members the same `records`, above the calls that stand at one"
+        "a stream with more records than `records` allows here: its calls are not known here and cannot be \
+         adopted; give all members the same `records`, above the calls that stand at one"
     )]
     TooManyRecords,
 }
--- a/crates/replica/src/member.rs
+++ b/crates/replica/src/member.rs
@@ -102,8 +102,8 @@
 pub enum Rejection {
     /// The member speaks another version of the protocol.
     #[error(
-        "version {0} of the protocol, expected {PROTOCOL}: members of different versions refuse each other; bring all \
-         to one version of the program"
+        "version {0} of the protocol, expected {PROTOCOL}: members of different versions refuse each other; bring \
+         all to one version of the program"
     )]
     Protocol(u16),
     /// The message was meant for another member.
@@ -113,14 +113,14 @@
     WrongRecipient,
     /// The message came a second time, or too early.
     #[error(
-        "a message that is not expected at this point: an unknown sender, or a fault; if it is a member's address, file the line with the \
-         maintainers"
+        "a message that is not expected at this point: an unknown sender, or a fault; if it is a member's address, \
+         file the line with the maintainers"
     )]
     UnexpectedMessage,
     /// The stream belongs to no member of the configuration.
     #[error(
-        "a stream of no configured member: the other member's file names a member that this one's does not; send SIGHUP to all after a \
-         change"
+        "a stream of no configured member: the other member's file names a member that this one's does not; send \
+         SIGHUP to all after a change"
     )]
     UnknownOrigin,
     /// Membership refused the message.
@@ -178,9 +178,9 @@
 /// What the gatekeeper is to do about a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallAction {
-    /// Look after a call of a member that is gone.
+    /// Take responsibility for a call of a member that is gone.
     Adopt(u64, AdoptedCall),
-    /// Stop looking after a call: it belongs to another member again, or has ended.
+    /// Give up responsibility for a call: it belongs to another member again, or has ended.
     Yield(u64),
     /// An own call was ended by another member, which has told its caller.
     EndedElsewhere(u64),
@@ -197,7 +197,7 @@
     targets: BTreeMap<MemberId, Vec<StreamDigest>>,
 }
 
-/// A member of the fleet: its view of the others, the records it holds, and the calls it looks after.
+/// A member of the fleet: its view of the others, the records it holds, and the calls it is responsible for.
 #[derive(Clone)]
 pub struct Member {
     settings: Settings,
@@ -211,7 +211,7 @@
     next_sweep_at: f64,
     /// Since when the incarnation of each stream has been over.
     origin_ended_at: BTreeMap<Origin, f64>,
-    /// The calls that this member looks after for others, and whether that is to be computed again
+    /// The calls that this member is responsible for in place of others, and whether that is to be computed again
     /// (`adoption_outdated`).
     adopted: BTreeMap<u64, AdoptedCall>,
     adoption_outdated: bool,
@@ -373,7 +373,7 @@
         (origin != self.store.own_origin()).then_some(AdoptedCall { origin, since, fact })
     }
 
-    /// A call that this member looks after in place of one that is gone.
+    /// A call that this member is responsible for in place of one that is gone.
     pub fn adopted_call(&self, id: u64) -> Option<&AdoptedCall> {
         self.adopted.get(&id)
     }
@@ -387,9 +387,9 @@
     }
 
     fn write(&mut self, at: f64, key: Key, value: Value) {
-        let most = self.settings.catch_up.max_records;
+        let max_records = self.settings.catch_up.max_records;
         let stream = self.store.own_stream();
-        if stream.get(&key).is_none() && stream.len() >= most {
+        if stream.get(&key).is_none() && stream.len() >= max_records {
             self.counts.left_out += 1;
             // Reported whenever the count has doubled.
             if self.counts.left_out.is_power_of_two() {
@@ -610,7 +610,7 @@
                 self.store.own_stream().write(now, Key::Call(id), None);
             }
         }
-        // Whether the chunk changes the calls of members that are gone, or ends some that are looked after.
+        // Whether the chunk changes the calls of members that are gone, or ends some that this member is responsible for.
         self.adoption_outdated |= !applied.keys.is_empty()
             && (adoption::call_owner(&chunk.origin, &self.view) != adoption::CallOwner::Origin
                 || applied.keys.iter().any(|key| matches!(key, Key::Over(_) | Key::Owed(_))));
--- a/crates/replica/tests/adoption.rs
+++ b/crates/replica/tests/adoption.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Guards against two faults: a minority adopts calls of a member that is still running, and calls stay without
-/// anybody to look after them. Both come about when a member cannot receive messages from a majority.
+/// Guards against two faults: a minority adopts calls of a member that is still running, and calls stay without a
+/// responsible member. Both come about when a member cannot receive messages from a majority.
 #[test]
 fn a_member_in_a_minority_adopts_further_calls_only_once_it_receives_from_a_majority() {
     let mut fleet = Fleet::with_second_member_in_a_minority();
--- a/crates/replica/tests/laws.rs
+++ b/crates/replica/tests/laws.rs
@@ -479,7 +479,7 @@
 }
 
 /// Of the calls of a member that is gone those without a recorded end are adopted, each by one live member. Guards
-/// against a call that is looked after although its end was delivered: its caller would be told again when the call's
+/// against a call that is adopted although its end was delivered: its caller would be told again when the call's
 /// server is lost.
 #[test]
 fn calls_with_a_recorded_end_are_not_adopted() {
