--- a/crates/hollow/src/bin/hollypaddle-hollow.rs
+++ b/crates/hollow/src/bin/hollypaddle-hollow.rs
@@ -1,4 +1,4 @@
-//! The program: a process with many hollow leaves. See the crate's page.
+//! Runs a process with many hollow leaves; the page of the crate describes them.
 
 use std::error::Error;
 
--- a/crates/hollow/src/leaves.rs
+++ b/crates/hollow/src/leaves.rs
@@ -1,4 +1,5 @@
-//! A process of hollow leaves: one thread, one loop, and the gatekeeper's own links between a leaf and its relays.
+//! Runs hollow leaves in one process: one thread, one event loop, and the gatekeeper's own links between leaves and
+//! relays.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -17,34 +18,34 @@
 use hollypaddle_replica::record::{Place as ServerPlace, Presence, ServerFact, ServerKey, Topic};
 use serde::{Deserialize, Serialize};
 
-/// Between two reports that nobody asked for, in seconds.
-const EVERY: f64 = 1.0;
-/// What a refused change is refused with.
-const REFUSAL: &str = "told to refuse";
+/// Interval between periodic reports, in seconds.
+const REPORT_INTERVAL_S: f64 = 1.0;
+/// The reason that a leaf gives for rejecting settings.
+const REFUSAL_REASON: &str = "configured to refuse";
 
-/// Many hollow leaves of a tier of relays in one process. It reports as a JSON line once a second, and at once for each
-/// line on its standard input, whose end ends it.
+/// Runs many hollow leaves of a tier of relays in one process. Prints a report as a JSON line once a second, and at
+/// once for each line on standard input; exits when standard input ends.
 #[derive(Clone, Debug, clap::Parser)]
 pub struct Plan {
-    /// A relay, as NAME,ADDRESS:PORT,ZONE,REGION; one for each.
+    /// A relay, as NAME,ADDRESS:PORT,ZONE,REGION; once for each relay.
     #[arg(long = "relay", required = true)]
     pub relays: Vec<RelayArg>,
-    /// How many leaves.
+    /// The number of leaves.
     #[arg(long, default_value_t = 1)]
     pub leaves: usize,
-    /// The number of the first; leaf 7 is named h7.
+    /// The number of the first leaf; leaf 7 is named h7.
     #[arg(long, default_value_t = 0)]
     pub first: usize,
-    /// Services, of which each leaf has one by turns.
+    /// The number of services; leaves are assigned to them in turn.
     #[arg(long, default_value_t = 120)]
     pub services: usize,
-    /// Servers of a service; each of its leaves tells of all.
+    /// Servers per service; each leaf of the service reports all of them.
     #[arg(long, default_value_t = 6)]
     pub servers: usize,
-    /// Where the leaves stand: one zone, or several by turns, as ZONE,REGION.
+    /// Where the leaves are, as ZONE,REGION; leaves are assigned to several zones in turn.
     #[arg(long = "zone", required = true)]
     pub zones: Vec<ZoneArg>,
-    /// The name of a leaf that turns down all settings.
+    /// The name of a leaf that rejects all settings.
     #[arg(long)]
     pub refuse: Option<String>,
 }
@@ -54,9 +55,9 @@
 pub struct RelayArg {
     /// Its name.
     pub name: String,
-    /// Where it takes links.
+    /// Where it accepts links.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its zone and region.
     pub location: NodeLocation,
 }
 
@@ -67,9 +68,9 @@
         let [name, address, zone, region] = text.split(',').collect::<Vec<_>>()[..] else {
             return Err("expected NAME,ADDRESS:PORT,ZONE,REGION".into());
         };
-        let address = address.parse().map_err(|_| format!("{address:?} is no address"))?;
-        let place = NodeLocation { zone: zone.into(), region: region.into() };
-        Ok(RelayArg { name: name.into(), address, location: place })
+        let address = address.parse().map_err(|_| format!("{address:?} is not a valid ADDRESS:PORT"))?;
+        let location = NodeLocation { zone: zone.into(), region: region.into() };
+        Ok(RelayArg { name: name.into(), address, location })
     }
 }
 
@@ -92,117 +93,118 @@
     }
 }
 
-/// A leaf that took settings.
+/// Reports that a leaf has applied settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettingsTaken {
-    /// Which leaf.
+    /// The leaf's name.
     pub leaf: String,
-    /// Which version.
+    /// The version of the settings.
     pub version: u64,
     /// When, in Unix seconds.
     pub at: f64,
 }
 
-/// A leaf that was attached.
+/// Reports that a leaf was attached to a relay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attachment {
-    /// Which leaf.
+    /// The leaf's name.
     pub leaf: String,
-    /// To which relay.
+    /// The relay's name.
     pub relay: String,
-    /// Seconds since the relay before was lost; none at a start and on the way home.
+    /// Seconds since the earlier relay was lost; none at a start and on a return to a preferred relay.
     pub after: Option<f64>,
     /// When, in Unix seconds.
     pub at: f64,
 }
 
-/// What a process of hollow leaves says of them.
+/// State of all leaves of a process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// When, in Unix seconds.
     pub at: f64,
-    /// Leaves by the relay that they are attached to; the empty name is none.
+    /// The number of leaves by the relay that they are attached to; the empty name stands for none.
     pub attached: BTreeMap<String, usize>,
-    /// Leaves that hold settings of a version in force.
+    /// The number of leaves by the version of the settings in force at them.
     pub in_force: BTreeMap<u64, usize>,
-    /// How many leaves hold another one to have left or to be gone for good, by that one's id.
+    /// By the id of a leaf, how many leaves here consider it to have left or to be gone for good.
     pub gone: BTreeMap<String, usize>,
-    /// The same, to be silent or closed for now.
+    /// By the id of a leaf, how many leaves here consider it to be silent or disconnected for now.
     #[serde(rename = "doubted")]
     pub suspected: BTreeMap<String, usize>,
-    /// Servers of all leaves' services that they hear of.
+    /// Servers of their own services that the leaves know, summed over the leaves.
     pub servers: usize,
-    /// Other leaves of their services that all of them hear of.
+    /// Other leaves of their own services that the leaves know to be present, summed over the leaves.
     pub peers: usize,
-    /// Messages that they said and heard since the start.
+    /// Messages sent and received since the start.
     pub messages: [u64; 2],
-    /// Bytes of those.
+    /// Bytes sent and received since the start, without packet headers.
     pub bytes: [u64; 2],
-    /// Bytes of each leaf since the start, both ways, headers of packets counted.
+    /// Bytes of each leaf since the start, sent and received, packet headers included.
     #[serde(rename = "each")]
     pub bytes_by_leaf: Vec<u64>,
-    /// Settings that leaves took since the last report, and attachments.
+    /// Settings applied by leaves since the last report.
     #[serde(rename = "took")]
     pub settings_taken: Vec<SettingsTaken>,
-    /// The latter.
+    /// Attachments of leaves since the last report.
     #[serde(rename = "moved")]
     pub attachments: Vec<Attachment>,
 }
 
-/// One leaf with its links.
-struct One {
+/// HollowLeaf leaf with its links.
+struct HollowLeaf {
     name: String,
     leaf: Leaf,
     links: Links,
-    next_at: f64,
+    next_tick_at: f64,
     refuses: bool,
 }
 
 struct Process {
     clock: Clock,
     poller: Poller,
-    names: BTreeMap<MemberId, String>,
-    all: Vec<One>,
-    took: Vec<SettingsTaken>,
-    moved: Vec<Attachment>,
+    relay_names: BTreeMap<MemberId, String>,
+    leaves: Vec<HollowLeaf>,
+    settings_taken: Vec<SettingsTaken>,
+    attachments: Vec<Attachment>,
 }
 
-/// The id of a leaf as reports have it.
+/// The id of a leaf as it appears in reports.
 pub fn leaf_id(name: &str) -> String {
     format!("{:016x}", MemberId::of(name).0)
 }
 
-/// Runs until its standard input ends.
+/// Runs until standard input ends. Fails if a link's listener or the poller cannot be set up, or if a report cannot
+/// be written.
 pub fn run(plan: &Plan) -> Result<(), Box<dyn Error>> {
     let mut process = Process::open(plan)?;
     let mut input = std::io::stdin();
-    // One that is no pipe asks nothing.
-    let asks = process.poller.add(&input, false).ok();
-    let mut report_at = process.clock.now() + EVERY;
-    // Where a test runner has begun a line.
+    // Standard input that is not a pipe cannot request reports.
+    let request_key = process.poller.add(&input, false).ok();
+    let mut report_at = process.clock.now() + REPORT_INTERVAL_S;
+    // Ends a line that a test runner may have begun.
     println!();
     loop {
-        let wanted = process.all.iter().map(|one| one.next_at).fold(report_at, f64::min);
+        let wanted = process.leaves.iter().map(|hollow| hollow.next_tick_at).fold(report_at, f64::min);
         let ready = process.poller.wait(wanted - process.clock.now())?;
         let now = process.clock.now();
-        let mut asked = false;
+        let mut requested = false;
         for ready in ready {
-            if Some(ready.key) == asks {
+            if Some(ready.key) == request_key {
                 if input.read(&mut [0; 256])? == 0 {
                     return Ok(());
                 }
-                asked = true;
+                requested = true;
                 continue;
             }
-            for one in &mut process.all {
-                if one.ready(now, ready, &mut process.poller) {
+            for hollow in &mut process.leaves {
+                if hollow.ready(now, ready, &mut process.poller) {
                     break;
                 }
             }
         }
-        process.turn(now);
-        if asked || now >= report_at {
-            report_at = now + EVERY;
+        process.poll_leaves(now);
+        if requested || now >= report_at {
+            report_at = now + REPORT_INTERVAL_S;
             let report = process.report(now);
             let mut out = std::io::stdout().lock();
             writeln!(out, "{}", serde_json::to_string(&report)?)?;
@@ -211,14 +213,14 @@
     }
 }
 
-impl One {
+impl HollowLeaf {
     fn ready(&mut self, now: f64, ready: hollypaddle::node::poller::Ready, poller: &mut Poller) -> bool {
         if !self.links.owns(ready.key) {
             return false;
         }
         self.leaf.tick(now);
         self.links.handle_ready(now, ready, &mut self.leaf, poller);
-        self.next_at = now;
+        self.next_tick_at = now;
         true
     }
 }
@@ -227,25 +229,21 @@
     fn open(plan: &Plan) -> Result<Process, Box<dyn Error>> {
         let (clock, mut poller) = (Clock::new(), Poller::new()?);
         let now = clock.now();
-        let places: Vec<RelayLocation> = (plan.relays.iter())
+        let relays: Vec<RelayLocation> = (plan.relays.iter())
             .map(|r| RelayLocation { relay: MemberId::of(&r.name), location: r.location.clone() })
             .collect();
         let addresses: BTreeMap<MemberId, SocketAddr> =
             plan.relays.iter().map(|r| (MemberId::of(&r.name), r.address)).collect();
         let nonce = u64::from(std::process::id()).rotate_left(40) ^ now.to_bits();
-        let mut all = Vec::new();
+        let mut leaves = Vec::new();
         for n in plan.first..plan.first + plan.leaves {
             let name = format!("h{n}");
             let service = format!("s{}", n % plan.services.max(1));
-            let place = plan.zones[n % plan.zones.len()].0.clone();
-            let life = Incarnation { number: (now * 1e6) as u64, nonce: nonce ^ n as u64 };
-            let identity = Identity {
-                id: MemberId::of(&name),
-                incarnation: life,
-                topic: Topic::of(&service),
-                location: place,
-            };
-            let mut leaf = Leaf::new(now, identity, places.clone(), Timing::default()).with_name(&name);
+            let location = plan.zones[n % plan.zones.len()].0.clone();
+            let incarnation = Incarnation { number: (now * 1e6) as u64, nonce: nonce ^ n as u64 };
+            let identity =
+                Identity { id: MemberId::of(&name), incarnation, topic: Topic::of(&service), location };
+            let mut leaf = Leaf::new(now, identity, relays.clone(), Timing::default()).with_name(&name);
             for server in 0..plan.servers {
                 let key = ServerKey::of(&format!("{service}/{server}"));
                 leaf.set_server(now, key, Some(ServerFact { started_ms: 0, place: ServerPlace::Ready }));
@@ -253,52 +251,59 @@
             let mut links = Links::open(None, max_leaf_links(), &mut poller)?;
             links.reconfigure(now, max_leaf_links(), addresses.clone(), &mut leaf, &poller);
             let refuses = plan.refuse.as_ref() == Some(&name);
-            all.push(One { name, leaf, links, next_at: now, refuses });
+            leaves.push(HollowLeaf { name, leaf, links, next_tick_at: now, refuses });
         }
-        let names = plan.relays.iter().map(|r| (MemberId::of(&r.name), r.name.clone())).collect();
-        Ok(Process { clock, poller, names, all, took: Vec::new(), moved: Vec::new() })
+        let relay_names = plan.relays.iter().map(|r| (MemberId::of(&r.name), r.name.clone())).collect();
+        Ok(Process {
+            clock,
+            poller,
+            relay_names,
+            leaves,
+            settings_taken: Vec::new(),
+            attachments: Vec::new(),
+        })
     }
 
-    fn turn(&mut self, now: f64) {
-        for one in self.all.iter_mut().filter(|one| one.next_at <= now) {
-            one.leaf.tick(now);
-            one.links.maintain(now, &mut one.leaf, &mut self.poller);
-            if let Some(offered) = one.leaf.take_new_settings() {
+    fn poll_leaves(&mut self, now: f64) {
+        for hollow in self.leaves.iter_mut().filter(|hollow| hollow.next_tick_at <= now) {
+            hollow.leaf.tick(now);
+            hollow.links.maintain(now, &mut hollow.leaf, &mut self.poller);
+            if let Some(offered) = hollow.leaf.take_new_settings() {
                 let version = offered.revision().version;
-                let verdict = if one.refuses { Err(REFUSAL.to_string()) } else { Ok(()) };
-                one.leaf.record_settings_result(version, verdict);
-                if !one.refuses {
-                    self.took.push(SettingsTaken { leaf: one.name.clone(), version, at: now });
+                let result = if hollow.refuses { Err(REFUSAL_REASON.to_string()) } else { Ok(()) };
+                hollow.leaf.record_settings_result(version, result);
+                if !hollow.refuses {
+                    self.settings_taken.push(SettingsTaken { leaf: hollow.name.clone(), version, at: now });
                 }
             }
-            one.links.apply_node_actions(now, &mut one.leaf, &mut self.poller);
-            for event in one.leaf.take_events() {
+            hollow.links.apply_node_actions(now, &mut hollow.leaf, &mut self.poller);
+            for event in hollow.leaf.take_events() {
                 let (relay, after) = match event {
                     Event::Attached(relay, after) => (relay, after),
                     Event::Returned(relay) => (relay, None),
                     _ => continue,
                 };
-                let relay = self.names.get(&relay).cloned().unwrap_or_default();
-                self.moved.push(Attachment { leaf: one.name.clone(), relay, after, at: now });
+                let relay = self.relay_names.get(&relay).cloned().unwrap_or_default();
+                self.attachments.push(Attachment { leaf: hollow.name.clone(), relay, after, at: now });
             }
-            one.next_at = one.leaf.next_tick_at();
+            hollow.next_tick_at = hollow.leaf.next_tick_at();
         }
     }
 
     fn report(&mut self, now: f64) -> Report {
         let mut report = Report {
             at: now,
-            settings_taken: std::mem::take(&mut self.took),
-            attachments: std::mem::take(&mut self.moved),
+            settings_taken: std::mem::take(&mut self.settings_taken),
+            attachments: std::mem::take(&mut self.attachments),
             ..Report::default()
         };
-        for one in &self.all {
-            let (status, counts) = (one.leaf.status(now), one.links.counts);
-            let relay = status.relay.and_then(|relay| self.names.get(&relay)).cloned();
+        for hollow in &self.leaves {
+            let (status, counts) = (hollow.leaf.status(now), hollow.links.counts);
+            let relay = status.relay.and_then(|relay| self.relay_names.get(&relay)).cloned();
             *report.attached.entry(relay.unwrap_or_default()).or_default() += 1;
             *report.in_force.entry(status.in_force).or_default() += 1;
             report.servers += status.servers;
-            for (peer, fact) in one.leaf.peers() {
+            for (peer, fact) in hollow.leaf.peers() {
                 let held = match fact.presence {
                     Presence::Here => None,
                     Presence::Silent | Presence::Closed => Some(&mut report.suspected),
@@ -311,9 +316,9 @@
             }
             let (messages, bytes) =
                 ([counts.sent, counts.received], [counts.bytes_sent, counts.bytes_received]);
-            for way in 0..2 {
-                report.messages[way] += messages[way];
-                report.bytes[way] += bytes[way];
+            for direction in 0..2 {
+                report.messages[direction] += messages[direction];
+                report.bytes[direction] += bytes[direction];
             }
             let headers = (counts.sent + counts.received) * PACKET_HEADER_BYTES as u64;
             report.bytes_by_leaf.push(counts.bytes_sent + counts.bytes_received + headers);
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -1,10 +1,10 @@
-//! Hollow leaves of a tier of relays: the state machines of the true ones on true links, many in a process, with no calls
-//! behind them. What a relay costs by its leaves, and what becomes of hundreds of leaves when relays fail, shows with them
-//! on one machine.
+//! Hollow leaves of a tier of relays: many leaves in one process, with the real state machines and real links but no
+//! calls. They show on one machine what a relay costs per leaf, and what happens to hundreds of leaves when relays
+//! fail.
 //!
-//! - [`leaves`]: the process, and what it reports.
-//! - [`process`]: the same from outside: starts one and reads its reports.
-//! - [`test_bed`]: relays and gatekeepers as real processes, with hollow ones beside them.
+//! - [`leaves`]: the process with its leaves, and what it reports.
+//! - [`process`]: starts such a process and reads its reports.
+//! - [`test_bed`]: relays and gatekeepers as real processes, with hollow leaves beside them.
 
 pub mod leaves;
 pub mod process;
--- a/crates/hollow/src/process.rs
+++ b/crates/hollow/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of hollow leaves, from outside.
+//! Starts a process of hollow leaves and reads its reports.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::{Child, Command, Stdio};
@@ -7,28 +7,28 @@
 
 use crate::leaves::{Attachment, Plan, Report, SettingsTaken};
 
-/// How long an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Reports that wait to be read; beyond it the process waits to write.
-const LINES: usize = 1000;
+/// How long a requested report is waited for.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The most reports that wait to be read; beyond that the process blocks when it writes.
+const MAX_UNREAD_REPORTS: usize = 1000;
 
-/// A process of hollow leaves. It is ended when this is dropped.
+/// A process of hollow leaves. It is killed when this value is dropped.
 pub struct Process {
-    /// What was asked of it.
+    /// The plan that it was started with.
     pub plan: Plan,
-    /// The process.
+    /// The operating system's process.
     pub child: Child,
     reports: Receiver<Report>,
     /// The last report that was read.
     pub last_report: Report,
-    /// Settings that its leaves took, of all reports read so far.
+    /// Settings applied by its leaves, from all reports read so far.
     pub settings_taken: Vec<SettingsTaken>,
-    /// The same, attachments.
+    /// Attachments of its leaves, from all reports read so far.
     pub attachments: Vec<Attachment>,
 }
 
 impl Plan {
-    /// The same as arguments of the program.
+    /// The plan as arguments of the program.
     pub fn args(&self) -> Vec<String> {
         let mut args: Vec<String> = Vec::new();
         let mut add = |name: &str, value: String| args.extend([format!("--{name}"), value]);
@@ -46,11 +46,14 @@
 }
 
 impl Process {
-    /// Starts one; `command` is the program with all that it needs to know of the plan.
+    /// Starts a process; `command` is the program with its arguments for the plan. Fails if it cannot be started.
     pub fn start(mut command: Command, plan: Plan) -> io::Result<Process> {
         let mut child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
-        let stdout = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
-        let (send, reports) = sync_channel(LINES);
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("the process of hollow leaves has no standard output"))?;
+        let (send, reports) = sync_channel(MAX_UNREAD_REPORTS);
         std::thread::spawn(move || {
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
                 let Ok(report) = serde_json::from_str::<Report>(&line) else { continue };
@@ -70,33 +73,37 @@
         })
     }
 
-    fn take(&mut self, mut report: Report) {
+    fn record_report(&mut self, mut report: Report) {
         self.settings_taken.append(&mut report.settings_taken);
         self.attachments.append(&mut report.attachments);
         self.last_report = report;
     }
 
-    /// Reads what it has reported since.
+    /// Reads the reports that have arrived, without waiting.
     pub fn read_reports(&mut self) {
         while let Ok(report) = self.reports.try_recv() {
-            self.take(report);
+            self.record_report(report);
         }
     }
 
-    /// Asks for a report and waits for one that was made since.
+    /// Requests a report and waits for one made since. Fails if the process has ended or does not report in time.
     pub fn request_report(&mut self) -> io::Result<&Report> {
-        let since = hollypaddle_standin::program::unix_time();
-        let input = self.child.stdin.as_mut().ok_or_else(|| io::Error::other("no standard input"))?;
+        let requested_at = hollypaddle_standin::program::unix_time();
+        let input = self
+            .child
+            .stdin
+            .as_mut()
+            .ok_or_else(|| io::Error::other("the process of hollow leaves has no standard input"))?;
         input.write_all(b"?\n")?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
-            let left = PATIENCE.saturating_sub(begun.elapsed());
+            let left = REPORT_TIMEOUT.saturating_sub(started_at.elapsed());
             let report = self.reports.recv_timeout(left);
-            let report =
-                report.map_err(|_| io::Error::other("a process of hollow leaves reports nothing"))?;
-            let new = report.at >= since;
-            self.take(report);
-            if new {
+            let report = report
+                .map_err(|_| io::Error::other("the process of hollow leaves sent no report in time"))?;
+            let is_new = report.at >= requested_at;
+            self.record_report(report);
+            if is_new {
                 return Ok(&self.last_report);
             }
         }
@@ -105,7 +112,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/hollow/src/test_bed.rs
+++ b/crates/hollow/src/test_bed.rs
@@ -1,4 +1,5 @@
-//! Relays and gatekeepers as real processes, stand-ins for callers, servers and resolvers, and hollow leaves beside them.
+//! Runs relays and gatekeepers as real processes, with stand-ins for callers, servers and resolvers, and hollow
+//! leaves beside them.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -20,96 +21,98 @@
 use crate::leaves::{leaf_id, Plan, RelayArg, ZoneArg};
 use crate::process::Process;
 
-/// The zones: the platform's districts, and two more that only a tier has.
+/// The zones: the districts of the platform, and two more that only a tier of relays uses.
 pub const ZONES: [&str; 5] = [DISTRICTS[0], DISTRICTS[1], DISTRICTS[2], "harbour", "airport"];
-/// The region of each.
+/// The region of each zone.
 pub const REGIONS: [&str; 5] = ["west", "west", "west", "east", "east"];
-/// Services of all leaves.
+/// The number of services over all leaves.
 const SERVICES: usize = 120;
-/// Servers that a service's leaves tell of.
+/// Servers that the leaves of one service report.
 const SERVERS: usize = 6;
 /// Session servers of the real gatekeepers.
 const REAL_SERVERS: usize = 3;
-/// Calls a second that each of those carries.
-const CARRIES: f64 = 2000.0;
-/// Descriptors that a relay is told it may hold.
+/// Calls per second that each of those servers can carry.
+const SERVER_CALLS_PER_S: f64 = 2000.0;
+/// The configured limit of descriptors of a relay.
 const RELAY_SOCKETS: usize = 8192;
-/// Leaves that a relay may be told to take, beyond the default where there are many.
-const MOST_LEAVES: usize = 1000;
-/// Between two looks at all processes while something is waited for.
-const LOOK: Duration = Duration::from_millis(40);
-/// A start waits so long for all at most.
-const PATIENCE: f64 = 30.0;
-
-/// LeafBytes of each leaf of a process, and when that was said, in Unix seconds.
+/// The configured limit of leaves of a relay if there are so many leaves that the default does not suffice.
+const MAX_RELAY_LEAVES: usize = 1000;
+/// Interval between two checks of all processes while a condition is waited for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
+/// How long a start may take at most, in seconds.
+const START_TIMEOUT_S: f64 = 30.0;
+
+/// When a process of hollow leaves reported, in Unix seconds, and the bytes of each of its leaves.
 pub type LeafBytes = (f64, Vec<u64>);
 
-/// Makes the command of a process of hollow leaves.
+/// Builds the command that starts a process of hollow leaves.
 pub type HollowCommand = Box<dyn Fn(&Plan) -> Command>;
 
-/// What is started.
+/// What a test bed consists of.
 pub struct Setup {
     /// The program of relays and gatekeepers.
     pub program: PathBuf,
-    /// How a process of hollow leaves is started.
+    /// Builds the command of a process of hollow leaves.
     pub hollow: HollowCommand,
-    /// Relays, one in each zone by turns.
+    /// The number of relays; they are assigned to the zones in turn.
     pub relays: usize,
-    /// Zones that are in use.
+    /// The number of zones in use.
     pub zones: usize,
-    /// Real gatekeepers that are leaves.
+    /// The number of real gatekeepers that are leaves.
     pub gatekeepers: usize,
-    /// Real gatekeepers without a fleet, to compare.
+    /// The number of real gatekeepers without a fleet, for comparison.
     pub plain: usize,
-    /// Hollow leaves.
+    /// The number of hollow leaves.
     pub leaves: usize,
-    /// Processes of hollow leaves. Where there are as many as zones, each has one zone.
+    /// The number of processes of hollow leaves. If it equals the number of zones, each process has one zone.
     pub processes: usize,
-    /// Links between relays of different zones go through fault proxies.
+    /// Whether links between relays of different zones go through fault proxies.
     pub proxies: bool,
 }
 
-/// All processes.
+/// All processes of a test bed. They are ended when it is dropped.
 pub struct TestBed {
-    /// What was started.
+    /// What it consists of.
     pub setup: Setup,
     folder: tempfile::TempDir,
-    /// Callers, servers and resolvers.
+    /// Stand-ins for callers, servers and resolvers.
     pub world: World,
-    /// Gatekeepers that are leaves, those without a fleet, and relays, in this order.
+    /// Gatekeepers that are leaves, those without a fleet, and relays, in this order; none where a program does not
+    /// run.
     pub programs: Vec<Option<Program>>,
-    /// Hollow leaves.
+    /// Processes of hollow leaves; none where one does not run.
     pub hollow: Vec<Option<Process>>,
     addresses: Vec<SocketAddr>,
-    /// From one relay to another.
+    /// The fault proxies, by the relay that opens the link and the relay that it leads to.
     proxies: BTreeMap<(usize, usize), FaultProxy>,
-    /// Calls a second that are offered at each real gatekeeper.
+    /// Calls per second that are offered to each real gatekeeper.
     pub rate: f64,
-    text: u64,
+    settings_changes: u64,
 }
 
-/// What a process has used and said since its start.
+/// What a process has used since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUse {
     /// When this was read, in Unix seconds.
     pub at: f64,
     /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// LeafBytes on its links, both ways, with the headers of packets.
+    /// Bytes on its links, sent and received, packet headers included.
     pub bytes: f64,
     /// Resident memory, in MB.
     pub memory_mb: f64,
 }
 
-fn place(zone: usize) -> NodeLocation {
+fn zone_location(zone: usize) -> NodeLocation {
     NodeLocation { zone: ZONES[zone].into(), region: REGIONS[zone].into() }
 }
 
 impl TestBed {
-    /// HollowCommand all, and waits until all leaves are attached.
+    /// Starts all processes and waits until all leaves are attached. Fails if a process does not start, or if leaves
+    /// are not attached in time.
     pub fn start(setup: Setup) -> Result<TestBed, Box<dyn Error>> {
         let count = setup.gatekeepers + setup.plain + setup.relays;
-        let servers = (0..REAL_SERVERS).map(|n| (n, CARRIES)).collect();
+        let servers = (0..REAL_SERVERS).map(|n| (n, SERVER_CALLS_PER_S)).collect();
         let mut all = classes();
         all.iter_mut().for_each(|class| class.hold = 1.0);
         let fronts = (0..count).map(|n| n % DISTRICTS.len()).collect();
@@ -120,11 +123,11 @@
         let mut others = others.iter();
         for (a, b) in (0..setup.relays).flat_map(|a| (0..setup.relays).map(move |b| (a, b))) {
             if setup.proxies && a % setup.zones != b % setup.zones {
-                let address = *others.next().ok_or("too few addresses")?;
+                let address = *others.next().ok_or("too few free addresses")?;
                 proxies.insert((a, b), FaultProxy::open(address, addresses[b])?);
             }
         }
-        let mut stage = TestBed {
+        let mut test_bed = TestBed {
             folder: tempfile::tempdir()?,
             world,
             programs: (0..count).map(|_| None).collect(),
@@ -132,39 +135,40 @@
             addresses: addresses.to_vec(),
             proxies,
             rate: 0.0,
-            text: 0,
+            settings_changes: 0,
             setup,
         };
-        stage.write_settings()?;
-        // Relays that have just started take no leaves yet, and one that was sent elsewhere comes home late.
+        test_bed.write_settings()?;
+        // The relays are started first: relays that have just started accept no leaves, and a leaf that was sent
+        // elsewhere returns late.
         let mut listen = vec![None; count];
-        let relays = stage.relay_indices();
+        let relays = test_bed.relay_indices();
         for n in relays.clone() {
-            stage.start_program(n)?;
+            test_bed.start_program(n)?;
         }
         for n in relays {
-            listen[n] = Some(stage.program(n)?.serving()?);
-            stage.program(n)?.event("fleet-caught-up")?;
+            listen[n] = Some(test_bed.program(n)?.serving()?);
+            test_bed.program(n)?.event("fleet-caught-up")?;
         }
-        (0..stage.setup.processes).try_for_each(|n| stage.start_hollow(n))?;
-        for n in 0..stage.relay_index(0) {
-            stage.start_program(n)?;
+        (0..test_bed.setup.processes).try_for_each(|n| test_bed.start_hollow(n))?;
+        for n in 0..test_bed.relay_index(0) {
+            test_bed.start_program(n)?;
         }
-        for (n, listen) in listen.iter_mut().enumerate().take(stage.relay_index(0)) {
-            *listen = Some(stage.program(n)?.serving()?);
+        for (n, listen) in listen.iter_mut().enumerate().take(test_bed.relay_index(0)) {
+            *listen = Some(test_bed.program(n)?.serving()?);
         }
         let listen: Vec<SocketAddr> = listen.into_iter().flatten().collect();
-        stage.world.connect(&listen);
-        stage.wait_until("all leaves to be attached", PATIENCE, TestBed::all_attached)?;
-        Ok(stage)
+        test_bed.world.connect(&listen);
+        test_bed.wait_until("all leaves to be attached", START_TIMEOUT_S, TestBed::all_attached)?;
+        Ok(test_bed)
     }
 
-    /// The number of a relay among the programs.
+    /// The index of a relay among the programs.
     pub fn relay_index(&self, relay: usize) -> usize {
         self.setup.gatekeepers + self.setup.plain + relay
     }
 
-    /// All of them.
+    /// The indices of all relays among the programs.
     pub fn relay_indices(&self) -> std::ops::Range<usize> {
         self.relay_index(0)..self.relay_index(self.setup.relays)
     }
@@ -182,26 +186,27 @@
         self.folder.path().join(format!("{}.sock", self.name(n)))
     }
 
-    /// The block `fleet` of a program's own file.
-    fn fleet(&self, n: usize) -> String {
+    /// The `fleet` block of a program's own file.
+    fn fleet_block(&self, n: usize) -> String {
         let from = n.checked_sub(self.relay_index(0));
         let line = |relay: usize| {
             let proxy = from.and_then(|from| self.proxies.get(&(from, relay)));
             let address = proxy.map_or(self.addresses[relay], FaultProxy::address);
-            let NodeLocation { zone, region } = place(relay % self.setup.zones);
+            let NodeLocation { zone, region } = zone_location(relay % self.setup.zones);
             format!(" relay r{relay} {address} zone {zone} region {region}\n")
         };
         let relays: String = (0..self.setup.relays).map(line).collect();
-        let NodeLocation { zone, region } = place(self.zone_of(n));
+        let NodeLocation { zone, region } = zone_location(self.zone_of(n));
         let own = match from {
             Some(_) => " settings shared\n".to_string(),
             None => format!(" service s{}\n zone {zone}\n region {region}\n", n % SERVICES),
         };
-        let most = if self.setup.leaves > 750 { format!(" leaves {MOST_LEAVES}\n") } else { String::new() };
-        format!("fleet {{\n{relays}{own}{most}}}\n")
+        let max_leaves =
+            if self.setup.leaves > 750 { format!(" leaves {MAX_RELAY_LEAVES}\n") } else { String::new() };
+        format!("fleet {{\n{relays}{own}{max_leaves}}}\n")
     }
 
-    /// HollowCommand a gatekeeper or a relay, anew where it has ended.
+    /// Starts a gatekeeper or a relay, also again after it has ended.
     pub fn start_program(&mut self, n: usize) -> Result<(), Box<dyn Error>> {
         let mut platform: Value = serde_json::from_str(&self.world.config(n)?)?;
         platform["name"] = self.name(n).into();
@@ -211,7 +216,7 @@
             platform["limits"]["sockets"] = RELAY_SOCKETS.into();
         }
         let is_plain = (self.setup.gatekeepers..self.relay_index(0)).contains(&n);
-        let fleet = if is_plain { String::new() } else { self.fleet(n) };
+        let fleet = if is_plain { String::new() } else { self.fleet_block(n) };
         let conf = format!("control {}\n{fleet}", self.socket(n).display());
         let (folder, program) = (self.folder.path(), self.setup.program.as_path());
         let (name, platform) = (self.name(n), platform.to_string());
@@ -220,7 +225,7 @@
         Ok(())
     }
 
-    /// HollowCommand a process of hollow leaves, anew where it has ended.
+    /// Starts a process of hollow leaves, also again after it has ended.
     pub fn start_hollow(&mut self, n: usize) -> Result<(), Box<dyn Error>> {
         let (leaves, processes) = (self.setup.leaves, self.setup.processes);
         let (first, next) = (n * leaves / processes, (n + 1) * leaves / processes);
@@ -231,7 +236,7 @@
         let relay = |(n, address): (usize, &SocketAddr)| RelayArg {
             name: format!("r{n}"),
             address: *address,
-            location: place(n % self.setup.zones),
+            location: zone_location(n % self.setup.zones),
         };
         let plan = Plan {
             relays: self.addresses.iter().enumerate().map(relay).collect(),
@@ -239,7 +244,7 @@
             first,
             services: SERVICES,
             servers: SERVERS,
-            zones: zones.into_iter().map(|zone| ZoneArg(place(zone))).collect(),
+            zones: zones.into_iter().map(|zone| ZoneArg(zone_location(zone))).collect(),
             refuse: None,
         };
         let command = (self.setup.hollow)(&plan);
@@ -247,10 +252,10 @@
         Ok(())
     }
 
-    /// A program that runs.
+    /// A running program. Fails if it does not run.
     pub fn program(&mut self, n: usize) -> Result<&mut Program, Box<dyn Error>> {
         let name = self.name(n);
-        self.programs[n].as_mut().ok_or_else(|| format!("{name} does not run").into())
+        self.programs[n].as_mut().ok_or_else(|| format!("{name} is not running").into())
     }
 
     /// Kills a program.
@@ -260,7 +265,7 @@
 
     // ---- Time
 
-    /// Lets the stand-ins take a turn, and reads what processes tell.
+    /// Lets the stand-ins run once, and reads what the processes have reported.
     pub fn poll(&mut self) {
         let now = unix_time();
         if self.rate > 0.0 {
@@ -274,39 +279,42 @@
         std::thread::sleep(Duration::from_millis(1));
     }
 
-    /// Lets so many seconds pass.
+    /// Runs the test bed for this many seconds.
     pub fn run_for(&mut self, seconds: f64) {
-        let begun = Instant::now();
-        while begun.elapsed().as_secs_f64() < seconds {
+        let started_at = Instant::now();
+        while started_at.elapsed().as_secs_f64() < seconds {
             self.poll();
         }
     }
 
-    /// Waits until something holds; returns after how many seconds.
+    /// Waits until a condition holds; returns after how many seconds. Fails after `timeout_s` seconds, or if the
+    /// check itself fails.
     pub fn wait_until(
         &mut self,
         what: &str,
-        most: f64,
+        timeout_s: f64,
         mut holds: impl FnMut(&mut TestBed) -> Result<bool, Box<dyn Error>>,
     ) -> Result<f64, Box<dyn Error>> {
-        let (begun, mut looked) = (Instant::now(), None::<Instant>);
+        let (started_at, mut last_check) = (Instant::now(), None::<Instant>);
         loop {
             self.poll();
-            if looked.is_none_or(|at| at.elapsed() > LOOK) {
+            if last_check.is_none_or(|at| at.elapsed() > CHECK_INTERVAL) {
                 if holds(self)? {
-                    return Ok(begun.elapsed().as_secs_f64());
+                    return Ok(started_at.elapsed().as_secs_f64());
                 }
-                looked = Some(Instant::now());
+                last_check = Some(Instant::now());
             }
-            if begun.elapsed().as_secs_f64() > most {
-                return Err(format!("waited {most} s in vain for {what}: {}", self.seen()).into());
+            if started_at.elapsed().as_secs_f64() > timeout_s {
+                return Err(
+                    format!("waited {timeout_s} s in vain for {what}: {}", self.describe_state()).into()
+                );
             }
         }
     }
 
-    // ---- What is seen
+    // ---- State
 
-    /// What `ctl members` tells; nothing where it is not reached.
+    /// The report of `ctl members`; null if the program cannot be reached.
     pub fn members_report(&self, n: usize) -> Value {
         match self.programs[n] {
             Some(_) => ctl::query(&self.socket(n), &Query::Members {}).unwrap_or(Value::Null),
@@ -314,18 +322,24 @@
         }
     }
 
-    fn seen(&mut self) -> String {
+    fn describe_state(&mut self) -> String {
         let of_relay = |n: usize| {
-            let told = self.members_report(n);
-            let heard = &told["heard"];
-            format!("{}: attached {} of {}, hears {heard}", self.name(n), told["attached"], told["limit"])
+            let report = self.members_report(n);
+            let heard = &report["heard"];
+            format!(
+                "{}: attached {} of {}, reaches {heard}",
+                self.name(n),
+                report["attached"],
+                report["limit"]
+            )
         };
         let relays: Vec<String> = self.relay_indices().map(of_relay).collect();
         let attached = self.leaves_by_relay().map(|attached| format!("{attached:?}")).unwrap_or_default();
         format!("leaves by relay {attached}; {}", relays.join("; "))
     }
 
-    /// Leaves, hollow and real ones that run, by the relay that they are attached to; the empty name is none.
+    /// The number of leaves, hollow ones and real ones that run, by the relay that they are attached to; the empty
+    /// name stands for none.
     pub fn leaves_by_relay(&mut self) -> Result<BTreeMap<String, usize>, Box<dyn Error>> {
         let mut all: BTreeMap<String, usize> = BTreeMap::new();
         for process in self.hollow.iter_mut().flatten() {
@@ -340,20 +354,20 @@
         Ok(all)
     }
 
-    /// Whether all leaves that run are attached to a relay that runs.
+    /// Whether all running leaves are attached to a running relay.
     pub fn all_attached(&mut self) -> Result<bool, Box<dyn Error>> {
         let running: Vec<String> =
             self.relay_indices().filter(|n| self.programs[*n].is_some()).map(|n| self.name(n)).collect();
         Ok(self.leaves_by_relay()?.keys().all(|relay| running.contains(relay)))
     }
 
-    /// The same, with one relay left out as if it did not run: one that is paused.
+    /// Whether all running leaves are attached to a running relay other than this one, which is paused.
     pub fn all_attached_except_at(&mut self, relay: usize) -> Result<bool, Box<dyn Error>> {
         let name = self.name(self.relay_index(relay));
         Ok(self.all_attached()? && !self.leaves_by_relay()?.contains_key(&name))
     }
 
-    /// Leaves that some hollow leaf holds to be gone for good, or to have left, though they run.
+    /// How many times a hollow leaf considers a running leaf to be gone for good, or to have left.
     pub fn false_deaths(&mut self) -> Result<usize, Box<dyn Error>> {
         let mut gone: BTreeMap<String, usize> = BTreeMap::new();
         let mut live: Vec<String> = Vec::new();
@@ -369,19 +383,19 @@
         Ok(gone.iter().filter(|(leaf, _)| live.contains(leaf)).map(|(_, holders)| holders).sum())
     }
 
-    /// What a program has used and said on the tier's links.
+    /// What a program has used, and its bytes on the links of the tier.
     pub fn resource_use(&self, n: usize) -> Result<ResourceUse, Box<dyn Error>> {
         let links = &self.members_report(n)["links"];
         let count = |name: &str| links[name].as_f64().unwrap_or(0.0);
         let bytes = count("bytes")
             + count("bytes_heard")
             + PACKET_HEADER_BYTES as f64 * (count("said") + count("heard"));
-        let program = self.programs[n].as_ref().ok_or("a program does not run")?;
-        let (cpu, memory) = of_process(program.child.id())?;
+        let program = self.programs[n].as_ref().ok_or("the program is not running")?;
+        let (cpu, memory) = process_use(program.child.id())?;
         Ok(ResourceUse { at: unix_time(), cpu_s: cpu, bytes, memory_mb: memory })
     }
 
-    /// LeafBytes of each hollow leaf since its start, with the headers of packets, and when each process said so.
+    /// Bytes of each hollow leaf since its start, packet headers included, by process.
     pub fn hollow_bytes(&mut self) -> Result<Vec<LeafBytes>, Box<dyn Error>> {
         let mut all = Vec::new();
         for process in self.hollow.iter_mut().flatten() {
@@ -394,41 +408,47 @@
     // ---- Settings of the fleet
 
     fn write_settings(&mut self) -> std::io::Result<()> {
-        self.text += 1;
-        let text = format!("crossings {{\n budget all {{\n  rate {}/s fleet\n }}\n}}\n", 1000 + self.text);
+        self.settings_changes += 1;
+        let text = format!(
+            "crossings {{\n budget all {{\n  rate {}/s fleet\n }}\n}}\n",
+            1000 + self.settings_changes
+        );
         let (path, new) = (self.folder.path().join("shared"), self.folder.path().join("shared.new"));
         std::fs::write(&new, text)?;
         std::fs::rename(new, path)
     }
 
-    /// Changes the settings' file and tells a relay to read it.
+    /// Changes the file of the fleet's settings and sends a relay the signal to read it.
     pub fn propose_change(&mut self, relay: usize) -> Result<(), Box<dyn Error>> {
         self.write_settings()?;
         let n = self.relay_index(relay);
         Ok(self.program(n)?.signal("-HUP")?)
     }
 
-    /// Versions that the writer has proposed, and when, in the order of its log.
+    /// Versions that the writer has proposed, and when in Unix seconds, in the order of its log.
     pub fn proposals(&self) -> Vec<(u64, f64)> {
-        let of = |line: &Value| Some((line["version"].as_u64()?, line["time"].as_f64()?));
-        self.log_lines(self.relay_index(0), "fleet-settings-proposed").iter().filter_map(|l| of(l)).collect()
+        let parse = |line: &Value| Some((line["version"].as_u64()?, line["time"].as_f64()?));
+        self.log_lines(self.relay_index(0), "fleet-settings-proposed")
+            .iter()
+            .filter_map(|l| parse(l))
+            .collect()
     }
 
-    /// Lines of a program's log with an event.
+    /// Lines of a program's log with this event.
     pub fn log_lines(&self, n: usize, event: &str) -> Vec<&Value> {
         let log = self.programs[n].iter().flat_map(|program| &program.log);
         log.filter(|line| line["event"] == event).collect()
     }
 
-    /// Proposes a change and waits until the writer has taken it; returns its version and when that was.
+    /// Proposes a change and waits until the writer has proposed it; returns its version and when that was.
     pub fn change_settings(&mut self) -> Result<(u64, f64), Box<dyn Error>> {
         let before = self.proposals().len();
         self.propose_change(0)?;
-        self.wait_until("the change to be proposed", PATIENCE, |s| Ok(s.proposals().len() > before))?;
-        self.proposals().last().copied().ok_or_else(|| "nothing was proposed".into())
+        self.wait_until("the change to be proposed", START_TIMEOUT_S, |s| Ok(s.proposals().len() > before))?;
+        self.proposals().last().copied().ok_or_else(|| "the writer proposed nothing".into())
     }
 
-    /// Whether all leaves that run have settings of this version, or a later one, in force.
+    /// Whether settings of this version or a later one are in force at all running leaves.
     pub fn all_have_version(&mut self, version: u64) -> Result<bool, Box<dyn Error>> {
         for process in self.hollow.iter_mut().flatten() {
             if process.request_report()?.in_force.keys().any(|held| *held < version) {
@@ -443,10 +463,11 @@
         Ok(true)
     }
 
-    /// For each leaf that runs, when it first had a version or a later one in force, in Unix seconds; none where it has not.
+    /// For each running leaf, when this version or a later one was first in force at it, in Unix seconds; none if it
+    /// is not.
     pub fn settings_times(&self, version: u64) -> Vec<Option<f64>> {
         let mut first: BTreeMap<String, Option<f64>> = BTreeMap::new();
-        let mut note = |leaf: String, held: u64, at: f64| {
+        let mut record = |leaf: String, held: u64, at: f64| {
             let entry = first.entry(leaf).or_default();
             if held >= version {
                 *entry = Some(entry.map_or(at, |before: f64| before.min(at)));
@@ -454,20 +475,20 @@
         };
         for process in self.hollow.iter().flatten() {
             let plan = &process.plan;
-            (plan.first..plan.first + plan.leaves).for_each(|n| note(format!("h{n}"), 0, 0.0));
-            process.settings_taken.iter().for_each(|took| note(took.leaf.clone(), took.version, took.at));
+            (plan.first..plan.first + plan.leaves).for_each(|n| record(format!("h{n}"), 0, 0.0));
+            process.settings_taken.iter().for_each(|took| record(took.leaf.clone(), took.version, took.at));
         }
         for n in (0..self.setup.gatekeepers).filter(|n| self.programs[*n].is_some()) {
-            note(format!("n{n}"), 0, 0.0);
+            record(format!("n{n}"), 0, 0.0);
             for line in self.log_lines(n, "fleet-settings-taken") {
                 let (held, at) = (line["version"].as_u64(), line["time"].as_f64());
-                note(format!("n{n}"), held.unwrap_or(0), at.unwrap_or(f64::INFINITY));
+                record(format!("n{n}"), held.unwrap_or(0), at.unwrap_or(f64::INFINITY));
             }
         }
         first.into_values().collect()
     }
 
-    /// When leaves were attached after a time, in Unix seconds, by their own word.
+    /// When leaves reported an attachment after `since`, in Unix seconds.
     pub fn attachment_times(&self, since: f64) -> Vec<f64> {
         let hollow = self.hollow.iter().flatten().flat_map(|p| p.attachments.iter().map(|m| m.at));
         let real = (0..self.setup.gatekeepers).flat_map(|n| self.log_lines(n, "relay-attached"));
@@ -477,7 +498,7 @@
 
     // ---- Faults
 
-    /// Cuts the links between the two regions' relays both ways, or lets them go on.
+    /// Cuts the links between relays of the two regions in both directions, or restores them.
     pub fn cut_regions(&self, cut: bool) {
         let region = |relay: usize| REGIONS[relay % self.setup.zones];
         for ((from, to), proxy) in &self.proxies {
@@ -487,7 +508,7 @@
         }
     }
 
-    /// Cuts all links of one relay to others both ways, or lets them go on.
+    /// Cuts all links of one relay to other relays in both directions, or restores them.
     pub fn cut_relay(&self, relay: usize, cut: bool) {
         for ((from, to), proxy) in &self.proxies {
             if *from == relay || *to == relay {
@@ -497,8 +518,8 @@
     }
 }
 
-/// Processor time in seconds and resident memory in MB.
-fn of_process(id: u32) -> Result<(f64, f64), Box<dyn Error>> {
+/// Processor time in seconds and resident memory in MB of a process.
+fn process_use(id: u32) -> Result<(f64, f64), Box<dyn Error>> {
     let read = |file: &str| std::fs::read_to_string(Path::new("/proc").join(id.to_string()).join(file));
     let time: f64 = read("schedstat")?.split_whitespace().next().ok_or("no schedstat")?.parse()?;
     let status = read("status")?;
