--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings told as differences, against the sets themselves: whatever is lost, whoever is behind, nothing older wins.
+//! Tests that settings sent as differences arrive as the set that was sent: after lost parts, from any older set, and
+//! never replaced by an older one.
 
 use std::sync::Arc;
 
@@ -13,7 +14,7 @@
     proptest::collection::btree_map("[a-f]{1,2}", "[a-z]{0,300}", 0..30).prop_map(|m| m.into_iter().collect())
 }
 
-fn told(from: &SettingsSet, to: &Arc<SettingsSet>) -> Option<SettingsSet> {
+fn send(from: &SettingsSet, to: &Arc<SettingsSet>) -> Option<SettingsSet> {
     let (mut outgoing, mut incoming) = (OutgoingSet::new(Arc::clone(to), from.revision()), None);
     loop {
         let part = outgoing.next_part();
@@ -32,9 +33,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// From any earlier set to any later one, by differences or whole.
+    /// From any earlier set to any later one, as differences or whole.
     #[test]
-    fn who_is_behind_comes_to_the_same_set(steps in proptest::collection::vec(wanted(), 1..12)) {
+    fn a_holder_of_any_older_set_receives_the_latest_set(steps in proptest::collection::vec(wanted(), 1..12)) {
         let mut sets = vec![SettingsSet::default()];
         for wanted in &steps {
             let next = sets[sets.len() - 1].with_entries(0, wanted).unwrap();
@@ -43,7 +44,7 @@
         }
         let last = Arc::new(sets[sets.len() - 1].clone());
         for held in &sets {
-            let set = told(held, &last);
+            let set = send(held, &last);
             prop_assert!(set.is_some());
             let set = set.unwrap_or_default();
             prop_assert_eq!(set.revision(), last.revision());
@@ -51,9 +52,9 @@
         }
     }
 
-    /// Parts that are lost or come in another order never make a wrong set.
+    /// Parts that are lost or reordered never produce a wrong set.
     #[test]
-    fn lost_and_overtaken_parts_make_no_wrong_set(
+    fn lost_and_reordered_parts_never_produce_a_wrong_set(
         a in wanted(), b in wanted(), order in proptest::collection::vec(0usize..12, 1..40)
     ) {
         let old = SettingsSet::default().with_entries(0, &a).unwrap();
@@ -76,19 +77,20 @@
         }
     }
 
-    /// Two lives of a writer may make two sets of one version: who holds the one is told the whole of the other.
+    /// Two incarnations of a writer may create two sets of one version: a holder of one is sent the whole of the
+    /// other.
     #[test]
-    fn another_set_of_the_same_version_is_told_whole(a in wanted(), b in wanted()) {
+    fn a_different_set_of_the_same_version_is_sent_whole(a in wanted(), b in wanted()) {
         let (x, y) = (SettingsSet::default().with_entries(4, &a).unwrap(), Arc::new(SettingsSet::default().with_entries(4, &b).unwrap()));
         prop_assume!(x.revision().version == y.revision().version && x.revision() != y.revision());
         prop_assert_eq!(y.diff_base(x.revision()), 0);
-        let set = told(&x, &y);
+        let set = send(&x, &y);
         prop_assert_eq!(set.map(|s| entries(&s)), Some(entries(&y)));
     }
 }
 
 #[test]
-fn removed_entries_beyond_the_memory_need_the_whole() {
+fn a_holder_older_than_the_remembered_removals_is_sent_the_whole_set() {
     let all = |n: usize| (0..n).map(|k| (format!("entry {k}"), "text".to_string())).collect::<Wanted>();
     let mut set = SettingsSet::default().with_entries(0, &all(600)).unwrap();
     let old = set.clone();
@@ -97,11 +99,11 @@
     }
     assert_eq!(set.diff_base(old.revision()), 0, "600 were removed, 256 are remembered");
     let set = Arc::new(set);
-    assert_eq!(told(&old, &set).map(|s| entries(&s)), Some(entries(&set)));
+    assert_eq!(send(&old, &set).map(|s| entries(&s)), Some(entries(&set)));
 }
 
 #[test]
-fn a_set_that_is_too_large_says_why() {
+fn invalid_sets_are_rejected_with_the_reason() {
     let one = |name: &str, bytes: usize| (name.to_string(), "x".repeat(bytes));
     let set = SettingsSet::default();
     assert_eq!(
--- a/crates/relay/tests/share.rs
+++ b/crates/relay/tests/share.rs
@@ -1,42 +1,43 @@
-//! How many leaves a relay may have, as what it takes goes up and down.
+//! Tests how many leaves a relay may have while the number that it accepts goes up and down.
 
 use hollypaddle_relay::leaf_limit::LeafLimit;
 
-/// Seconds in which the limit falls to a new target, and between two steps.
-const FALLS: f64 = 60.0;
-const STEP: f64 = 0.2;
+/// Seconds in which the limit falls to a new target.
+const FALL_S: f64 = 60.0;
+/// Seconds between two steps.
+const STEP_S: f64 = 0.2;
 
-fn pass(share: &mut LeafLimit, from: f64, seconds: f64, takes: impl Fn(usize) -> usize) -> f64 {
-    let steps = (seconds / STEP).round() as usize;
-    (1..=steps).for_each(|n| share.step_towards(from + n as f64 * STEP, takes(n), FALLS, STEP));
-    from + steps as f64 * STEP
+fn pass(limit: &mut LeafLimit, from: f64, seconds: f64, accepted: impl Fn(usize) -> usize) -> f64 {
+    let steps = (seconds / STEP_S).round() as usize;
+    (1..=steps).for_each(|n| limit.step_towards(from + n as f64 * STEP_S, accepted(n), FALL_S, STEP_S));
+    from + steps as f64 * STEP_S
 }
 
 #[test]
-fn it_rises_at_once_and_falls_evenly() {
-    let mut share = LeafLimit::new(0.0, 32);
-    share.raise_to(100);
-    assert_eq!(share.limit(), 100);
-    let now = pass(&mut share, 0.0, FALLS / 2.0, |_| 40);
-    assert!((69..=71).contains(&share.limit()), "{}", share.limit());
-    let now = pass(&mut share, now, FALLS / 2.0 + 1.0, |_| 40);
-    assert_eq!(share.limit(), 40);
-    pass(&mut share, now, STEP, |_| 90);
-    assert_eq!(share.limit(), 90);
+fn leaf_limit_rises_at_once_and_falls_evenly() {
+    let mut limit = LeafLimit::new(0.0, 32);
+    limit.raise_to(100);
+    assert_eq!(limit.limit(), 100);
+    let now = pass(&mut limit, 0.0, FALL_S / 2.0, |_| 40);
+    assert!((69..=71).contains(&limit.limit()), "{}", limit.limit());
+    let now = pass(&mut limit, now, FALL_S / 2.0 + 1.0, |_| 40);
+    assert_eq!(limit.limit(), 40);
+    pass(&mut limit, now, STEP_S, |_| 90);
+    assert_eq!(limit.limit(), 90);
 }
 
 #[test]
-fn a_pause_counts_for_one_step() {
-    let mut share = LeafLimit::new(0.0, 100);
-    pass(&mut share, 0.0, STEP, |_| 40);
-    let before = share.limit();
-    share.step_towards(500.0, 40, FALLS, STEP);
-    assert!(before - share.limit() <= 1, "{before} to {}", share.limit());
+fn leaf_limit_falls_by_one_step_at_most_after_a_pause() {
+    let mut limit = LeafLimit::new(0.0, 100);
+    pass(&mut limit, 0.0, STEP_S, |_| 40);
+    let before = limit.limit();
+    limit.step_towards(500.0, 40, FALL_S, STEP_S);
+    assert!(before - limit.limit() <= 1, "{before} to {}", limit.limit());
 }
 
 #[test]
-fn a_target_that_goes_up_and_down_a_little_puts_nothing_off() {
-    let mut share = LeafLimit::new(0.0, 100);
-    pass(&mut share, 0.0, FALLS + 1.0, |n| 40 + n % 2);
-    assert!(share.limit() <= 41, "{}", share.limit());
+fn leaf_limit_reaches_an_oscillating_target_in_time() {
+    let mut limit = LeafLimit::new(0.0, 100);
+    pass(&mut limit, 0.0, FALL_S + 1.0, |n| 40 + n % 2);
+    assert!(limit.limit() <= 41, "{}", limit.limit());
 }
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams told on a link as differences, against the stream itself: lost and doubled pieces, tombstones beyond the horizon.
+//! Tests that a copy becomes equal to the stream that is sent over a link: with lost and duplicated pieces, and with
+//! tombstones that were dropped.
 
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_relay::stream_copy::{Cursor, StreamCopy, MAX_PIECE_RECORDS};
@@ -19,8 +20,8 @@
         && all(copy.stream()) == all(stream)
 }
 
-/// Tells until the copy is level, without loss.
-fn tell(cursor: &mut Cursor, stream: &Stream, copy: &mut StreamCopy) {
+/// Sends pieces until the copy is up to date, without loss.
+fn send_all(cursor: &mut Cursor, stream: &Stream, copy: &mut StreamCopy) {
     for _ in 0..10_000 {
         if !cursor.is_behind(stream) {
             return;
@@ -31,21 +32,21 @@
             *cursor = Cursor::resume(ORIGIN, stream, copy.state());
         }
     }
-    panic!("never level");
+    panic!("the copy is not up to date after 10,000 pieces");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// What is lost is told anew from what the copy says that it holds, and in the end both are equal.
+    /// Lost pieces are sent again from the state that the copy reports, and in the end both are equal.
     #[test]
-    fn a_copy_is_level_in_the_end(
+    fn a_copy_equals_the_stream_after_lost_and_duplicated_pieces(
         steps in proptest::collection::vec((0u64..60, proptest::option::of(0u64..4), 0u8..6), 1..300)
     ) {
         let (mut stream, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
         for (server, value, what) in steps {
             write(&mut stream, server, value);
-            // 0: the piece is lost; 1, 2: nothing is said; else it is told.
+            // 0: the piece is lost; 1 and 2: nothing is sent; otherwise the piece is delivered.
             match what {
                 0 => { if cursor.is_behind(&stream) { cursor.next_piece(1.0, ORIGIN, &stream); } }
                 1 | 2 => {}
@@ -54,7 +55,7 @@
                     if copy.apply(1.0, 0.0, &piece).is_err() {
                         cursor = Cursor::resume(ORIGIN, &stream, copy.state());
                     }
-                    // Doubled: it is refused or changes nothing.
+                    // A duplicate is refused or changes nothing.
                     let before = copy.state();
                     if !piece.records.is_empty() && piece.base.is_none() && copy.apply(1.0, 0.0, &piece).is_ok() {
                         prop_assert_eq!(before, copy.state());
@@ -62,23 +63,23 @@
                 }
             }
         }
-        tell(&mut cursor, &stream, &mut copy);
+        send_all(&mut cursor, &stream, &mut copy);
         if !equal(&copy, &stream) {
-            // The last pieces were lost: a digest shows it.
+            // The last pieces were lost; a digest would reveal it.
             cursor = Cursor::resume(ORIGIN, &stream, copy.state());
-            tell(&mut cursor, &stream, &mut copy);
+            send_all(&mut cursor, &stream, &mut copy);
         }
         prop_assert!(equal(&copy, &stream));
     }
 }
 
 #[test]
-fn who_is_behind_dropped_tombstones_is_told_the_whole() {
+fn a_copy_older_than_the_dropped_tombstones_is_sent_the_whole_stream() {
     let (mut stream, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
     (0..100).for_each(|n| write(&mut stream, n, Some(1)));
-    tell(&mut cursor, &stream, &mut copy);
+    send_all(&mut cursor, &stream, &mut copy);
     assert!(equal(&copy, &stream));
-    // The first hundred are withdrawn, and so much after them that nobody remembers it.
+    // The first hundred are withdrawn, and after that so many others that their tombstones are dropped.
     (0..100).for_each(|n| write(&mut stream, n, None));
     for n in 0..TOMBSTONES as u64 + 10 {
         write(&mut stream, 1000 + n, Some(1));
@@ -86,22 +87,26 @@
     }
     write(&mut stream, 7, Some(2));
     assert!(stream.horizon() > 100);
-    tell(&mut cursor, &stream, &mut copy);
+    send_all(&mut cursor, &stream, &mut copy);
     assert!(equal(&copy, &stream));
     assert_eq!(copy.stream().len(), 1);
 }
 
 #[test]
-fn another_origin_is_held_only_once_it_is_whole() {
+fn a_stream_of_another_origin_replaces_the_copy_only_when_complete() {
     let (mut a, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
     (0..100).for_each(|n| write(&mut a, n, Some(1)));
-    tell(&mut cursor, &a, &mut copy);
+    send_all(&mut cursor, &a, &mut copy);
     let other = Origin { member: MemberId(2), ..ORIGIN };
     let mut b = Stream::default();
     (0..100).for_each(|n| write(&mut b, n, Some(2)));
     let mut cursor = Cursor::from_start();
     while cursor.is_behind(&b) {
-        assert_eq!(copy.state().map(|c| c.origin), Some(ORIGIN), "the old one serves until then");
+        assert_eq!(
+            copy.state().map(|c| c.origin),
+            Some(ORIGIN),
+            "the old copy stays until the new one is complete"
+        );
         copy.apply(1.0, 0.0, &cursor.next_piece(1.0, other, &b)).unwrap();
     }
     assert_eq!(copy.state().map(|c| c.origin), Some(other));
