--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -25,6 +25,9 @@
 use super::servers::Servers;
 use super::tier::TierComponent;
 
+/// Target of this module's log events. Operators' log filters name this path.
+const LOG_TARGET: &str = "hollypaddle::node::subjects";
+
 /// The parts of the gatekeeper that a component may use.
 pub struct ComponentContext<'a> {
     /// The time, in Unix seconds.
@@ -254,7 +257,7 @@
         for row in report.rows.iter().filter(|r| r.class != "all" && r.to != "all" && r.to != "abroad") {
             let (class, from, to, c) = (row.class.as_str(), row.from.as_str(), row.to.as_str(), &row.counts);
             log::info!(
-                class, from, to, sent = c.sent, stood = c.stood, late = c.late, refused = c.refused,
+                target: LOG_TARGET, class, from, to, sent = c.sent, stood = c.stood, late = c.late, refused = c.refused,
                 failed = c.failed, reset = c.reset, given_up = c.given_up, ended = c.ended, cut = c.cut,
                 bent = c.bent, denied = c.denied, out = row.out, standing = row.standing;
                 "crossings"
@@ -303,7 +306,7 @@
         // If the own district is unknown no set-up counts as a crossing, and budgets that never take effect look as if they
         // were kept.
         if gate.as_ref().is_some_and(|g| g.settings().own == District::UNKNOWN) {
-            log::warn!("own-district-unknown");
+            log::warn!(target: LOG_TARGET, "own-district-unknown");
         }
         let budgets = new.crossings.as_ref().map_or(0, |c| c.budgets.len());
         Some(format!("crossings-{word}-{budgets}-budgets"))
--- a/crates/gatekeeper/src/node/servers/liveness.rs
+++ b/crates/gatekeeper/src/node/servers/liveness.rs
@@ -11,6 +11,8 @@
 use crate::node::config::ProtocolSettings;
 use crate::node::poller::Key;
 
+/// Target of this module's log events. Operators' log filters name this path.
+const LOG_TARGET: &str = "hollypaddle::node::servers::silence";
 /// Time beyond the connect timeout for which a set-up waits for a connection, in seconds; after that it fails.
 const CONNECT_SLACK_S: f64 = 0.1;
 /// Time without any message from a server after which a new connection to it is tried, in seconds, if servers send unsolicited
@@ -122,7 +124,7 @@
         }
         let cut = ctx.calls.cut_calls_at(pool, ctx.now, true);
         if cut > 0 {
-            log::info!(server = self.name.as_str(), silent_s, cut; "server-vanished");
+            log::info!(target: LOG_TARGET, server = self.name.as_str(), silent_s, cut; "server-vanished");
         }
     }
 
--- a/crates/gatekeeper/src/node/servers/release_queue.rs
+++ b/crates/gatekeeper/src/node/servers/release_queue.rs
@@ -20,6 +20,8 @@
 use super::{Context, Server};
 use crate::node::poller::{Key, Poller};
 
+/// Target of this module's log events. Operators' log filters name this path.
+const LOG_TARGET: &str = "hollypaddle::node::servers::releases";
 /// Maximum number of unsent releases kept for a server; further ones are dropped.
 const MAX_UNSENT_RELEASES: usize = 4096;
 /// Maximum number of releases kept for a server that it may not have read; the oldest are dropped first.
@@ -91,7 +93,7 @@
         }
         for release in self.release_queue.take_due(ctx.now, ctx.calls) {
             let call = format_args!("{:016x}", release.id);
-            log::debug!(server = self.name.as_str(), call:%; "release-resent");
+            log::debug!(target: LOG_TARGET, server = self.name.as_str(), call:%; "release-resent");
             // Queued as unconfirmed rather than unsent, so that it causes no additional connection attempt.
             if !self.send_release(ctx.now, release, ctx.poller) {
                 self.release_queue.keep_unconfirmed([release]);
@@ -122,7 +124,7 @@
         self.idle_retry_at = f64::NEG_INFINITY;
         match self.release_queue.unsent.len() < MAX_UNSENT_RELEASES {
             true => self.release_queue.unsent.push(release),
-            false => log::debug!(server = self.name.as_str(); "release-dropped"),
+            false => log::debug!(target: LOG_TARGET, server = self.name.as_str(); "release-dropped"),
         }
     }
 }
