--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -13,7 +13,7 @@
     Readiness, Report, Settings,
 };
 
-// Tuned values. Those that end in `_UNITS` are in wait units.
+// Tuned values. Those that end in `_UNITS` are in wait units, so that they follow the deployment.
 
 /// The wait unit as a fraction of the shortest goal time; a retransmit time shortens it to half at most.
 const WAIT_UNIT_RATIO: f64 = 0.25;
@@ -83,7 +83,8 @@
 const MIN_SAMPLE_CALLS: f64 = 30.0;
 /// Decay time of the highest sample, in warm-up times.
 const SAMPLE_LIFETIME_RATIO: f64 = 5.0;
-/// Fraction of an even share of the calls that one window of an unsampled pool is assumed to carry.
+/// A pool without a complete sample is assumed to have carried, over one `rate_window`, this fraction of an
+/// even share of the calls.
 const UNKNOWN_CARRIED_RATIO: f64 = 0.33;
 /// Budget of a cold pool, as a fraction of its usual calls; warm-up and overload factor multiply it.
 const COLD_BUDGET_RATIO: f64 = 0.45;
@@ -175,7 +176,7 @@
     silent: bool,                 // whether a reply is overdue
     spacing: Spacing,             // of set-ups while the pool has no free line
     lossy_until: f64,             // until then overdue answers are assumed to be lost
-    asked_at: [f64; 2],           // last check of its budgets: for calls of another first choice, for its own
+    budget_at: [f64; 2],          // last budget checks: for calls that prefer another pool, and this one
 }
 
 /// A call that still needs its final answer.
@@ -184,16 +185,16 @@
     class: usize,           // index into the settings
     dialled: u64,           // the number dialled; 0 if there is none
     first_tried: f64,       // when the caller first tried
-    rank: f64, // fraction of recent calls that are refused before this one; uniform over all calls
-    hold_until: f64, // the call is refused if it is not sent by then
-    first_choice: u32, // number of the pool that the caller prefers
-    deadline: f64, // when the caller gives up
+    rank: f64,              // fraction of recent calls refused before this one; uniform over all calls
+    hold_until: f64,        // the call is refused if it is not sent by then
+    first_choice: u32,      // number of the pool that the caller prefers
+    deadline: f64,          // when the caller gives up
     held_from: Option<f64>, // when the call may be sent, while it is held; none while an attempt is out
-    attempts: u32, // number of attempts sent
-    cancelled: bool, // whether the current attempt was cancelled
-    errors: u32, // number of attempts that a pool answered with an error
-    avoid: Option<usize>, // index of the pool that failed this call last
-    may_have_run: bool, // whether an attempt may have taken effect
+    attempts: u32,          // number of attempts sent
+    cancelled: bool,        // whether the current attempt was cancelled
+    errors: u32,            // number of attempts that a pool answered with an error
+    avoid: Option<usize>,   // index of the pool that failed this call last
+    may_have_run: bool,     // whether an attempt may have taken effect
 }
 
 /// The choice of a pool for a call.
@@ -214,17 +215,17 @@
     rng: ChaCha8Rng,                            // seeded: the same events give the same actions
     pools: Vec<Pool>,                           // all that are listed and not gone
     calls: BTreeMap<CallId, Call>,              // those that still need a final answer
-    sticky: BTreeMap<(usize, u32), usize>, // pool of the last overflowing call, by class and first choice
-    carried: BTreeMap<u32, CarriedRate>,   // what each pool, by number, was sent while in steady service
-    offered_rate: Rate,                    // calls offered to this gatekeeper
-    timer: Option<u32>,                    // token of the running timer
-    timer_token: u32,                      // the last token used
-    ticked_at: f64,                        // when the periodic update last ran
-    recent_worths: VecDeque<f64>,          // of the latest calls, the newest last
+    sticky: BTreeMap<(usize, u32), usize>,      // by class and first choice: pool last used in its place
+    carried: BTreeMap<u32, CarriedRate>,        // what each pool, by number, was sent while in steady service
+    offered_rate: Rate,                         // calls offered to this gatekeeper
+    timer: Option<u32>,                         // token of the running timer
+    timer_token: u32,                           // the last token used
+    ticked_at: f64,                             // when the periodic update last ran
+    recent_worths: VecDeque<f64>,               // of the latest calls, the newest last
     refused_callers: BTreeMap<u64, (f64, f64)>, // by number dialled: first try, and when it is forgotten
-    tenant_calls: Vec<f64>,                // calls of each tenant, decaying over the warm-up time
-    tenant_calls_at: f64,                  // when they last decayed
-    busy_numbers: BTreeMap<u64, Spacing>,  // spacing of attempts, by the number dialled
+    tenant_calls: Vec<f64>,                     // calls of each tenant, decaying over the warm-up time
+    tenant_calls_at: f64,                       // when they last decayed
+    busy_numbers: BTreeMap<u64, Spacing>,       // spacing of attempts, by the number dialled
 }
 
 /// The rate at which this gatekeeper sends set-ups to a pool in steady service.
@@ -578,20 +579,20 @@
     /// long: the highest short ones of gatekeepers with few calls add up to several times the real rate.
     fn carried_rate(&self, now: f64, number: u32) -> f64 {
         let ready = self.pools.iter().filter(|p| p.readiness == Readiness::Ready).count().max(1);
-        let even = self.offered_rate.at(now, self.rate_window) / ready as f64 * UNKNOWN_CARRIED_RATIO;
+        let assumed = self.offered_rate.at(now, self.rate_window) / ready as f64 * UNKNOWN_CARRIED_RATIO;
         match self.carried.get(&number) {
             Some(c) if c.max > 0.0 => c.max,
-            Some(c) => (c.calls + even * self.rate_window) / (c.time + self.rate_window),
-            None => even,
+            Some(c) => (c.calls + assumed * self.rate_window) / (c.time + self.rate_window),
+            None => assumed,
         }
     }
 
     /// Adds `elapsed` seconds to the samples of the rates that pools carry, and starts new samples.
     fn record_carried(&mut self, now: f64, elapsed: f64) {
-        let fade = (-elapsed / (SAMPLE_LIFETIME_RATIO * self.settings.warm_up_time).max(1.0)).exp();
+        let decay = (-elapsed / (SAMPLE_LIFETIME_RATIO * self.settings.warm_up_time).max(1.0)).exp();
         for i in (0..self.pools.len()).filter(|i| self.is_steady(now, *i)).collect::<Vec<_>>() {
             let c = self.carried.entry(self.pools[i].number).or_default();
-            c.max *= fade;
+            c.max *= decay;
             c.time += elapsed;
             if c.calls >= MIN_SAMPLE_CALLS && c.time >= self.rate_window {
                 *c = CarriedRate { max: c.max.max(c.calls / c.time), ..CarriedRate::default() };
@@ -612,7 +613,7 @@
             Some(spare) if !first_choice => spare,
             _ => usual * ratio,
         };
-        let checked_at = &mut self.pools[i].asked_at[usize::from(first_choice)];
+        let checked_at = &mut self.pools[i].budget_at[usize::from(first_choice)];
         let elapsed = (now - *checked_at).min(LIFETIME_CALLS / spacing.max(1e-9));
         *checked_at = now;
         self.random() < elapsed * rate
@@ -771,10 +772,10 @@
 
     /// Counts a call for its tenant.
     fn record_tenant(&mut self, now: f64, tenant: usize) {
-        let fade = (-(now - self.tenant_calls_at) / self.settings.warm_up_time.max(1.0)).exp();
+        let decay = (-(now - self.tenant_calls_at) / self.settings.warm_up_time.max(1.0)).exp();
         self.tenant_calls_at = now;
         for calls in &mut self.tenant_calls {
-            *calls *= fade;
+            *calls *= decay;
         }
         if let Some(calls) = self.tenant_calls.get_mut(tenant) {
             *calls += 1.0;
@@ -828,6 +829,7 @@
             self.calls.insert(id, call);
             return;
         };
+        // Held calls are offered again at each tick, and the caller must be answered before it gives up.
         let latest = call.deadline - 2.0 * self.tick;
         let hopeless = from > latest
             || call.attempts >= self.settings.try_limit
@@ -1002,6 +1004,6 @@
         let spacing = Spacing { interval: 0.0, next_at: now };
         let pool = Pool { id, ready_at: never, since: now, min_delay: f64::MAX, spacing, ..Pool::default() };
         let (measured_at, report_at, skip_until, lossy_until) = (now, now, now, now);
-        Pool { measured_at, report_at, skip_until, lossy_until, reply_at: never, asked_at: [now; 2], ..pool }
+        Pool { measured_at, report_at, skip_until, lossy_until, reply_at: never, budget_at: [now; 2], ..pool }
     }
 }
