--- a/crates/gatekeeper/src/node/relays/tests.rs
+++ b/crates/gatekeeper/src/node/relays/tests.rs
@@ -338,7 +338,7 @@
         LinkError::Protocol { oldest: 2, newest: 3 },
         LinkError::NotForUs,
         LinkError::OutOfPlace,
-        LinkError::StaleLife,
+        LinkError::StaleIncarnation,
         LinkError::Full,
         LinkError::Malformed("x"),
         LinkError::SecondLink,
--- a/crates/hollow/src/test_bed.rs
+++ b/crates/hollow/src/test_bed.rs
@@ -325,9 +325,9 @@
     fn describe_state(&mut self) -> String {
         let of_relay = |n: usize| {
             let report = self.members_report(n);
-            let heard = &report["heard"];
+            let reachable = &report["heard"];
             format!(
-                "{}: attached {} of {}, reaches {heard}",
+                "{}: attached {} of {}, reaches {reachable}",
                 self.name(n),
                 report["attached"],
                 report["limit"]
@@ -476,7 +476,10 @@
         for process in self.hollow.iter().flatten() {
             let plan = &process.plan;
             (plan.first..plan.first + plan.leaves).for_each(|n| record(format!("h{n}"), 0, 0.0));
-            process.settings_taken.iter().for_each(|took| record(took.leaf.clone(), took.version, took.at));
+            process
+                .settings_taken
+                .iter()
+                .for_each(|taken| record(taken.leaf.clone(), taken.version, taken.at));
         }
         for n in (0..self.setup.gatekeepers).filter(|n| self.programs[*n].is_some()) {
             record(format!("n{n}"), 0, 0.0);
--- a/crates/relay/src/leaf.rs
+++ b/crates/relay/src/leaf.rs
@@ -191,7 +191,7 @@
     settings_untaken: bool,
     in_force: u64,
     turned_down: Option<(u64, String)>,
-    /// Set while the relay has yet to be told whether the settings of this version are in force.
+    /// Set while the result for the settings of this version has not been sent to the relay yet.
     pending_result: Option<u64>,
     budget: ByteBudget,
     to_close: Vec<LinkId>,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -75,7 +75,7 @@
     OutOfPlace,
     /// The sender is an earlier incarnation of a gatekeeper whose later one is known.
     #[error("an earlier incarnation of a gatekeeper whose later incarnation is attached: stop the old process, or rename one of them")]
-    StaleLife,
+    StaleIncarnation,
     /// The relay accepts no further link.
     #[error("the relay has reached its limit of links: raise `leaves`, or add a relay")]
     Full,
@@ -97,7 +97,7 @@
             LinkError::Protocol { .. } => "relay-protocol",
             LinkError::NotForUs => "relay-not-for-us",
             LinkError::OutOfPlace => "relay-out-of-place",
-            LinkError::StaleLife => "relay-stale-life",
+            LinkError::StaleIncarnation => "relay-stale-life",
             LinkError::Full => "relay-full",
             LinkError::Malformed(_) => "relay-malformed",
             LinkError::Mesh(rejection) => rejection.name(),
@@ -190,7 +190,7 @@
     pub max_leaves: usize,
     /// A relay accepts at most this many times its even share of the leaves.
     pub max_load_ratio: f64,
-    /// How long a refused leaf is told to wait before it asks the same relay again.
+    /// How long a refused leaf has to wait before it asks the same relay again.
     pub refused_retry_s: f64,
     /// A change of the settings that no majority has stored after this time is reported as undecided.
     pub undecided_after_s: f64,
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -278,7 +278,7 @@
             Message::Resync(feed, held) => bytes(&(feed, held)),
             Message::Digest(digest) => bytes(digest),
             Message::Settings { proposed, part } => bytes(&(proposed, part)),
-            Message::Lacks(mark) => bytes(mark),
+            Message::Lacks(revision) => bytes(revision),
             Message::Verdict { version, refusal } => bytes(&(version, refusal)),
             Message::Mesh(word) => bytes(word),
             Message::Holds { in_force, proposed } => bytes(&(in_force, proposed)),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -187,7 +187,7 @@
 /// A leaf that is attached here, or was a moment ago.
 #[derive(Debug)]
 struct AttachedLeaf {
-    life: Incarnation,
+    incarnation: Incarnation,
     topic: Topic,
     moves: u32,
     link: Option<LinkId>,
@@ -222,10 +222,14 @@
     held_revisions: Option<(Revision, Revision)>,
     /// The settings held here as last reported to it, and when.
     sent_revisions: Option<((Revision, Revision), f64)>,
+    /// Settings that are being sent to it, and whether they are only proposed.
     outgoing: Option<(bool, OutgoingSet)>,
+    /// The proposal that was last sent to it, and when.
     pushed: Option<(Revision, f64)>,
+    /// Parts received so far: of the settings in force, and of a proposal.
     incoming: [Option<IncomingSet>; 2],
     requested_at: f64,
+    /// Rejected changes to report to it: leaf, version, reason.
     turned_down: VecDeque<(MemberId, u64, String)>,
 }
 
@@ -310,6 +314,7 @@
     /// The version and hash up to which the changes of each stream are in the feeds.
     merged_revisions: BTreeMap<Origin, (u64, u64)>,
     in_force: Arc<SettingsSet>,
+    /// The proposed settings, since when, and whether they were reported as undecided.
     proposed: Option<(Arc<SettingsSet>, f64, bool)>,
     /// The entries that were proposed here last: what the writer wants the settings of the fleet to be.
     wanted: Option<Vec<(String, String)>>,
@@ -522,12 +527,12 @@
         }
         match (link.peer.clone(), message) {
             (LinkPeer::Unidentified, Message::Hello(hello)) => self.handle_hello(now, id, hello),
-            (LinkPeer::Unidentified | LinkPeer::Relay(_, false), Message::Mesh(word)) => {
-                self.handle_mesh_hello(now, id, word)
+            (LinkPeer::Unidentified | LinkPeer::Relay(_, false), Message::Mesh(message)) => {
+                self.handle_mesh_hello(now, id, message)
             }
             (LinkPeer::Unidentified | LinkPeer::Relay(_, false), _) => Err(LinkError::OutOfPlace),
-            (LinkPeer::Leaf(leaf, life, topic), message) => {
-                self.handle_leaf_message(now, id, (leaf, life, topic), message)
+            (LinkPeer::Leaf(leaf, incarnation, topic), message) => {
+                self.handle_leaf_message(now, id, (leaf, incarnation, topic), message)
             }
             (LinkPeer::Relay(relay, true), message) => self.handle_relay_message(now, relay, message),
         }
--- a/crates/relay/src/relay/feeds.rs
+++ b/crates/relay/src/relay/feeds.rs
@@ -10,7 +10,7 @@
         }
         let view = self.member.view();
         !matches!(view.state(origin.member), State::Gone(_))
-            && view.incarnation_of(origin.member).is_none_or(|life| life <= origin.life)
+            && view.incarnation_of(origin.member).is_none_or(|incarnation| incarnation <= origin.life)
     }
 
     /// The values of a key in all streams that count.
--- a/crates/relay/src/relay/fleet_settings.rs
+++ b/crates/relay/src/relay/fleet_settings.rs
@@ -39,8 +39,8 @@
     /// Proposes that the settings of the fleet are exactly these entries, and returns the revision that they will
     /// have. They are in force, and [`Event::InForce`] reports it, once a majority of relays has stored them. For
     /// settings that are in force already their revision is returned.
-    /// | Fails if this relay is not the writer, is still catching up or reaches no majority, or if the set is
-    /// invalid.
+    ///
+    /// Fails if this relay is not the writer, is still catching up or reaches no majority, or if the set is invalid.
     pub fn propose(&mut self, now: f64, wanted: &[(String, String)]) -> Result<Revision, SettingsError> {
         if self.identity.writer != self.identity.id {
             return Err(SettingsError::NotWriter);
@@ -52,10 +52,10 @@
         if !self.member.ready() {
             return Err(SettingsError::CatchingUp);
         }
-        let mark = self.propose_on(now, wanted)?;
+        let revision = self.propose_on(now, wanted)?;
         self.wanted = Some(wanted.to_vec());
         self.decide_proposal(now);
-        Ok(mark)
+        Ok(revision)
     }
 
     /// Proposes these entries under a version above all that any relay is known to hold.
@@ -66,12 +66,12 @@
             self.peers.values().filter_map(|p| p.held_revisions).map(|(a, b)| a.version.max(b.version));
         let latest = held.max().unwrap_or(0).max(self.in_force.revision().version);
         let set = base.with_entries(latest, wanted)?;
-        let mark = set.revision();
-        if mark != base.revision() {
+        let revision = set.revision();
+        if revision != base.revision() {
             self.proposed = Some((Arc::new(set), now, false));
-            self.record_event(Event::Proposed(mark));
+            self.record_event(Event::Proposed(revision));
         }
-        Ok(mark)
+        Ok(revision)
     }
 
     /// Proposes the writer's entries again if other settings came in force, or if a relay holds other settings under
@@ -79,10 +79,10 @@
     pub(super) fn renew_proposal(&mut self, now: f64) {
         let Some(wanted) = self.wanted.take() else { return };
         if let Some((set, ..)) = &self.proposed {
-            let mark = set.revision();
-            let other = |m: Revision| m.version >= mark.version && m != mark;
+            let revision = set.revision();
+            let other = |m: Revision| m.version >= revision.version && m != revision;
             let held = self.peers.values().filter_map(|p| p.held_revisions);
-            if held.into_iter().any(|(force, prop)| other(force) || other(prop)) {
+            if held.into_iter().any(|(in_force, proposed)| other(in_force) || other(proposed)) {
                 self.proposed = None;
             }
         }
@@ -100,26 +100,28 @@
         }
         self.renew_proposal(now);
         let Some((set, since, reported)) = self.proposed.clone() else { return };
-        let mark = set.revision();
-        let stored =
-            |p: &PeerRelay| p.held_revisions.is_some_and(|(force, prop)| prop == mark || force == mark);
+        let revision = set.revision();
+        let stored = |p: &PeerRelay| {
+            p.held_revisions.is_some_and(|(in_force, proposed)| proposed == revision || in_force == revision)
+        };
         let count = 1 + self.peers.values().filter(|p| stored(p)).count();
         if 2 * count > self.peers.len() + 1 {
             return self.put_in_force(now, set);
         }
         if now - since >= self.timing.undecided_after_s && !reported {
             self.proposed = Some((Arc::clone(&set), since, true));
-            self.record_event(Event::Undecided(mark));
+            self.record_event(Event::Undecided(revision));
         }
         let mut woken = Vec::new();
         for peer in self.peers.values_mut() {
-            let Some((force, prop)) = peer.held_revisions else { continue };
-            let sent_recently = peer.pushed.is_some_and(|(of, at)| of == mark && now - at < PROPOSAL_RETRY_S);
-            if prop == mark || force.version >= mark.version || sent_recently {
+            let Some((in_force, proposed)) = peer.held_revisions else { continue };
+            let sent_recently =
+                peer.pushed.is_some_and(|(of, at)| of == revision && now - at < PROPOSAL_RETRY_S);
+            if proposed == revision || in_force.version >= revision.version || sent_recently {
                 continue;
             }
-            peer.pushed = Some((mark, now));
-            peer.outgoing = Some((true, OutgoingSet::new(Arc::clone(&set), force)));
+            peer.pushed = Some((revision, now));
+            peer.outgoing = Some((true, OutgoingSet::new(Arc::clone(&set), in_force)));
             woken.extend(peer.link);
         }
         woken.into_iter().for_each(|link| self.wake_link_at(link, now));
@@ -143,20 +145,20 @@
     }
 
     /// Handles another relay's report of which settings it holds.
-    pub(super) fn handle_holds(&mut self, now: f64, from: MemberId, force: Revision, prop: Revision) {
+    pub(super) fn handle_holds(&mut self, now: f64, from: MemberId, in_force: Revision, proposed: Revision) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.held_revisions = Some((force, prop));
+        peer.held_revisions = Some((in_force, proposed));
         let mine = self.in_force.revision();
         let stored = self.proposed.clone().map(|(set, ..)| set);
-        if force > mine {
-            match stored.filter(|set| set.revision() == force) {
+        if in_force > mine {
+            match stored.filter(|set| set.revision() == in_force) {
                 Some(set) => self.put_in_force(now, set),
                 None => self.request_settings(now, from, false, mine),
             }
         }
         // A writer that has restarted completes what an earlier incarnation began: a majority may have stored it.
         let newest = self.proposed().unwrap_or_default().version.max(self.in_force.revision().version);
-        if self.identity.writer == self.identity.id && prop.version > newest {
+        if self.identity.writer == self.identity.id && proposed.version > newest {
             self.request_settings(now, from, true, self.in_force.revision());
         }
         self.decide_proposal(now);
@@ -231,7 +233,7 @@
         let mine = self.in_force.revision();
         let attached = self.leaves.values().filter_map(|a| a.link);
         let later = attached.filter_map(|id| Some((self.links.get(&id)?.settings, id)));
-        let Some((_, id)) = later.filter(|(mark, _)| *mark > mine).max() else { return };
+        let Some((_, id)) = later.filter(|(revision, _)| *revision > mine).max() else { return };
         self.recovery = Some((id, now, None));
         self.queue(now, id, Message::Lacks(mine));
     }
--- a/crates/relay/src/relay/leaf_messages.rs
+++ b/crates/relay/src/relay/leaf_messages.rs
@@ -48,14 +48,14 @@
         peer: (MemberId, Incarnation, Topic),
         message: &Message,
     ) -> Result<(), LinkError> {
-        let (leaf, life, topic) = peer;
+        let (leaf, incarnation, topic) = peer;
         let attached = self.leaves.get(&leaf).is_some_and(|a| a.link == Some(id));
         if attached && self.leaves.get(&leaf).is_some_and(|a| a.presence == Presence::Silent) {
             self.set_presence(now, leaf, Presence::Here);
         }
         match message {
             Message::Ping(number) => self.queue(now, id, Message::Pong(*number)),
-            Message::Attach(attach) => self.handle_attach(now, id, leaf, life, topic, attach),
+            Message::Attach(attach) => self.handle_attach(now, id, leaf, incarnation, topic, attach),
             Message::Leave => {
                 if let Some(a) = self.leaves.get_mut(&leaf).filter(|_| attached) {
                     a.link = None;
@@ -74,7 +74,7 @@
                 let late = self.links.get(&id).map_or((f64::NEG_INFINITY, 0.0), |l| l.delayed);
                 let lag = self.paused_s.max(if now <= late.0 { late.1 } else { 0.0 });
                 let Some(a) = self.leaves.get_mut(&leaf) else { return Ok(()) };
-                if piece.origin != (Origin { member: leaf, life }) {
+                if piece.origin != (Origin { member: leaf, life: incarnation }) {
                     return Err(LinkError::Malformed("records of another origin"));
                 }
                 match a.copy.apply(now, lag, piece) {
@@ -100,10 +100,10 @@
                 }
                 self.wake_link_at(id, now);
             }
-            Message::Lacks(mark) => {
+            Message::Lacks(revision) => {
                 self.counts.resyncs += 1;
                 if let Some(link) = self.links.get_mut(&id) {
-                    (link.settings, link.outgoing) = (*mark, None);
+                    (link.settings, link.outgoing) = (*revision, None);
                 }
                 self.wake_link_at(id, now);
             }
--- a/crates/relay/src/relay/leaves.rs
+++ b/crates/relay/src/relay/leaves.rs
@@ -18,12 +18,12 @@
         if self.identity.relays.iter().any(|r| r.relay == leaf) {
             return Err(LinkError::OutOfPlace);
         }
-        let later = |life: &Incarnation| *life > hello.incarnation;
-        let linked = |l: &Link| matches!(&l.peer, LinkPeer::Leaf(m, life, _) if *m == leaf && later(life));
+        let later = |incarnation: &Incarnation| *incarnation > hello.incarnation;
+        let linked = |l: &Link| matches!(&l.peer, LinkPeer::Leaf(m, incarnation, _) if *m == leaf && later(incarnation));
         // Only a live link counts: a leaf whose clock was set back comes with an earlier incarnation than its last
         // one, which has ended.
         if self.links.values().any(linked) {
-            return Err(LinkError::StaleLife);
+            return Err(LinkError::StaleIncarnation);
         }
         let leaves = self.links.values().filter(|l| matches!(l.peer, LinkPeer::Leaf(..))).count();
         // Each leaf has one link here, either as to its own relay or as to its second choice.
@@ -81,12 +81,13 @@
         now: f64,
         id: LinkId,
         leaf: MemberId,
-        life: Incarnation,
+        incarnation: Incarnation,
         topic: Topic,
         attach: &Attach,
     ) {
         let known = self.leaves.get(&leaf);
-        let repeated = known.is_some_and(|a| a.link == Some(id) && a.life == life && a.moves == attach.moves);
+        let repeated = known
+            .is_some_and(|a| a.link == Some(id) && a.incarnation == incarnation && a.moves == attach.moves);
         if !repeated {
             if self.shutting_down {
                 return self.refuse(now, id, leaf, Refusal::Shedding, self.timing.refused_retry_s);
@@ -96,9 +97,9 @@
             }
             let here = known.is_some_and(|a| a.link.is_some());
             let topics = !self.topics.contains_key(&topic) && self.topics.len() >= MAX_TOPICS;
-            let takes = self.accept_limit();
-            self.load_limit.raise_to(takes);
-            if !here && self.attached_count() >= takes || topics {
+            let accept_limit = self.accept_limit();
+            self.load_limit.raise_to(accept_limit);
+            if !here && self.attached_count() >= accept_limit || topics {
                 // If only the share is reached, another relay accepts the leaf, or this one does once it learns of
                 // more leaves.
                 let full = self.attached_count() >= self.timing.max_leaves || topics;
@@ -114,14 +115,14 @@
                 self.forget_leaf(now, leaf);
             }
         }
-        let old = self.leaves.remove(&leaf).filter(|a| a.life == life);
+        let old = self.leaves.remove(&leaf).filter(|a| a.incarnation == incarnation);
         let copy = old.map(|a| a.copy).unwrap_or_default();
         let held = copy.state().map_or(0, |c| c.version);
         let (presence, in_force) = (Presence::Here, attach.in_force);
         self.leaves.insert(
             leaf,
             AttachedLeaf {
-                life,
+                incarnation,
                 topic,
                 moves: attach.moves,
                 link: Some(id),
@@ -184,7 +185,7 @@
     /// Writes the presence of a leaf into the own stream.
     pub(super) fn publish_presence(&mut self, now: f64, leaf: MemberId) {
         let Some(a) = self.leaves.get(&leaf) else { return };
-        let fact = LeafFact { life: a.life, moves: a.moves, presence: a.presence };
+        let fact = LeafFact { life: a.incarnation, moves: a.moves, presence: a.presence };
         self.member.publish(now, Key::Leaf(a.topic, leaf), Some(Value::Leaf(fact)));
         self.wake_relays(now);
     }
--- a/crates/relay/src/relay/mesh.rs
+++ b/crates/relay/src/relay/mesh.rs
@@ -4,8 +4,13 @@
 
 impl Relay {
     /// Handles the first message of another relay on a link.
-    pub(super) fn handle_mesh_hello(&mut self, now: f64, id: LinkId, word: &Word) -> Result<(), LinkError> {
-        let Word::Hello { from, .. } = word else { return Err(LinkError::OutOfPlace) };
+    pub(super) fn handle_mesh_hello(
+        &mut self,
+        now: f64,
+        id: LinkId,
+        message: &Word,
+    ) -> Result<(), LinkError> {
+        let Word::Hello { from, .. } = message else { return Err(LinkError::OutOfPlace) };
         let from = *from;
         let own = self.identity.id;
         // Both relays may have opened a link at the same time: both keep the one opened by the relay with the lower
@@ -23,16 +28,16 @@
                 return Err(LinkError::NotForUs);
             }
         }
-        let greeted = self.member.greeted(now, word);
+        let greeting = self.member.greeted(now, message);
         // The relay that opened the link says hello first. It gets an answer even if it is refused, so that it learns
         // which incarnation of it is known here.
         if !dialed && self.peers.contains_key(&from) {
             let hello = Message::Mesh(self.member.hello(now, from));
             self.queue(now, id, hello);
         }
-        greeted?;
+        greeting?;
         if let Some(old) = self.peers.get(&from).and_then(|p| p.link).filter(|old| *old != id) {
-            // The end of an earlier link was not noticed. The new one is linked already, so the member is not told.
+            // The end of an earlier link was not noticed. The new one is linked already, so the end of the old one is not reported to the member.
             if let Some(link) = self.links.remove(&old) {
                 if let Some(at) = link.wake_at {
                     self.wake_queue.remove(&(at, old));
@@ -54,11 +59,11 @@
 
     /// The next message to another relay.
     pub(super) fn next_message_to_relay(&mut self, now: f64, relay: MemberId) -> Option<Message> {
-        let marks = self.own_revisions();
+        let revisions = self.own_revisions();
         let peer = self.peers.get_mut(&relay)?;
-        if peer.sent_revisions.is_none_or(|(sent, at)| sent != marks || now - at >= HOLDS_INTERVAL_S) {
-            peer.sent_revisions = Some((marks, now));
-            return Some(Message::Holds { in_force: marks.0, proposed: marks.1 });
+        if peer.sent_revisions.is_none_or(|(sent, at)| sent != revisions || now - at >= HOLDS_INTERVAL_S) {
+            peer.sent_revisions = Some((revisions, now));
+            return Some(Message::Holds { in_force: revisions.0, proposed: revisions.1 });
         }
         if let Some((proposed, outgoing)) = &mut peer.outgoing {
             let (proposed, part) = (*proposed, outgoing.next_part());
@@ -95,8 +100,8 @@
         message: &Message,
     ) -> Result<(), LinkError> {
         match message {
-            Message::Mesh(word) => {
-                self.member.hear(now, relay, word)?;
+            Message::Mesh(message) => {
+                self.member.hear(now, relay, message)?;
                 self.apply_membership_changes(now);
             }
             Message::Holds { in_force, proposed } => self.handle_holds(now, relay, *in_force, *proposed),
--- a/crates/relay/src/relay/timers.rs
+++ b/crates/relay/src/relay/timers.rs
@@ -30,14 +30,17 @@
     pub(super) fn has_moved(&self, leaf: MemberId) -> bool {
         let Some(a) = self.leaves.get(&leaf) else { return false };
         a.moved
-            || self.leaf_fact(a.topic, leaf).is_some_and(|fact| (fact.life, fact.moves) > (a.life, a.moves))
+            || self
+                .leaf_fact(a.topic, leaf)
+                .is_some_and(|fact| (fact.life, fact.moves) > (a.incarnation, a.moves))
     }
 
-    /// Detects silent and gone leaves, closes late links and sends surplus leaves away.
+    /// Detects silent and gone leaves, closes links whose peer is silent or does not identify itself in time, and sends
+    /// surplus leaves away.
     pub(super) fn check_leaves(&mut self, now: f64) {
         let t = self.timing;
-        // Without a majority this relay does not know which leaves are attached elsewhere; once it reaches a majority
-        // again it is told soon.
+        // Without a majority this relay does not know which leaves are attached elsewhere; it learns that soon after
+        // it reaches a majority again.
         let quorum = 2 * (1 + self.mutually_connected(now).len()) > self.peers.len() + 1;
         self.quorum_since = quorum.then(|| self.quorum_since.unwrap_or(now));
         let certain =
--- a/crates/relay/tests/frames.rs
+++ b/crates/relay/tests/frames.rs
@@ -10,12 +10,12 @@
 use proptest::prelude::*;
 
 fn samples() -> Vec<Message> {
-    let life = Incarnation { number: 3, nonce: 4 };
+    let incarnation = Incarnation { number: 3, nonce: 4 };
     let (from, to, topic) = (MemberId(1), MemberId(2), Topic(7));
     let mark = Revision { version: 5, hash: 6 };
     vec![
-        Message::Hello(Hello { protocol: (1, 1), from, to, incarnation: life, topic, name: "g-1".into() }),
-        Message::Welcome { relay: to, incarnation: life },
+        Message::Hello(Hello { protocol: (1, 1), from, to, incarnation, topic, name: "g-1".into() }),
+        Message::Welcome { relay: to, incarnation },
         Message::Ping(7),
         Message::Pong(8),
         Message::Attached(9),
