--- a/crates/relay/src/relay/mesh.rs
+++ b/crates/relay/src/relay/mesh.rs
@@ -8,9 +8,9 @@
         &mut self,
         now: f64,
         id: LinkId,
-        message: &Word,
+        message: &MeshMessage,
     ) -> Result<(), LinkError> {
-        let Word::Hello { from, .. } = message else { return Err(LinkError::OutOfPlace) };
+        let MeshMessage::Hello { from, .. } = message else { return Err(LinkError::OutOfPlace) };
         let from = *from;
         let own = self.identity.id;
         // Both relays may have opened a link at the same time: both keep the one opened by the relay with the lower
@@ -28,7 +28,7 @@
                 return Err(LinkError::NotForUs);
             }
         }
-        let greeting = self.member.greeted(now, message);
+        let greeting = self.member.receive_hello(now, message);
         // The relay that opened the link says hello first. It gets an answer even if it is refused, so that it learns
         // which incarnation of it is known here.
         if !dialed && self.peers.contains_key(&from) {
@@ -76,7 +76,7 @@
             let name = self.names.get(&leaf).cloned().unwrap_or_default();
             return Some(Message::TurnedDown { leaf, name, version, reason });
         }
-        self.member.say(now, relay).map(Message::Mesh)
+        self.member.next_message(now, relay).map(Message::Mesh)
     }
 
     /// Reports to the writer, and to the log, that a leaf rejected a change.
@@ -101,7 +101,7 @@
     ) -> Result<(), LinkError> {
         match message {
             Message::Mesh(message) => {
-                self.member.hear(now, relay, message)?;
+                self.member.receive(now, relay, message)?;
                 self.apply_membership_changes(now);
             }
             Message::Holds { in_force, proposed } => self.handle_holds(now, relay, *in_force, *proposed),
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -3,14 +3,14 @@
 
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_relay::stream_copy::{Cursor, StreamCopy, MAX_PIECE_RECORDS};
-use hollypaddle_replica::record::{Key, Origin, Place, ServerFact, ServerKey, Value};
-use hollypaddle_replica::stream::{Stream, TOMBSTONES};
+use hollypaddle_replica::record::{Key, Origin, ServerFact, ServerKey, ServerState, Value};
+use hollypaddle_replica::stream::{Stream, MAX_TOMBSTONES};
 use proptest::prelude::*;
 
 const ORIGIN: Origin = Origin { member: MemberId(1), life: Incarnation { number: 1, nonce: 1 } };
 
 fn write(stream: &mut Stream, server: u64, value: Option<u64>) {
-    let value = value.map(|started_ms| Value::Server(ServerFact { started_ms, place: Place::Ready }));
+    let value = value.map(|started_ms| Value::Server(ServerFact { started_ms, place: ServerState::Ready }));
     stream.write(1.0, Key::Server(ServerKey(server)), value);
 }
 
@@ -81,7 +81,7 @@
     assert!(equal(&copy, &stream));
     // The first hundred are withdrawn, and after that so many others that their tombstones are dropped.
     (0..100).for_each(|n| write(&mut stream, n, None));
-    for n in 0..TOMBSTONES as u64 + 10 {
+    for n in 0..MAX_TOMBSTONES as u64 + 10 {
         write(&mut stream, 1000 + n, Some(1));
         write(&mut stream, 1000 + n, None);
     }
