--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -336,7 +336,7 @@
         let waited_enough = now - self.joined_at >= MAX_CATCH_UP_WAIT_S;
         match &self.role {
             Role::Leaf(leaf) => waited_enough || leaf.has_current_feeds(),
-            Role::Relay(relay) => relay.ready(),
+            Role::Relay(relay) => relay.is_caught_up(),
         }
     }
 
@@ -427,7 +427,7 @@
         let mark = relay.settings().revision();
         json!({
             "role": "relay", "name": self.identity.name, "life": relay.identity().incarnation.to_string(),
-            "ready": relay.ready(), "writer": self.tier.writer, "heard": alive, "all": self.tier.relays.len(),
+            "ready": relay.is_caught_up(), "writer": self.tier.writer, "heard": alive, "all": self.tier.relays.len(),
             "majority": 2 * alive > self.tier.relays.len(),
             "attached": relay.attached_count(), "limit": relay.leaf_limit(), "takes": relay.accept_limit(),
             "settings": {"version": mark.version, "hash": hash(mark),
--- a/crates/hollow/src/leaves.rs
+++ b/crates/hollow/src/leaves.rs
@@ -15,7 +15,7 @@
 use hollypaddle_relay::leaf::{Event, Identity, Leaf};
 use hollypaddle_relay::placement::{NodeLocation, RelayLocation};
 use hollypaddle_relay::{Node, Timing};
-use hollypaddle_replica::record::{Presence, ServerFact, ServerKey, ServerState as ServerPlace, Topic};
+use hollypaddle_replica::record::{Presence, ServerFact, ServerKey, ServerState, Topic};
 use serde::{Deserialize, Serialize};
 
 /// Interval between periodic reports, in seconds.
@@ -246,7 +246,7 @@
             let mut leaf = Leaf::new(now, identity, relays.clone(), Timing::default()).with_name(&name);
             for server in 0..plan.servers {
                 let key = ServerKey::of(&format!("{service}/{server}"));
-                leaf.set_server(now, key, Some(ServerFact { started_ms: 0, place: ServerPlace::Ready }));
+                leaf.set_server(now, key, Some(ServerFact { started_ms: 0, place: ServerState::Ready }));
             }
             let mut links = Links::open(None, max_leaf_links(), &mut poller)?;
             links.reconfigure(now, max_leaf_links(), addresses.clone(), &mut leaf, &poller);
--- a/crates/relay/src/leaf.rs
+++ b/crates/relay/src/leaf.rs
@@ -11,7 +11,7 @@
 
 use hollypaddle_membership::{Incarnation, MemberId};
 use hollypaddle_replica::record::{
-    Key, LeafFact, Origin, Presence, ServerFact, ServerKey, ServerState as ServerPlace, Topic, Value,
+    Key, LeafFact, Origin, Presence, ServerFact, ServerKey, ServerState, Topic, Value,
 };
 use hollypaddle_replica::store::ServerObservation;
 use hollypaddle_replica::stream::Stream;
@@ -23,7 +23,7 @@
 };
 use crate::placement::{preferred_relays, stable_fraction, NodeLocation, RelayLocation};
 use crate::settings::{IncomingSet, OutgoingSet, PartError, Revision, SettingsSet};
-use crate::stream_copy::{Cursor, PieceError, StreamCopy};
+use crate::stream_copy::{ChunkError, Cursor, StreamCopy};
 use crate::{LinkError, LinkId, Node, Timing};
 
 /// If two ticks are further apart than this, this process was paused, and the silence of others means nothing.
@@ -308,7 +308,7 @@
                     (server, ServerObservation { at, fact, silent: None })
                 }
                 (Key::TopicSilent(_, server), Value::Silent(started_ms)) if fresh => {
-                    let fact = ServerFact { started_ms, place: ServerPlace::Ready };
+                    let fact = ServerFact { started_ms, place: ServerState::Ready };
                     (server, ServerObservation { at: f64::NEG_INFINITY, fact, silent: Some((at, from)) })
                 }
                 _ => continue,
@@ -548,7 +548,7 @@
         now: f64,
         id: LinkId,
         feed: Feed,
-        piece: &hollypaddle_replica::catch_up::Chunk,
+        chunk: &hollypaddle_replica::catch_up::Chunk,
     ) -> Result<(), LinkError> {
         let lag = self.links.get(&id).map_or(0.0, |l| (now - l.answered_ping_sent_at).max(0.0));
         let copy = match feed {
@@ -556,10 +556,10 @@
             Feed::Leaves => &mut self.leaves,
             Feed::Own => return Err(LinkError::OutOfPlace),
         };
-        match copy.apply(now, lag, piece) {
+        match copy.apply(now, lag, chunk) {
             Ok(_) => self.raise_incarnation(now),
-            Err(PieceError::Gap) => self.request_resync(now, id, feed),
-            Err(PieceError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
+            Err(ChunkError::Gap) => self.request_resync(now, id, feed),
+            Err(ChunkError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
         }
         Ok(())
     }
@@ -591,7 +591,7 @@
         if digest.settings > self.settings.revision() {
             self.request_settings(now, id);
         }
-        // A whole stream that is still being sent is not held by the relay before its last piece.
+        // A whole stream that is still being sent is not held by the relay before its last chunk.
         if self.own_cursor.is_behind(&self.own) {
             self.lagging_version = None;
             return;
@@ -615,7 +615,7 @@
         part: &crate::settings::Part,
     ) -> Result<(), LinkError> {
         // Older settings never replace newer ones, whoever sends them.
-        if part.upto <= self.settings.revision() {
+        if part.up_to <= self.settings.revision() {
             return Ok(());
         }
         match IncomingSet::accept_part(&self.settings, &mut self.incoming, part) {
@@ -673,7 +673,7 @@
         }
         if self.own_cursor.is_behind(&self.own) {
             let origin = self.origin();
-            return Some(Message::Records(Feed::Own, self.own_cursor.next_piece(now, origin, &self.own)));
+            return Some(Message::Records(Feed::Own, self.own_cursor.next_chunk(now, origin, &self.own)));
         }
         let part = self.outgoing.as_mut()?.next_part();
         if part.last {
@@ -815,7 +815,7 @@
             }
             Message::Leave => self.close_link(now, id, Loss::Left),
             // Messages of a relay that was the own one a moment ago are ignored.
-            Message::Records(feed, piece) if primary => self.apply_records(now, id, *feed, piece)?,
+            Message::Records(feed, chunk) if primary => self.apply_records(now, id, *feed, chunk)?,
             Message::Digest(digest) if primary => self.handle_digest(now, id, digest),
             Message::Settings { proposed: false, part } if primary => {
                 self.accept_settings_part(now, id, part)?
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -274,7 +274,7 @@
             Message::Attach(attach) => bytes(attach),
             Message::Attached(version) => bytes(version),
             Message::Refused(reason, retry_ms) => bytes(&(reason, retry_ms)),
-            Message::Records(feed, piece) => bytes(&(feed, piece)),
+            Message::Records(feed, chunk) => bytes(&(feed, chunk)),
             Message::Resync(feed, held) => bytes(&(feed, held)),
             Message::Digest(digest) => bytes(digest),
             Message::Settings { proposed, part } => bytes(&(proposed, part)),
@@ -331,8 +331,8 @@
             }
             8 => Message::Detach,
             9 => {
-                let (feed, piece) = decode_body(kind, body)?;
-                Message::Records(feed, piece)
+                let (feed, chunk) = decode_body(kind, body)?;
+                Message::Records(feed, chunk)
             }
             10 => {
                 let (feed, held) = decode_body(kind, body)?;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -36,7 +36,7 @@
 };
 use crate::placement::{leaf_limit, stable_fraction, RelayLocation};
 use crate::settings::{IncomingSet, OutgoingSet, PartError, Revision, SetError, SettingsSet};
-use crate::stream_copy::{Cursor, PieceError, StreamCopy};
+use crate::stream_copy::{ChunkError, Cursor, StreamCopy};
 use crate::{LinkError, LinkId, Node, Timing};
 
 /// If two ticks are further apart than this, this process was paused, and the silence of others means nothing.
@@ -401,7 +401,7 @@
     }
 
     /// Whether this relay knows what the other relays knew when it met them, or has waited long enough for it.
-    pub fn ready(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.member.is_caught_up()
     }
 
@@ -539,9 +539,9 @@
     }
 
     fn links_to_serve(&mut self, now: f64) -> Vec<LinkId> {
-        let upto = micros(now);
+        let up_to = micros(now);
         let mut due = Vec::new();
-        while let Some((at, id)) = self.wake_queue.first().copied().filter(|(at, _)| *at <= upto) {
+        while let Some((at, id)) = self.wake_queue.first().copied().filter(|(at, _)| *at <= up_to) {
             self.wake_queue.remove(&(at, id));
             if let Some(link) = self.links.get_mut(&id) {
                 link.wake_at = None;
--- a/crates/relay/src/relay/feeds.rs
+++ b/crates/relay/src/relay/feeds.rs
@@ -63,9 +63,9 @@
             // again.
             all |= after > 0 && after < stream.horizon() || after >= version;
             while after < version {
-                let (records, upto, last) = stream.changes_after(now, after);
+                let (records, up_to, last) = stream.changes_after(now, after);
                 keys.extend(records.iter().map(|r| r.key));
-                after = upto;
+                after = up_to;
                 if last {
                     break;
                 }
--- a/crates/relay/src/relay/fleet_settings.rs
+++ b/crates/relay/src/relay/fleet_settings.rs
@@ -191,10 +191,10 @@
         }
         let known = match proposed {
             true => {
-                part.upto.version
+                part.up_to.version
                     <= self.proposed().unwrap_or_default().version.max(self.in_force.revision().version)
             }
-            false => part.upto <= self.in_force.revision(),
+            false => part.up_to <= self.in_force.revision(),
         };
         if known {
             return Ok(());
--- a/crates/relay/src/relay/leaf_messages.rs
+++ b/crates/relay/src/relay/leaf_messages.rs
@@ -13,7 +13,7 @@
             return None;
         }
         if link.servers.is_behind(&feeds.servers) {
-            return Some(Message::Records(Feed::Servers, link.servers.next_piece(now, feed, &feeds.servers)));
+            return Some(Message::Records(Feed::Servers, link.servers.next_chunk(now, feed, &feeds.servers)));
         }
         if link.outgoing.is_none() && link.settings < in_force.revision() {
             link.outgoing = Some(OutgoingSet::new(in_force, link.settings));
@@ -26,7 +26,7 @@
             return Some(Message::Settings { proposed: false, part });
         }
         if link.leaves.is_behind(&feeds.leaves) {
-            return Some(Message::Records(Feed::Leaves, link.leaves.next_piece(now, feed, &feeds.leaves)));
+            return Some(Message::Records(Feed::Leaves, link.leaves.next_chunk(now, feed, &feeds.leaves)));
         }
         if now < link.next_digest_at {
             return None;
@@ -70,17 +70,17 @@
                     self.set_presence(now, leaf, Presence::Closed);
                 }
             }
-            Message::Records(Feed::Own, piece) => {
+            Message::Records(Feed::Own, chunk) => {
                 let late = self.links.get(&id).map_or((f64::NEG_INFINITY, 0.0), |l| l.delayed);
                 let lag = self.paused_s.max(if now <= late.0 { late.1 } else { 0.0 });
                 let Some(a) = self.leaves.get_mut(&leaf) else { return Ok(()) };
-                if piece.origin != (Origin { member: leaf, life: incarnation }) {
+                if chunk.origin != (Origin { member: leaf, life: incarnation }) {
                     return Err(LinkError::Malformed("records of another origin"));
                 }
-                match a.copy.apply(now, lag, piece) {
+                match a.copy.apply(now, lag, chunk) {
                     Ok(keys) => self.merge_leaf_records(now, topic, &keys),
-                    Err(PieceError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
-                    Err(PieceError::Gap) => {
+                    Err(ChunkError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
+                    Err(ChunkError::Gap) => {
                         let held = a.copy.state();
                         self.counts.resyncs += 1;
                         self.queue(now, id, Message::Resync(Feed::Own, held));
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -49,7 +49,7 @@
     /// The version that the changes build on; 0 means the whole set.
     pub from: u64,
     /// The set that results.
-    pub upto: Revision,
+    pub up_to: Revision,
     /// The number of the part, from 0.
     pub number: u32,
     /// Whether this is the last part.
@@ -192,7 +192,7 @@
         }
         let last = left.peek().is_none();
         let count = entries.len();
-        (Part { from, upto: self.revision, number, last, entries }, count)
+        (Part { from, up_to: self.revision, number, last, entries }, count)
     }
 }
 
@@ -200,7 +200,7 @@
 #[derive(Clone, Debug)]
 pub struct IncomingSet {
     from: u64,
-    upto: Revision,
+    up_to: Revision,
     next: u32,
     entries: Vec<Entry>,
     bytes: usize,
@@ -220,7 +220,7 @@
 impl IncomingSet {
     /// The revision that the complete set will have.
     pub fn target(&self) -> Revision {
-        self.upto
+        self.up_to
     }
 
     /// Accepts a part; returns the whole set with the last one.
@@ -230,10 +230,10 @@
         part: &Part,
     ) -> Result<Option<SettingsSet>, PartError> {
         if part.number == 0 {
-            let (from, upto) = (part.from, part.upto);
-            *incoming = Some(IncomingSet { from, upto, next: 0, entries: Vec::new(), bytes: 0 });
+            let (from, up_to) = (part.from, part.up_to);
+            *incoming = Some(IncomingSet { from, up_to, next: 0, entries: Vec::new(), bytes: 0 });
         }
-        let fits = |i: &IncomingSet| i.next == part.number && i.from == part.from && i.upto == part.upto;
+        let fits = |i: &IncomingSet| i.next == part.number && i.from == part.from && i.up_to == part.up_to;
         let Some(mut pending) = incoming.take().filter(fits) else { return Err(PartError::Gap) };
         if part.from > 0 && part.from != held.revision.version {
             return Err(PartError::Gap);
@@ -252,14 +252,14 @@
         let mut set = if pending.from == 0 { SettingsSet::default() } else { held.clone() };
         // A whole set lists no removed entries, so its history goes back no further than its own version.
         if pending.from == 0 {
-            set.horizon = pending.upto.version;
+            set.horizon = pending.up_to.version;
         }
         for entry in pending.entries {
             set.entries.insert(entry.name, (entry.version, entry.text.map(Into::into)));
         }
-        set.revision.version = pending.upto.version;
+        set.revision.version = pending.up_to.version;
         set.prune_and_hash();
-        match set.revision == pending.upto {
+        match set.revision == pending.up_to {
             true => Ok(Some(set)),
             false => Err(PartError::HashMismatch),
         }
--- a/crates/relay/src/stream_copy.rs
+++ b/crates/relay/src/stream_copy.rs
@@ -1,6 +1,6 @@
 //! Replicates a stream over one link as differences: the position of the sender, and the copy at the receiver.
 //!
-//! Messages on one link arrive in order, so the sender keeps a version and the copy accepts only a piece that begins
+//! Messages on one link arrive in order, so the sender keeps a version and the copy accepts only a chunk that begins
 //! at its own version. A sound link cannot cause a gap; if one is found anyway, the stream is sent again.
 
 use hollypaddle_replica::catch_up::Chunk;
@@ -10,7 +10,7 @@
 use crate::message::CopyState;
 
 /// The most records in a message: about 1 KiB, so that more urgent messages wait for one packet at most.
-pub const MAX_PIECE_RECORDS: usize = 24;
+pub const MAX_CHUNK_RECORDS: usize = 24;
 /// The most records and tombstones of a copy.
 pub const MAX_COPY_RECORDS: usize = 8192;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
     after: u64,
-    /// Set while the whole stream is sent: its version when the first piece was sent.
+    /// Set while the whole stream is sent: its version when the first chunk was sent.
     base: Option<u64>,
 }
 
@@ -46,8 +46,8 @@
         self.base.is_some() || self.after < stream.version()
     }
 
-    /// Returns the next piece to send and moves the cursor past it.
-    pub fn next_piece(&mut self, now: f64, origin: Origin, stream: &Stream) -> Chunk {
+    /// Returns the next chunk to send and moves the cursor past it.
+    pub fn next_chunk(&mut self, now: f64, origin: Origin, stream: &Stream) -> Chunk {
         // Tombstones that were dropped before they were sent: the receiver needs the whole stream.
         if self.after < stream.horizon() && self.base.is_none_or(|base| base < stream.horizon()) {
             *self = Cursor::from_start();
@@ -55,30 +55,30 @@
         if self.base == Some(u64::MAX) {
             self.base = Some(stream.version());
         }
-        let (records, upto, last) = stream.limited_changes_after(now, self.after, MAX_PIECE_RECORDS);
-        let piece = Chunk {
+        let (records, up_to, last) = stream.limited_changes_after(now, self.after, MAX_CHUNK_RECORDS);
+        let chunk = Chunk {
             origin,
             after: self.after,
-            up_to: upto,
+            up_to,
             base: self.base,
             horizon: stream.horizon(),
             last,
             records,
         };
-        self.after = upto;
+        self.after = up_to;
         if last {
             self.base = None;
         }
-        piece
+        chunk
     }
 }
 
-/// Why a piece was not applied.
+/// Why a chunk was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PieceError {
-    /// An earlier piece is missing.
+pub enum ChunkError {
+    /// An earlier chunk is missing.
     Gap,
-    /// The piece contradicts itself, or the copy would become too long.
+    /// The chunk contradicts itself, or the copy would become too long.
     Malformed,
 }
 
@@ -103,39 +103,39 @@
         self.origin.map(|origin| CopyState { origin, version, hash })
     }
 
-    /// Applies a piece that was in transit for at most `lag` seconds. Returns the keys that may have changed.
-    pub fn apply(&mut self, now: f64, lag: f64, piece: &Chunk) -> Result<Vec<Key>, PieceError> {
-        if piece.check().is_err() {
-            return Err(PieceError::Malformed);
+    /// Applies a chunk that was in transit for at most `lag` seconds. Returns the keys that may have changed.
+    pub fn apply(&mut self, now: f64, lag: f64, chunk: &Chunk) -> Result<Vec<Key>, ChunkError> {
+        if chunk.check().is_err() {
+            return Err(ChunkError::Malformed);
         }
-        let whole = piece.base.is_some();
-        if whole && piece.after == 0 {
-            self.incoming = Some((piece.origin, Stream::default()));
+        let whole = chunk.base.is_some();
+        if whole && chunk.after == 0 {
+            self.incoming = Some((chunk.origin, Stream::default()));
         }
         let stream = match &mut self.incoming {
-            Some((origin, stream)) if whole && *origin == piece.origin => stream,
-            _ if !whole && self.origin == Some(piece.origin) => &mut self.stream,
-            _ => return Err(PieceError::Gap),
+            Some((origin, stream)) if whole && *origin == chunk.origin => stream,
+            _ if !whole && self.origin == Some(chunk.origin) => &mut self.stream,
+            _ => return Err(ChunkError::Gap),
         };
-        if stream.version() != piece.after {
+        if stream.version() != chunk.after {
             self.incoming = None;
-            return Err(PieceError::Gap);
+            return Err(ChunkError::Gap);
         }
         let mut keys = Vec::new();
-        for record in &piece.records {
+        for record in &chunk.records {
             let at = now - lag - f64::from(record.age_ms) / 1000.0;
             stream.apply(at, record);
             keys.push(record.key);
         }
-        stream.advance_to(piece.up_to, piece.horizon);
+        stream.advance_to(chunk.up_to, chunk.horizon);
         if stream.len_with_tombstones() > MAX_COPY_RECORDS {
             self.incoming = None;
-            return Err(PieceError::Malformed);
+            return Err(ChunkError::Malformed);
         }
         if !whole {
             return Ok(keys);
         }
-        if !piece.last {
+        if !chunk.last {
             return Ok(Vec::new());
         }
         let Some((origin, stream)) = self.incoming.take() else { return Ok(Vec::new()) };
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,8 +1,8 @@
-//! Tests that a copy becomes equal to the stream that is sent over a link: with lost and duplicated pieces, and with
+//! Tests that a copy becomes equal to the stream that is sent over a link: with lost and duplicated chunks, and with
 //! tombstones that were dropped.
 
 use hollypaddle_membership::{Incarnation, MemberId};
-use hollypaddle_relay::stream_copy::{Cursor, StreamCopy, MAX_PIECE_RECORDS};
+use hollypaddle_relay::stream_copy::{Cursor, StreamCopy, MAX_CHUNK_RECORDS};
 use hollypaddle_replica::record::{Key, Origin, ServerFact, ServerKey, ServerState, Value};
 use hollypaddle_replica::stream::{Stream, MAX_TOMBSTONES};
 use proptest::prelude::*;
@@ -20,25 +20,25 @@
         && all(copy.stream()) == all(stream)
 }
 
-/// Sends pieces until the copy is up to date, without loss.
+/// Sends chunks until the copy is up to date, without loss.
 fn send_all(cursor: &mut Cursor, stream: &Stream, copy: &mut StreamCopy) {
     for _ in 0..10_000 {
         if !cursor.is_behind(stream) {
             return;
         }
-        let piece = cursor.next_piece(1.0, ORIGIN, stream);
-        assert!(piece.records.len() <= MAX_PIECE_RECORDS);
-        if copy.apply(1.0, 0.0, &piece).is_err() {
+        let chunk = cursor.next_chunk(1.0, ORIGIN, stream);
+        assert!(chunk.records.len() <= MAX_CHUNK_RECORDS);
+        if copy.apply(1.0, 0.0, &chunk).is_err() {
             *cursor = Cursor::resume(ORIGIN, stream, copy.state());
         }
     }
-    panic!("the copy is not up to date after 10,000 pieces");
+    panic!("the copy is not up to date after 10,000 chunks");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Lost pieces are sent again from the state that the copy reports, and in the end both are equal.
+    /// Lost chunks are sent again from the state that the copy reports, and in the end both are equal.
     #[test]
     fn a_copy_equals_the_stream_after_lost_and_duplicated_pieces(
         steps in proptest::collection::vec((0u64..60, proptest::option::of(0u64..4), 0u8..6), 1..300)
@@ -46,18 +46,18 @@
         let (mut stream, mut copy, mut cursor) = (Stream::default(), StreamCopy::default(), Cursor::from_start());
         for (server, value, what) in steps {
             write(&mut stream, server, value);
-            // 0: the piece is lost; 1 and 2: nothing is sent; otherwise the piece is delivered.
+            // 0: the chunk is lost; 1 and 2: nothing is sent; otherwise the chunk is delivered.
             match what {
-                0 => { if cursor.is_behind(&stream) { cursor.next_piece(1.0, ORIGIN, &stream); } }
+                0 => { if cursor.is_behind(&stream) { cursor.next_chunk(1.0, ORIGIN, &stream); } }
                 1 | 2 => {}
                 _ => if cursor.is_behind(&stream) {
-                    let piece = cursor.next_piece(1.0, ORIGIN, &stream);
-                    if copy.apply(1.0, 0.0, &piece).is_err() {
+                    let chunk = cursor.next_chunk(1.0, ORIGIN, &stream);
+                    if copy.apply(1.0, 0.0, &chunk).is_err() {
                         cursor = Cursor::resume(ORIGIN, &stream, copy.state());
                     }
                     // A duplicate is refused or changes nothing.
                     let before = copy.state();
-                    if !piece.records.is_empty() && piece.base.is_none() && copy.apply(1.0, 0.0, &piece).is_ok() {
+                    if !chunk.records.is_empty() && chunk.base.is_none() && copy.apply(1.0, 0.0, &chunk).is_ok() {
                         prop_assert_eq!(before, copy.state());
                     }
                 }
@@ -65,7 +65,7 @@
         }
         send_all(&mut cursor, &stream, &mut copy);
         if !equal(&copy, &stream) {
-            // The last pieces were lost; a digest would reveal it.
+            // The last chunks were lost; a digest would reveal it.
             cursor = Cursor::resume(ORIGIN, &stream, copy.state());
             send_all(&mut cursor, &stream, &mut copy);
         }
@@ -107,7 +107,7 @@
             Some(ORIGIN),
             "the old copy stays until the new one is complete"
         );
-        copy.apply(1.0, 0.0, &cursor.next_piece(1.0, other, &b)).unwrap();
+        copy.apply(1.0, 0.0, &cursor.next_chunk(1.0, other, &b)).unwrap();
     }
     assert_eq!(copy.state().map(|c| c.origin), Some(other));
     assert!(equal(&copy, &b));
