--- a/crates/crossing/src/gate.rs
+++ b/crates/crossing/src/gate.rs
@@ -3,8 +3,8 @@
 use hollypaddle_policy::{CallId, Candidate, Denial, Event, Gate, ListKind, Outcome, PoolId, Readiness};
 
 use crate::account::Account;
-use crate::bending::{BendSettings, Bending};
 use crate::budget::{crosses, never_ran, Asks, Budgets, Debit, Rule, Scope, Setting};
+use crate::overdraft::{BendSettings, Bending};
 use crate::report::scope_name;
 use crate::table::Table;
 use crate::District;
--- a/crates/crossing/src/lib.rs
+++ b/crates/crossing/src/lib.rs
@@ -8,15 +8,15 @@
 //! - [`account`] counts each set-up by class and directed pair of districts, since the start and in
 //!   sliding windows, in memory that does not grow with traffic.
 //! - [`budget`] holds the rules: set-ups a second, a share of the set-ups, calls standing at once.
-//! - [`bending`] tells when an urgent class may overdraw a budget.
+//! - [`overdraft`] tells when an urgent class may overdraw a budget.
 //! - [`gate`] puts these together, and [`report`] is what operators see of them.
 //!
 //! `docs/CROSSING.md` in the repository weighs the ways that were open.
 
 pub mod account;
-pub mod bending;
 pub mod budget;
 pub mod gate;
+pub mod overdraft;
 pub mod report;
 pub mod table;
 pub mod window;
@@ -24,9 +24,9 @@
 use serde::Serialize;
 
 pub use account::{Account, Counts, Span};
-pub use bending::BendSettings;
 pub use budget::{Amount, Rate, Rule, Scope, Share};
 pub use gate::{ClassInfo, Crossing, Settings};
+pub use overdraft::BendSettings;
 pub use report::Report;
 
 /// A district: an index into the list of districts that the settings name.
