--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use hollypaddle_crossing::budget::Asks;
+use hollypaddle_crossing::budget::BudgetDemand;
 use hollypaddle_crossing::Crossing;
 use hollypaddle_lending::{BudgetKey, Demand, Lending, LEASE_TERM_S, WHOLE_MILLIONTHS};
 
@@ -37,17 +37,21 @@
     /// without a fleet it only waits for what is lent to expire. Returns whether it is still needed.
     pub fn update(&mut self, now: f64, fleet: Option<&mut Member>, crossing: Option<&mut Crossing>) -> bool {
         let mut crossing = crossing;
-        let asks = crossing.as_mut().map_or_else(Vec::new, |crossing| crossing.asks(now));
-        let asks: Vec<(BudgetKey, Asks)> = (asks.into_iter())
-            .map(|(scope, asks)| (BudgetKey::of(&scope, asks.whole.0, asks.whole.1), asks))
+        let asks = crossing.as_mut().map_or_else(Vec::new, |crossing| crossing.demands(now));
+        let asks: Vec<(BudgetKey, BudgetDemand)> = (asks.into_iter())
+            .map(|(scope, asks)| {
+                (BudgetKey::of(&scope, asks.fleet_rate_and_burst.0, asks.fleet_rate_and_burst.1), asks)
+            })
             .collect();
         let (due, in_fleet) = (self.lending.is_due(now), fleet.is_some());
         let mut borrowed: BTreeMap<BudgetKey, Vec<(f64, f64)>> = BTreeMap::new();
         if let Some(fleet) = fleet {
             if due {
-                let demand = |(budget, asks): &(BudgetKey, Asks)| {
-                    let Asks { part, wanted, owes, .. } = *asks;
-                    Demand { budget: *budget, part, wanted, overdrawn: owes }
+                let demand = |(budget, asks): &(BudgetKey, BudgetDemand)| {
+                    let BudgetDemand {
+                        configured_share: part, wanted_share: wanted, is_overdrawn: owes, ..
+                    } = *asks;
+                    Demand { budget: *budget, part, wanted, is_overdrawn: owes }
                 };
                 let demands: Vec<Demand> = asks.iter().map(demand).collect();
                 for announcement in self.lending.update(now, &demands, &fleet.budget_requests()) {
@@ -66,12 +70,17 @@
         let needed = in_fleet || self.lending.remembered() != (0, 0);
         let Some(crossing) = crossing else { return needed };
         if !needed {
-            crossing.share_no_more(now);
+            crossing.clear_fleet_shares(now);
             return false;
         }
         for (budget, asks) in asks {
             let leases = borrowed.remove(&budget).unwrap_or_default();
-            crossing.share(now, &asks.scope, self.lending.own_part(now, budget, asks.part), leases);
+            crossing.set_fleet_share(
+                now,
+                &asks.scope,
+                self.lending.own_part(now, budget, asks.configured_share),
+                leases,
+            );
         }
         true
     }
--- a/crates/config/src/crossings.rs
+++ b/crates/config/src/crossings.rs
@@ -1,6 +1,8 @@
 //! The block `crossings`.
 
-use hollypaddle_crossing::{Amount, BendSettings, ClassInfo, District, Rate, Rule, Scope, Settings, Share};
+use hollypaddle_crossing::{
+    Amount, ClassInfo, District, OverdraftSettings, Rate, RatioLimit, Rule, Scope, Settings,
+};
 
 use crate::check::{block, once, one_of, unknown, words, wrong};
 use crate::problem::{Place, Problem};
@@ -33,7 +35,7 @@
     /// The urgent classes.
     pub urgent: Vec<String>,
     /// When bending starts and ends.
-    pub bend: BendSettings,
+    pub bend: OverdraftSettings,
     /// Parts of the fleet's figures that gatekeepers take, by name.
     pub share_of: Vec<(String, f64)>,
     /// Seconds between two log events with the account.
@@ -99,15 +101,15 @@
         let told = platform.own.map(|own| District(own as u16));
         let info = |(name, goal_time): &(String, f64)| ClassInfo {
             name: name.clone(),
-            goal_time: *goal_time,
+            goal_time_s: *goal_time,
             urgent: self.urgent.contains(name),
         };
         Settings {
             districts: platform.districts.clone(),
-            own: self.own.as_ref().and_then(district).or(told).unwrap_or(District::UNKNOWN),
+            own_district: self.own.as_ref().and_then(district).or(told).unwrap_or(District::UNKNOWN),
             classes: platform.classes.iter().map(info).collect(),
-            part: self.part(&platform.name, platform.fronts),
-            bend: self.bend,
+            fleet_share: self.part(&platform.name, platform.fronts),
+            overdraft: self.bend,
             rules: rules.collect(),
         }
     }
@@ -122,7 +124,7 @@
     let mut conf = Crossings {
         own: None,
         urgent: Vec::new(),
-        bend: BendSettings::default(),
+        bend: OverdraftSettings::default(),
         share_of: Vec::new(),
         log_every: None,
         budgets: Vec::new(),
@@ -222,17 +224,17 @@
     found
 }
 
-fn bend(line: &Directive, problems: Problems) -> BendSettings {
-    let mut bend = BendSettings::default();
+fn bend(line: &Directive, problems: Problems) -> OverdraftSettings {
+    let mut bend = OverdraftSettings::default();
     let form = "bend [start SHARE] [end SHARE] [window TIME]";
     for (name, value) in pairs(line, form, &["start", "end", "window"], problems) {
         match name {
-            "start" => bend.start = take(value, percent, problems).unwrap_or(bend.start),
-            "end" => bend.end = take(value, percent, problems).unwrap_or(bend.end),
-            _ => bend.window = take(value, window, problems).unwrap_or(bend.window),
+            "start" => bend.start_ratio = take(value, percent, problems).unwrap_or(bend.start_ratio),
+            "end" => bend.end_ratio = take(value, percent, problems).unwrap_or(bend.end_ratio),
+            _ => bend.window_s = take(value, window, problems).unwrap_or(bend.window_s),
         }
     }
-    if bend.end >= bend.start {
+    if bend.end_ratio >= bend.start_ratio {
         let text = "bending ends at or above its start, expected a lower end, so that it does not flap";
         wrong(&line.name.place, text, problems);
     }
@@ -277,9 +279,9 @@
 fn budget(line: &Directive, names: &Names, problems: Problems) -> Option<RuleConf> {
     const KNOWN: &[&str] = &["floor", "include", "overdraft", "rate", "share", "standing"];
     let scope = scope(line, names, problems);
-    let overdraft = Amount { value: OVERDRAFT, fleet: false };
+    let overdraft = Amount { value: OVERDRAFT, whole_fleet: false };
     let none =
-        Rule { scope: Scope::default(), rate: None, share: None, standing: None, overdraft, floor: FLOOR };
+        Rule { scope: Scope::default(), rate: None, ratio: None, standing: None, overdraft, floor: FLOOR };
     let (mut rule, mut seen) = (none, Vec::new());
     for inner in line.block.as_deref().unwrap_or_default() {
         block(inner, false, problems);
@@ -291,7 +293,7 @@
             Some((last, rest)) if last.text == "fleet" => (true, rest.iter().collect()),
             _ => (false, inner.args.iter().collect()),
         };
-        let amount = |value| Amount { value, fleet };
+        let amount = |value| Amount { value, whole_fleet: fleet };
         match (inner.name.text.as_str(), &args[..]) {
             ("rate", [per_s]) => {
                 rule.rate =
@@ -307,7 +309,8 @@
             }
             ("share", [part, over, time]) if over.text == "over" && !fleet => {
                 let (part, window) = (take(part, percent, problems), take(time, window, problems));
-                rule.share = part.zip(window).map(|(part, window)| Share { part, window });
+                rule.ratio =
+                    part.zip(window).map(|(part, window)| RatioLimit { max_ratio: part, window_s: window });
             }
             ("standing", [most]) => rule.standing = take(most, count, problems).map(amount),
             ("overdraft", [most]) => {
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use hollypaddle_config::{load, Conf, Names, Platform};
-use hollypaddle_crossing::{BendSettings, District, Scope};
+use hollypaddle_crossing::{District, OverdraftSettings, Scope};
 use proptest::prelude::*;
 
 fn names() -> Names {
@@ -62,7 +62,7 @@
     let conf = read(&[("f", GOOD.as_bytes()), ("more/a.conf", more)], &names()).unwrap();
     assert_eq!(conf.control.as_deref(), Some(Path::new("/run/holly paddle.sock")));
     let crossings = conf.crossings.unwrap();
-    assert_eq!(crossings.bend, BendSettings { window: 10.0, start: 0.2, end: 0.05 });
+    assert_eq!(crossings.bend, OverdraftSettings { window_s: 10.0, start_ratio: 0.2, end_ratio: 0.05 });
     assert_eq!((crossings.log_every, crossings.urgent.len()), (Some(60.0), 1));
     let mut platform = Platform {
         name: "n3".into(),
@@ -72,7 +72,7 @@
         fronts: 4,
     };
     let settings = crossings.settings(&platform);
-    assert_eq!((settings.own, settings.part), (District(2), 0.4));
+    assert_eq!((settings.own_district, settings.fleet_share), (District(2), 0.4));
     assert!(settings.classes[1].urgent && !settings.classes[0].urgent);
     let scopes: Vec<Scope> = settings.rules.iter().map(|r| r.scope).collect();
     let pair = Some((District(0), District(2)));
@@ -83,12 +83,12 @@
     );
     let all = settings.rules[0];
     let rate = all.rate.unwrap();
-    assert_eq!((rate.per_s.value, rate.burst.value, rate.per_s.fleet), (4.0, 8.0, true));
-    assert_eq!((all.share.unwrap().part, all.floor, all.overdraft.value), (0.2, 0.5, 12.0));
+    assert_eq!((rate.per_s.value, rate.burst.value, rate.per_s.whole_fleet), (4.0, 8.0, true));
+    assert_eq!((all.ratio.unwrap().max_ratio, all.floor, all.overdraft.value), (0.2, 0.5, 12.0));
     let meter = settings.rules[1];
     assert_eq!((meter.rate.unwrap().per_s.value, meter.rate.unwrap().burst.value), (0.5, 1.0));
     platform.name = "n1".into();
-    assert!((crossings.settings(&platform).part - 0.2).abs() < 1e-9, "an even part of what n3 leaves");
+    assert!((crossings.settings(&platform).fleet_share - 0.2).abs() < 1e-9, "an even part of what n3 leaves");
     let off = read(&[("f", b"")], &names()).unwrap();
     assert_eq!(off, Conf::default(), "what is not named is off");
 }
--- a/crates/crossing/src/account.rs
+++ b/crates/crossing/src/account.rs
@@ -10,7 +10,7 @@
 use hollypaddle_policy::Outcome;
 use serde::Serialize;
 
-use crate::window::Ring;
+use crate::window::SlidingWindow;
 use crate::District;
 
 /// What is counted of set-ups; all but the two times are numbers of set-ups or calls.
@@ -19,7 +19,8 @@
     /// Set-ups sent, first tries and further ones alike.
     pub sent: u64,
     /// Those that stood.
-    pub stood: u64,
+    #[serde(rename = "stood")]
+    pub established: u64,
     /// Of those, the ones that stood later than the class's wanted time after the caller's first try.
     pub late: u64,
     /// Turned back before they ran, or never sent.
@@ -35,17 +36,19 @@
     /// Calls that stood and were cut.
     pub cut: u64,
     /// Set-ups that overdrew a budget.
-    pub bent: u64,
+    #[serde(rename = "bent")]
+    pub overdrew: u64,
     /// Calls turned away for want of a budget; no set-up was sent.
     pub denied: u64,
     /// Sum of the set-up delays of those that stood, in seconds.
-    pub delay: f64,
+    #[serde(rename = "delay")]
+    pub delay_s: f64,
 }
 
 impl AddAssign<&Counts> for Counts {
     fn add_assign(&mut self, other: &Counts) {
         self.sent += other.sent;
-        self.stood += other.stood;
+        self.established += other.established;
         self.late += other.late;
         self.refused += other.refused;
         self.failed += other.failed;
@@ -53,16 +56,16 @@
         self.given_up += other.given_up;
         self.ended += other.ended;
         self.cut += other.cut;
-        self.bent += other.bent;
+        self.overdrew += other.overdrew;
         self.denied += other.denied;
-        self.delay += other.delay;
+        self.delay_s += other.delay_s;
     }
 }
 
 impl Counts {
     /// Whether all that was sent has ended in one of the ways, or is out.
     pub fn balances(&self, out: u64) -> bool {
-        self.sent == self.stood + self.refused + self.failed + self.reset + self.given_up + out
+        self.sent == self.established + self.refused + self.failed + self.reset + self.given_up + out
     }
 }
 
@@ -94,7 +97,7 @@
     }
 
     /// The span of a name.
-    pub fn named(name: &str) -> Option<Span> {
+    pub fn from_name(name: &str) -> Option<Span> {
         Span::ALL.into_iter().find(|s| s.name() == name)
     }
 }
@@ -110,7 +113,7 @@
 #[derive(Clone, Debug)]
 pub struct Cell {
     /// Set-ups out now.
-    pub out: u64,
+    pub in_flight: u64,
     /// Calls standing now.
     pub standing: u64,
     /// Which second is running, and what was counted in it.
@@ -118,14 +121,14 @@
     running: Counts,
     /// What was counted before it.
     folded: Counts,
-    windows: [Ring<Counts>; 3],
+    windows: [SlidingWindow<Counts>; 3],
 }
 
 impl Cell {
     fn new() -> Self {
         let (second, running, folded) = (i64::MIN, Counts::default(), Counts::default());
-        let windows = WINDOWS.map(|(window, slots)| Ring::new(window, slots));
-        Cell { out: 0, standing: 0, second, running, folded, windows }
+        let windows = WINDOWS.map(|(window, slots)| SlidingWindow::new(window, slots));
+        Cell { in_flight: 0, standing: 0, second, running, folded, windows }
     }
 
     /// The counts of the running second. Time that goes back counts there too.
@@ -142,7 +145,7 @@
             let running = std::mem::take(&mut self.running);
             self.folded += &running;
             let middle = self.second as f64 + 0.5;
-            self.windows.iter_mut().for_each(|window| *window.now(middle) += &running);
+            self.windows.iter_mut().for_each(|window| *window.current_slot(middle) += &running);
         }
     }
 
@@ -164,7 +167,7 @@
         self.fold();
         let window = &mut self.windows[window];
         window.advance(now);
-        window.covered().fold(Counts::default(), |mut sum, (_, slot)| {
+        window.covered_slots().fold(Counts::default(), |mut sum, (_, slot)| {
             sum += slot;
             sum
         })
@@ -200,10 +203,10 @@
             let (class, column) = (at / columns, at % columns);
             let to = if column == self.districts { District::UNKNOWN } else { District(column as u16) };
             let class = if class == self.classes { usize::MAX } else { class };
-            let place = resized.place(class, to);
+            let place = resized.cell_index(class, to);
             match &mut resized.cells[place] {
                 Some(other) => {
-                    other.out += cell.out;
+                    other.in_flight += cell.in_flight;
                     other.standing += cell.standing;
                     other.folded += &cell.folded;
                     // Windows of what is no longer known apart would be of no use to anyone.
@@ -215,39 +218,39 @@
     }
 
     /// Where a cell stands; also what other tables of classes and districts go by.
-    pub fn place(&self, class: usize, to: District) -> usize {
+    pub fn cell_index(&self, class: usize, to: District) -> usize {
         class.min(self.classes) * (self.districts + 1) + usize::from(to.0).min(self.districts)
     }
 
     fn cell(&mut self, class: usize, to: District) -> &mut Cell {
-        let place = self.place(class, to);
+        let place = self.cell_index(class, to);
         self.cells[place].get_or_insert_with(|| Box::new(Cell::new()))
     }
 
     /// A set-up was sent.
-    pub fn sent(&mut self, now: f64, class: usize, to: District, bent: bool) {
+    pub fn record_sent(&mut self, now: f64, class: usize, to: District, bent: bool) {
         let cell = self.cell(class, to);
-        cell.out += 1;
+        cell.in_flight += 1;
         let counts = cell.now(now as i64);
         counts.sent += 1;
-        counts.bent += u64::from(bent);
+        counts.overdrew += u64::from(bent);
     }
 
     /// A set-up that was out stood after `delay` seconds.
-    pub fn stood(&mut self, now: f64, class: usize, to: District, delay: f64, late: bool) {
+    pub fn record_established(&mut self, now: f64, class: usize, to: District, delay: f64, late: bool) {
         let cell = self.cell(class, to);
-        cell.out = cell.out.saturating_sub(1);
+        cell.in_flight = cell.in_flight.saturating_sub(1);
         cell.standing += 1;
         let counts = cell.now(now as i64);
-        counts.stood += 1;
+        counts.established += 1;
         counts.late += u64::from(late);
-        counts.delay += delay;
+        counts.delay_s += delay;
     }
 
     /// A set-up that was out ended without standing.
-    pub fn ended(&mut self, now: f64, class: usize, to: District, outcome: Outcome) {
+    pub fn record_failed(&mut self, now: f64, class: usize, to: District, outcome: Outcome) {
         let cell = self.cell(class, to);
-        cell.out = cell.out.saturating_sub(1);
+        cell.in_flight = cell.in_flight.saturating_sub(1);
         let counts = cell.now(now as i64);
         *match outcome {
             Outcome::Full | Outcome::NotSent => &mut counts.refused,
@@ -258,7 +261,7 @@
     }
 
     /// A call that stood is over: by its end, or cut.
-    pub fn over(&mut self, now: f64, class: usize, to: District, cut: bool) {
+    pub fn record_call_end(&mut self, now: f64, class: usize, to: District, cut: bool) {
         let cell = self.cell(class, to);
         cell.standing = cell.standing.saturating_sub(1);
         let counts = cell.now(now as i64);
@@ -266,7 +269,7 @@
     }
 
     /// A call that could only have gone there was turned away for want of a budget.
-    pub fn denied(&mut self, now: f64, class: usize, to: District) {
+    pub fn record_denied(&mut self, now: f64, class: usize, to: District) {
         self.cell(class, to).now(now as i64).denied += 1;
     }
 
@@ -292,7 +295,7 @@
                 if let Some(cell) = cell {
                     let sum = sums.entry(margin((at / columns, at % columns))).or_default();
                     sum.0 += &cell.total();
-                    sum.1 += cell.out;
+                    sum.1 += cell.in_flight;
                 }
             }
             sums.values().all(|(counts, out)| counts.balances(*out))
--- a/crates/crossing/src/budget.rs
+++ b/crates/crossing/src/budget.rs
@@ -8,13 +8,13 @@
 //! bucket), a share of the set-ups of its classes over a sliding window, and calls at a time (out or
 //! standing). A debit is taken when a set-up is sent and handed back when it proves never to have run.
 //!
-//! *Bending.* An urgent class may overdraw the rule that decides, up to `overdraft`. What it overdrew is
+//! *Overdrafts.* An urgent class may overdraw the rule that decides, up to `overdraft`. What it overdrew is
 //! paid back out of what comes in later, and the rule's other traffic always keeps `floor` of the limit.
 
 use hollypaddle_policy::Outcome;
 use serde::Serialize;
 
-use crate::window::Ring;
+use crate::window::SlidingWindow;
 use crate::District;
 
 /// Slots of a share's window.
@@ -31,13 +31,13 @@
     /// The figure.
     pub value: f64,
     /// Whether it is the whole fleet's.
-    pub fleet: bool,
+    pub whole_fleet: bool,
 }
 
 impl Amount {
     /// This front's part, given its part of the fleet.
     fn here(self, part: f64) -> f64 {
-        self.value * if self.fleet { part } else { 1.0 }
+        self.value * if self.whole_fleet { part } else { 1.0 }
     }
 }
 
@@ -78,12 +78,12 @@
 
 /// A share of the set-ups.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct RatioLimit {
     /// Most crossings as a part of all set-ups of the scope's classes, 0 to 1. It holds at each front alone,
     /// so it holds over the fleet.
-    pub part: f64,
+    pub max_ratio: f64,
     /// The sliding window, in seconds.
-    pub window: f64,
+    pub window_s: f64,
 }
 
 /// A budget as an operator sets it.
@@ -94,7 +94,7 @@
     /// Set-ups a second.
     pub rate: Option<Rate>,
     /// A share of the set-ups.
-    pub share: Option<Share>,
+    pub ratio: Option<RatioLimit>,
     /// Calls out or standing at a time.
     pub standing: Option<Amount>,
     /// Most set-ups by which urgent classes may overdraw it.
@@ -119,7 +119,8 @@
     /// Debits taken.
     pub debits: u64,
     /// Of those, handed back.
-    pub handed_back: u64,
+    #[serde(rename = "handed_back")]
+    pub refunded: u64,
     /// Of the debits, those that overdrew it.
     pub overdrawn: u64,
     /// Calls that it turned away.
@@ -130,7 +131,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Debit {
     /// When it was sent.
-    pub at: f64,
+    pub sent_at: f64,
     /// In which generation of the rules that was.
     pub generation: u64,
     /// From where.
@@ -140,7 +141,7 @@
     /// Its class.
     pub class: usize,
     /// The scope of the rule that it overdrew.
-    pub bent: Option<Scope>,
+    pub overdrew: Option<Scope>,
 }
 
 impl Debit {
@@ -160,7 +161,7 @@
 struct Shared {
     own: f64,
     leases: Vec<(f64, f64)>,
-    asked: Ring<u32>,
+    asked: SlidingWindow<u32>,
 }
 
 impl Shared {
@@ -179,18 +180,18 @@
 
 /// What the traffic of a rate that is the fleet's asks.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asks {
+pub struct BudgetDemand {
     /// What the budget covers.
     pub scope: Scope,
     /// The fleet's set-ups a second and burst.
-    pub whole: (f64, f64),
+    pub fleet_rate_and_burst: (f64, f64),
     /// This front's part of it by the configuration.
-    pub part: f64,
+    pub configured_share: f64,
     /// The part that would carry what is sent and held back now, with room for half a deviation of it: with less, one
     /// that lends turns its own away, with more it keeps what others would use.
-    pub wanted: f64,
+    pub wanted_share: f64,
     /// Whether it is overdrawn.
-    pub owes: bool,
+    pub is_overdrawn: bool,
 }
 
 /// One rule's state.
@@ -208,7 +209,7 @@
     tokens: f64,
     debt: f64,
     at: f64,
-    window: Option<Ring<Shares>>,
+    window: Option<SlidingWindow<Shares>>,
     /// Calls out or standing.
     plain: u32,
     bent: u32,
@@ -218,7 +219,7 @@
 impl Budget {
     /// A budget that begins now, with an empty burst: a front that starts anew has forgotten what it sent.
     pub fn new(rule: Rule, part: f64, now: f64, generation: u64) -> Self {
-        let window = rule.share.map(|share| Ring::new(share.window, SLOTS));
+        let window = rule.ratio.map(|share| SlidingWindow::new(share.window_s, SLOTS));
         let (tokens, debt, plain, bent, used) = (0.0, 0.0, 0, 0, Used::default());
         Budget {
             rule,
@@ -255,33 +256,39 @@
     fn income(&self, from: f64, to: f64) -> f64 {
         let Some(rate) = self.rule.rate else { return 0.0 };
         let over = match &self.shared {
-            Some(shared) if rate.per_s.fleet => shared.over(from, to),
-            _ if rate.per_s.fleet => self.part * (to - from),
+            Some(shared) if rate.per_s.whole_fleet => shared.over(from, to),
+            _ if rate.per_s.whole_fleet => self.part * (to - from),
             _ => to - from,
         };
         rate.per_s.value * over
     }
 
     /// What its traffic asks, where its rate is the fleet's. The first time it begins to count.
-    pub fn asks(&mut self, now: f64) -> Option<Asks> {
-        let rate = self.rule.rate.filter(|rate| rate.per_s.fleet && rate.per_s.value > 0.0)?;
+    pub fn demand(&mut self, now: f64) -> Option<BudgetDemand> {
+        let rate = self.rule.rate.filter(|rate| rate.per_s.whole_fleet && rate.per_s.value > 0.0)?;
         self.refill(now);
         let (part, owes) = (self.part, self.debt > 0.0);
         let shared = self.shared.get_or_insert_with(|| Shared {
             own: part,
             leases: Vec::new(),
-            asked: Ring::new(ASKED, ASKED_SLOTS),
+            asked: SlidingWindow::new(ASKED, ASKED_SLOTS),
         });
         shared.asked.advance(now);
-        let asked: f64 = shared.asked.covered().map(|(_, count)| f64::from(*count)).sum();
+        let asked: f64 = shared.asked.covered_slots().map(|(_, count)| f64::from(*count)).sum();
         let room = asked + 0.5 * asked.sqrt() + 0.5;
         let whole = (rate.per_s.value, rate.burst.value);
-        let wanted = room / (ASKED - shared.asked.width() / 2.0) / whole.0;
-        Some(Asks { scope: self.rule.scope, whole, part, wanted, owes })
+        let wanted = room / (ASKED - shared.asked.slot_width_s() / 2.0) / whole.0;
+        Some(BudgetDemand {
+            scope: self.rule.scope,
+            fleet_rate_and_burst: whole,
+            configured_share: part,
+            wanted_share: wanted,
+            is_overdrawn: owes,
+        })
     }
 
     /// Takes what is left of the own part and what others lend, until when and how much.
-    pub fn share(&mut self, now: f64, own: f64, leases: Vec<(f64, f64)>) {
+    pub fn set_fleet_share(&mut self, now: f64, own: f64, leases: Vec<(f64, f64)>) {
         self.refill(now);
         if let Some(shared) = &mut self.shared {
             (shared.own, shared.leases) = (own, leases);
@@ -290,7 +297,7 @@
     }
 
     /// Nothing is shared any more: the own part counts.
-    pub fn share_no_more(&mut self, now: f64) {
+    pub fn clear_fleet_share(&mut self, now: f64) {
         self.refill(now);
         self.shared = None;
         self.cut_to_burst();
@@ -303,9 +310,9 @@
     }
 
     /// A set-up was sent on it, or held back by it.
-    pub fn asked(&mut self, now: f64) {
+    pub fn record_demand(&mut self, now: f64) {
         if let Some(shared) = &mut self.shared {
-            let slot = shared.asked.now(now);
+            let slot = shared.asked.current_slot(now);
             *slot = slot.saturating_add(1);
         }
     }
@@ -321,9 +328,9 @@
     }
 
     /// Takes a changed rule of the same scope. What it holds and owes stays, cut to the new bounds.
-    pub fn change(&mut self, rule: Rule, part: f64, now: f64, generation: u64) {
+    pub fn update_rule(&mut self, rule: Rule, part: f64, now: f64, generation: u64) {
         self.refill(now);
-        let (had_rate, old) = (self.rule.rate.is_some(), self.rule.share);
+        let (had_rate, old) = (self.rule.rate.is_some(), self.rule.ratio);
         if let Some(shared) = &mut self.shared {
             // What was lent was a part of another whole.
             if rule.rate != self.rule.rate {
@@ -340,15 +347,15 @@
             None => (self.tokens, self.debt) = (0.0, 0.0),
         }
         self.debt = self.debt.min(self.overdraft());
-        if old.map(|s| s.window) != rule.share.map(|s| s.window) {
+        if old.map(|s| s.window_s) != rule.ratio.map(|s| s.window_s) {
             let before = self.window.take();
-            self.window = rule.share.map(|share| Ring::new(share.window, SLOTS));
+            self.window = rule.ratio.map(|share| SlidingWindow::new(share.window_s, SLOTS));
             match (before, &mut self.window) {
                 (Some(mut before), Some(window)) => {
                     before.advance(now);
                     window.advance(now);
-                    for (start, slot) in before.covered() {
-                        if let Some(to) = window.then(start + before.width() / 2.0) {
+                    for (start, slot) in before.covered_slots() {
+                        if let Some(to) = window.slot_at(start + before.slot_width_s() / 2.0) {
                             to.all += slot.all;
                             to.plain += slot.plain;
                             to.bent += slot.bent;
@@ -365,7 +372,7 @@
     /// Counts anew what is out or standing, after the rules have changed.
     pub fn recount(&mut self, open: impl Iterator<Item = Debit>) {
         let own = open.filter(|d| self.concerns(d));
-        let (bent, plain): (Vec<Debit>, Vec<Debit>) = own.partition(|d| d.bent == Some(self.rule.scope));
+        let (bent, plain): (Vec<Debit>, Vec<Debit>) = own.partition(|d| d.overdrew == Some(self.rule.scope));
         (self.plain, self.bent) = (plain.len() as u32, bent.len() as u32);
     }
 
@@ -395,7 +402,7 @@
     fn shares(&mut self, now: f64) -> Shares {
         let Some(window) = &mut self.window else { return Shares::default() };
         window.advance(now);
-        window.covered().fold(Shares::default(), |sum, (_, s)| Shares {
+        window.covered_slots().fold(Shares::default(), |sum, (_, s)| Shares {
             all: sum.all + s.all,
             plain: sum.plain + s.plain,
             bent: sum.bent + s.bent,
@@ -408,18 +415,18 @@
     }
 
     /// Whether one more set-up fits every limit; else in how many seconds it might.
-    pub fn fits(&mut self, now: f64) -> Result<(), f64> {
+    pub fn check(&mut self, now: f64) -> Result<(), f64> {
         self.refill(now);
         let mut wait: Option<f64> = None;
         if let Some((rate, _)) = self.rate().filter(|_| self.tokens < 1.0 - EPSILON) {
             let income = if self.debt > 0.0 { rate * self.rule.floor.max(EPSILON) } else { rate };
             wait = Some((1.0 - self.tokens) / income);
         }
-        if let Some(share) = self.rule.share {
+        if let Some(share) = self.rule.ratio {
             let seen = self.shares(now);
-            let limit = share.part * f64::from(seen.all.saturating_add(1));
+            let limit = share.max_ratio * f64::from(seen.all.saturating_add(1));
             if self.in_use(seen.plain, seen.bent, limit) + 1.0 > limit + EPSILON {
-                wait = Some(wait.unwrap_or(0.0).max(share.window / SLOTS as f64));
+                wait = Some(wait.unwrap_or(0.0).max(share.window_s / SLOTS as f64));
             }
         }
         if let Some(limit) = self.standing() {
@@ -444,12 +451,12 @@
     }
 
     /// A set-up was sent.
-    pub fn sent(&mut self, debit: &Debit) {
-        self.refill(debit.at);
-        let (concerned, bent) = (self.concerns(debit), debit.bent == Some(self.rule.scope));
+    pub fn record_sent(&mut self, debit: &Debit) {
+        self.refill(debit.sent_at);
+        let (concerned, bent) = (self.concerns(debit), debit.overdrew == Some(self.rule.scope));
         if self.counts(debit) {
             if let Some(window) = &mut self.window {
-                let slot = window.now(debit.at);
+                let slot = window.current_slot(debit.sent_at);
                 slot.all = slot.all.saturating_add(1);
                 slot.plain = slot.plain.saturating_add(u32::from(concerned && !bent));
                 slot.bent = slot.bent.saturating_add(u32::from(concerned && bent));
@@ -458,7 +465,7 @@
         if !concerned {
             return;
         }
-        self.asked(debit.at);
+        self.record_demand(debit.sent_at);
         self.used.debits += 1;
         self.used.overdrawn += u64::from(bent);
         match bent {
@@ -476,9 +483,9 @@
     }
 
     /// A set-up, or the call that stood by it, is over. One that never ran gets its debit back.
-    pub fn over(&mut self, now: f64, debit: &Debit, never_ran: bool) {
+    pub fn record_end(&mut self, now: f64, debit: &Debit, never_ran: bool) {
         self.refill(now);
-        let bent = debit.bent == Some(self.rule.scope);
+        let bent = debit.overdrew == Some(self.rule.scope);
         if self.concerns(debit) {
             let places = if bent { &mut self.bent } else { &mut self.plain };
             *places = places.saturating_sub(1);
@@ -488,14 +495,14 @@
         }
         if self.counts(debit) {
             let crossed = u32::from(self.concerns(debit));
-            if let Some(slot) = self.window.as_mut().and_then(|window| window.then(debit.at)) {
+            if let Some(slot) = self.window.as_mut().and_then(|window| window.slot_at(debit.sent_at)) {
                 slot.all = slot.all.saturating_sub(1);
                 let part = if bent { &mut slot.bent } else { &mut slot.plain };
                 *part = part.saturating_sub(crossed);
             }
         }
         if self.concerns(debit) {
-            self.used.handed_back += 1;
+            self.used.refunded += 1;
             match (bent, self.rate()) {
                 (true, Some(_)) => self.debt = (self.debt - 1.0).max(0.0),
                 (false, Some((_, burst))) => self.tokens = (self.tokens + 1.0).min(burst),
@@ -505,13 +512,13 @@
     }
 
     /// It turned a call away.
-    pub fn denied(&mut self) {
+    pub fn record_denied(&mut self) {
         self.used.denied += 1;
     }
 
     /// What is left, for reports: set-ups that may go at once by the rate, crossings in use and allowed by
     /// the share, calls in place and allowed.
-    pub fn left(&mut self, now: f64) -> Left {
+    pub fn remaining(&mut self, now: f64) -> Remaining {
         self.refill(now);
         let seen = self.shares(now);
         let (rate, standing) = (self.rate(), self.standing());
@@ -519,19 +526,19 @@
             let whole = rate.per_s.value;
             (whole * (self.part - shared.own), whole * (shared.part(now) - shared.own))
         });
-        Left {
+        Remaining {
             tokens: rate.map(|_| self.tokens),
             per_s: rate.map(|r| r.0),
             lent_per_s: shared.map(|s| s.0),
             borrowed_per_s: shared.map(|s| s.1),
             burst: rate.map(|r| r.1),
-            share_now: self
+            crossing_ratio: self
                 .rule
-                .share
+                .ratio
                 .map(|_| f64::from(seen.plain + seen.bent) / f64::from(seen.all.max(1))),
-            share_most: self.rule.share.map(|s| s.part),
+            max_crossing_ratio: self.rule.ratio.map(|s| s.max_ratio),
             standing: standing.map(|_| self.plain + self.bent),
-            standing_most: standing,
+            max_standing: standing,
             overdrawn: self.overdrawn(now),
             overdraft: self.overdraft(),
         }
@@ -540,7 +547,7 @@
 
 /// What is left of a budget; a limit that is not set is not there.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Left {
+pub struct Remaining {
     /// Set-ups that may go at once; below 0 where narrower rules took more.
     pub tokens: Option<f64>,
     /// Set-ups a second of this front.
@@ -552,13 +559,16 @@
     /// Most that may go at once.
     pub burst: Option<f64>,
     /// Part of the set-ups that crossed in the window.
-    pub share_now: Option<f64>,
+    #[serde(rename = "share_now")]
+    pub crossing_ratio: Option<f64>,
     /// Most of them that may.
-    pub share_most: Option<f64>,
+    #[serde(rename = "share_most")]
+    pub max_crossing_ratio: Option<f64>,
     /// Calls out or standing.
     pub standing: Option<u32>,
     /// Most of them.
-    pub standing_most: Option<f64>,
+    #[serde(rename = "standing_most")]
+    pub max_standing: Option<f64>,
     /// Set-ups overdrawn and not paid back.
     pub overdrawn: f64,
     /// Most that may be.
@@ -596,13 +606,13 @@
 
 /// What is to be set.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting<'a> {
+pub struct BudgetSettings<'a> {
     /// The rules, no two of one scope.
     pub rules: &'a [Rule],
     /// This front's part of the fleet's figures.
-    pub part: f64,
+    pub fleet_share: f64,
     /// The own district.
-    pub own: District,
+    pub own_district: District,
     /// How many classes there are, and districts.
     pub classes: usize,
     /// How many districts.
@@ -612,8 +622,8 @@
 impl Budgets {
     /// Takes a set of rules: budgets of the same scope go on, others begin or are dropped. `open` are the
     /// set-ups out and the calls standing.
-    pub fn set(&mut self, setting: Setting, now: f64, open: &[Debit]) {
-        let Setting { rules, part, own, classes, districts } = setting;
+    pub fn set_rules(&mut self, setting: BudgetSettings, now: f64, open: &[Debit]) {
+        let BudgetSettings { rules, fleet_share: part, own_district: own, classes, districts } = setting;
         self.generation += 1;
         self.own = own;
         let mut before = std::mem::take(&mut self.all);
@@ -621,7 +631,7 @@
             let kept = before.iter().position(|b| b.rule.scope == rule.scope).map(|i| before.swap_remove(i));
             let budget = match kept {
                 Some(mut budget) => {
-                    budget.change(*rule, part, now, self.generation);
+                    budget.update_rule(*rule, part, now, self.generation);
                     budget
                 }
                 None => Budget::new(*rule, part, now, self.generation),
@@ -632,9 +642,9 @@
         self.all.iter_mut().for_each(|b| b.recount(open.iter().copied()));
         let place = |class: usize, column: usize| {
             let to = if column == districts { District::UNKNOWN } else { District(column as u16) };
-            let debit = Debit { at: now, generation: 0, from: own, to, class, bent: None };
+            let debit = Debit { sent_at: now, generation: 0, from: own, to, class, overdrew: None };
             let budgets = || self.all.iter().enumerate().map(|(at, b)| (at as u16, b));
-            let touches = |b: &Budget| b.concerns(&debit) || (b.rule.share.is_some() && b.counts(&debit));
+            let touches = |b: &Budget| b.concerns(&debit) || (b.rule.ratio.is_some() && b.counts(&debit));
             Touched {
                 all: budgets().filter(|(_, b)| touches(b)).map(|b| b.0).collect(),
                 deciding: budgets().find(|(_, b)| b.concerns(&debit)).map(|b| b.0),
@@ -671,13 +681,13 @@
     }
 
     /// A set-up was sent.
-    pub fn sent(&mut self, place: usize, debit: &Debit) {
-        self.touch(place, debit.from, |b| b.sent(debit));
+    pub fn record_sent(&mut self, place: usize, debit: &Debit) {
+        self.touch(place, debit.from, |b| b.record_sent(debit));
     }
 
     /// A set-up, or the call that stood by it, is over.
-    pub fn over(&mut self, now: f64, place: usize, debit: &Debit, never_ran: bool) {
-        self.touch(place, debit.from, |b| b.over(now, debit, never_ran));
+    pub fn record_end(&mut self, now: f64, place: usize, debit: &Debit, never_ran: bool) {
+        self.touch(place, debit.from, |b| b.record_end(now, debit, never_ran));
     }
 
     /// All of them, the narrowest first.
--- a/crates/crossing/src/lib.rs
+++ b/crates/crossing/src/lib.rs
@@ -24,9 +24,9 @@
 use serde::Serialize;
 
 pub use account::{Account, Counts, Span};
-pub use budget::{Amount, Rate, Rule, Scope, Share};
+pub use budget::{Amount, Rate, RatioLimit, Rule, Scope};
 pub use gate::{ClassInfo, Crossing, Settings};
-pub use overdraft::BendSettings;
+pub use overdraft::OverdraftSettings;
 pub use report::Report;
 
 /// A district: an index into the list of districts that the settings name.
--- a/crates/crossing/src/report.rs
+++ b/crates/crossing/src/report.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::account::{Counts, Span};
-use crate::budget::{crosses, Left, Scope, Used};
+use crate::budget::{crosses, Remaining, Scope, Used};
 use crate::gate::{Crossing, Settings};
 use crate::District;
 
@@ -24,15 +24,19 @@
     #[serde(flatten)]
     pub counts: Counts,
     /// Set-ups out now.
-    pub out: u64,
+    #[serde(rename = "out")]
+    pub in_flight: u64,
     /// Calls standing now.
     pub standing: u64,
     /// Mean set-up delay of those that stood, in seconds.
-    pub mean_delay: Option<f64>,
+    #[serde(rename = "mean_delay")]
+    pub mean_delay_s: Option<f64>,
     /// What that is above the mean of the same class in the own district, in seconds.
-    pub crossing_delay: Option<f64>,
+    #[serde(rename = "crossing_delay")]
+    pub extra_delay_s: Option<f64>,
     /// The same, times the set-ups that stood: all that the class paid, in seconds.
-    pub crossing_delay_paid: Option<f64>,
+    #[serde(rename = "crossing_delay_paid")]
+    pub total_extra_delay_s: Option<f64>,
 }
 
 /// One budget.
@@ -42,7 +46,7 @@
     pub scope: String,
     /// What is left.
     #[serde(flatten)]
-    pub left: Left,
+    pub remaining: Remaining,
     /// What it was used for.
     #[serde(flatten)]
     pub used: Used,
@@ -50,17 +54,21 @@
 
 /// One urgent class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct BendRow {
+pub struct OverdraftRow {
     /// The class.
     pub class: String,
     /// Whether it may overdraw now.
-    pub bending: bool,
-    /// Share of its set-ups in the window that found the own district closed.
-    pub pressure: f64,
+    #[serde(rename = "bending")]
+    pub active: bool,
+    /// RatioLimit of its set-ups in the window that found the own district closed.
+    #[serde(rename = "pressure")]
+    pub blocked_ratio: f64,
     /// Seconds since it last started or ended.
-    pub since: f64,
+    #[serde(rename = "since")]
+    pub state_age_s: f64,
     /// How often it started.
-    pub times: u64,
+    #[serde(rename = "times")]
+    pub starts: u64,
 }
 
 /// All of it, at one moment.
@@ -71,23 +79,25 @@
     /// The own district.
     pub own: String,
     /// Seconds since the account began.
-    pub age: f64,
+    #[serde(rename = "age")]
+    pub age_s: f64,
     /// The cells, then the sums by class, by district and over all.
     pub rows: Vec<Row>,
     /// The budgets, the narrowest first.
     pub budgets: Vec<BudgetRow>,
     /// The urgent classes.
-    pub bending: Vec<BendRow>,
+    #[serde(rename = "bending")]
+    pub overdrafts: Vec<OverdraftRow>,
 }
 
 /// A scope in the words of the configuration.
 pub fn scope_name(settings: &Settings, scope: &Scope) -> String {
     let mut words = Vec::new();
     if let Some((from, to)) = scope.pair {
-        words.push(format!("from {} to {}", settings.district(from), settings.district(to)));
+        words.push(format!("from {} to {}", settings.district_name(from), settings.district_name(to)));
     }
     if let Some(class) = scope.class {
-        words.push(format!("class {}", settings.class(class)));
+        words.push(format!("class {}", settings.class_name(class)));
     }
     if words.is_empty() {
         words.push("all".into());
@@ -96,7 +106,7 @@
 }
 
 fn mean(counts: &Counts) -> Option<f64> {
-    (counts.stood > 0).then(|| counts.delay / counts.stood as f64)
+    (counts.established > 0).then(|| counts.delay_s / counts.established as f64)
 }
 
 impl Crossing {
@@ -105,42 +115,42 @@
         let cells: Vec<(usize, District, Counts, u64, u64)> = self
             .account
             .cells()
-            .map(|(c, to, cell)| (c, to, cell.counts(now, span), cell.out, cell.standing))
+            .map(|(c, to, cell)| (c, to, cell.counts(now, span), cell.in_flight, cell.standing))
             .collect();
-        let (settings, own) = (&self.settings, self.settings.own);
+        let (settings, own) = (&self.settings, self.settings.own_district);
         let home = |class: usize| cells.iter().find(|c| c.0 == class && c.1 == own).and_then(|c| mean(&c.2));
         let mut rows = Vec::new();
         type Key = (u8, Option<usize>, Option<District>);
         let mut sums: BTreeMap<Key, Row> = BTreeMap::new();
         let row = |class: &str, to: &str, crosses: bool| Row {
             class: class.into(),
-            from: settings.district(own).into(),
+            from: settings.district_name(own).into(),
             to: to.into(),
             crosses,
             counts: Counts::default(),
-            out: 0,
+            in_flight: 0,
             standing: 0,
-            mean_delay: None,
-            crossing_delay: None,
-            crossing_delay_paid: None,
+            mean_delay_s: None,
+            extra_delay_s: None,
+            total_extra_delay_s: None,
         };
         for (class, to, counts, out, standing) in &cells {
             let crossing = crosses(own, *to);
             let above = mean(counts).zip(home(*class)).filter(|_| crossing).map(|(here, home)| here - home);
-            let paid = above.map(|above| above * counts.stood as f64);
-            let (class_name, to_name) = (settings.class(*class), settings.district(*to));
+            let paid = above.map(|above| above * counts.established as f64);
+            let (class_name, to_name) = (settings.class_name(*class), settings.district_name(*to));
             let add = |row: &mut Row| {
                 row.counts += counts;
-                row.out += out;
+                row.in_flight += out;
                 row.standing += standing;
-                row.mean_delay = mean(&row.counts);
+                row.mean_delay_s = mean(&row.counts);
                 if let Some(paid) = paid {
-                    *row.crossing_delay_paid.get_or_insert(0.0) += paid;
+                    *row.total_extra_delay_s.get_or_insert(0.0) += paid;
                 }
             };
             let mut cell = row(class_name, to_name, crossing);
             add(&mut cell);
-            cell.crossing_delay = above;
+            cell.extra_delay_s = above;
             rows.push(cell);
             let mut sum = |key: Key, class: &str, to: &str, crosses: bool| {
                 add(sums.entry(key).or_insert_with(|| row(class, to, crosses)));
@@ -158,19 +168,25 @@
         let budgets = (self.budgets.iter_mut())
             .map(|b| BudgetRow {
                 scope: scope_name(&names, &b.rule().scope),
-                left: b.left(now),
+                remaining: b.remaining(now),
                 used: b.used(),
             })
             .collect();
-        let bending = (self.bending.iter_mut().enumerate())
+        let bending = (self.overdrafts.iter_mut().enumerate())
             .filter_map(|(class, b)| {
                 let b = b.as_mut()?;
-                let (bending, (since, times)) = (b.on(now), b.history());
-                let (class, pressure) = (names.class(class).to_string(), b.pressure());
-                Some(BendRow { class, bending, pressure, since: now - since, times })
+                let (bending, (since, times)) = (b.is_active(now), b.history());
+                let (class, pressure) = (names.class_name(class).to_string(), b.blocked_ratio());
+                Some(OverdraftRow {
+                    class,
+                    active: bending,
+                    blocked_ratio: pressure,
+                    state_age_s: now - since,
+                    starts: times,
+                })
             })
             .collect();
-        let (own, age) = (names.district(names.own).to_string(), now - self.started);
-        Report { span: span.name(), own, age, rows, budgets, bending }
+        let (own, age) = (names.district_name(names.own_district).to_string(), now - self.started_at);
+        Report { span: span.name(), own, age_s: age, rows, budgets, overdrafts: bending }
     }
 }
--- a/crates/crossing/src/table.rs
+++ b/crates/crossing/src/table.rs
@@ -13,21 +13,21 @@
 
 /// Calls by number.
 #[derive(Clone, Debug)]
-pub struct Table<T> {
+pub struct CallTable<T> {
     places: Vec<Option<(CallId, T)>>,
     /// Those whose place another call holds.
     rest: FxHashMap<CallId, T>,
     count: usize,
 }
 
-impl<T> Default for Table<T> {
+impl<T> Default for CallTable<T> {
     fn default() -> Self {
         let places = (0..LEAST).map(|_| None).collect();
-        Table { places, rest: FxHashMap::default(), count: 0 }
+        CallTable { places, rest: FxHashMap::default(), count: 0 }
     }
 }
 
-impl<T> Table<T> {
+impl<T> CallTable<T> {
     fn place(&self, call: CallId) -> usize {
         call as usize & (self.places.len() - 1)
     }
@@ -104,7 +104,7 @@
         /// Against a map, with numbers that share places, also beyond the bound.
         #[test]
         fn it_is_a_map(steps in prop::collection::vec((0u8..4, 0u32..6, 0u32..6), 1..200)) {
-            let (mut table, mut model) = (Table::default(), BTreeMap::new());
+            let (mut table, mut model) = (CallTable::default(), BTreeMap::new());
             for (n, (what, low, high)) in steps.into_iter().enumerate() {
                 let call = low + high * (MOST as u32 / 2);
                 match what {
--- a/crates/crossing/tests/model.rs
+++ b/crates/crossing/tests/model.rs
@@ -18,21 +18,21 @@
 }
 
 fn here(value: f64) -> Amount {
-    Amount { value, fleet: false }
+    Amount { value, whole_fleet: false }
 }
 
 fn rule(scope: Scope) -> Rule {
-    Rule { scope, rate: None, share: None, standing: None, overdraft: here(3.0), floor: 0.25 }
+    Rule { scope, rate: None, ratio: None, standing: None, overdraft: here(3.0), floor: 0.25 }
 }
 
 fn settings(rules: Vec<Rule>) -> Settings {
-    let class = |name: &str, urgent| ClassInfo { name: name.into(), goal_time: 1.5, urgent };
+    let class = |name: &str, urgent| ClassInfo { name: name.into(), goal_time_s: 1.5, urgent };
     Settings {
         districts: ["downtown", "medical-center", "riverside"].map(String::from).to_vec(),
-        own: OWN,
+        own_district: OWN,
         classes: vec![class("meter-read", false), class("valve-set", true)],
-        part: 0.25,
-        bend: BendSettings::default(),
+        fleet_share: 0.25,
+        overdraft: OverdraftSettings::default(),
         rules,
     }
 }
@@ -72,13 +72,13 @@
                 What::Sent { bent } => {
                     stood.insert(seen.call, false);
                     counts.sent += u64::from(covered);
-                    counts.bent += u64::from(covered && bent);
+                    counts.overdrew += u64::from(covered && bent);
                 }
                 What::Stood { lag, late } => {
                     stood.insert(seen.call, true);
-                    counts.stood += u64::from(covered);
+                    counts.established += u64::from(covered);
                     counts.late += u64::from(covered && late);
-                    counts.delay += if covered { lag } else { 0.0 };
+                    counts.delay_s += if covered { lag } else { 0.0 };
                 }
                 What::Over { outcome } => {
                     let count = match (stood.get(&seen.call), outcome) {
@@ -256,7 +256,7 @@
     fn check(&mut self) {
         let now = self.now;
         assert!(self.crossing.account().balances());
-        assert_eq!(self.crossing.open(), self.open.len());
+        assert_eq!(self.crossing.open_calls(), self.open.len());
         let cells: Vec<(usize, District)> =
             self.crossing.account().cells().map(|(class, to, _)| (class, to)).collect();
         let spans = [(Span::Total, 0.0, 0), (Span::Seconds10, 1.0, 10), (Span::Minute, 5.0, 12)];
@@ -268,20 +268,20 @@
                 let counted = self.reference.counts(class, to, covered);
                 let cell = self.crossing.account().cells().find(|c| (c.0, c.1) == (class, to)).unwrap().2;
                 let got = cell.counts(now, span);
-                assert!((got.delay - counted.delay).abs() < 1e-6);
-                assert_eq!(Counts { delay: 0.0, ..got }, Counts { delay: 0.0, ..counted }, "{span:?}");
+                assert!((got.delay_s - counted.delay_s).abs() < 1e-6);
+                assert_eq!(Counts { delay_s: 0.0, ..got }, Counts { delay_s: 0.0, ..counted }, "{span:?}");
             }
         }
         let out = self.open.values().filter(|o| !o.4).count() as u64;
         let cells = self.crossing.account().cells();
         let (cell_out, standing) =
-            cells.fold((0, 0), |(o, s), (_, _, cell)| (o + cell.out, s + cell.standing));
+            cells.fold((0, 0), |(o, s), (_, _, cell)| (o + cell.in_flight, s + cell.standing));
         assert_eq!((cell_out, standing), (out, self.open.len() as u64 - out));
         let log = &self.reference;
         for budget in self.crossing.budgets().iter_mut() {
             let rule = *budget.rule();
             let (plain, bent) = log.places(&rule.scope);
-            let left = budget.left(now);
+            let left = budget.remaining(now);
             if left.standing.is_some() {
                 assert_eq!(left.standing, Some(plain + bent), "{rule:?}");
             }
@@ -289,7 +289,7 @@
                 let (tokens, debt) = log.bucket(&rule.scope, rate, burst, rule.floor, now);
                 assert!((left.tokens.unwrap() - tokens).abs() < 1e-6, "{left:?}, reference {tokens}");
                 let owed = debt.max(if rule.standing.is_some() { f64::from(bent) } else { debt });
-                assert!(rule.share.is_some() || left.overdrawn + 1e-6 >= owed);
+                assert!(rule.ratio.is_some() || left.overdrawn + 1e-6 >= owed);
             }
             assert!(left.overdrawn <= left.overdraft + 1e-6, "{left:?}");
         }
@@ -303,13 +303,15 @@
 
 fn rules() -> Vec<Rule> {
     let (b, c) = (District(1), District(2));
-    let rate = |per_s, burst, fleet| Some(Rate { per_s: Amount { value: per_s, fleet }, burst: here(burst) });
+    let rate = |per_s, burst, fleet| {
+        Some(Rate { per_s: Amount { value: per_s, whole_fleet: fleet }, burst: here(burst) })
+    };
     vec![
         Rule { rate: rate(4.0, 3.0, true), ..rule(Scope::default()) },
         Rule { rate: rate(0.5, 2.0, false), ..rule(Scope { class: Some(0), pair: None }) },
         Rule { standing: Some(here(3.0)), ..rule(Scope { class: Some(1), pair: Some((OWN, c)) }) },
         Rule {
-            share: Some(Share { part: 0.3, window: 20.0 }),
+            ratio: Some(RatioLimit { max_ratio: 0.3, window_s: 20.0 }),
             rate: rate(2.0, 2.0, false),
             ..rule(Scope { class: None, pair: Some((OWN, b)) })
         },
@@ -358,16 +360,16 @@
                     if let Some(standing) = &mut changed[n % 3].standing {
                         standing.value = 1.0;
                     }
-                    bench.crossing.change(settings(changed), bench.now);
+                    bench.crossing.update_settings(settings(changed), bench.now);
                 }
-                (8, _) => bench.crossing.change(settings(rules()), bench.now),
+                (8, _) => bench.crossing.update_settings(settings(rules()), bench.now),
                 _ => {}
             }
             prop_assert!(bench.crossing.account().balances());
             for budget in bench.crossing.budgets().iter_mut() {
                 let rule = *budget.rule();
                 let (plain, bent) = bench.reference.places(&rule.scope);
-                let left = budget.left(bench.now);
+                let left = budget.remaining(bench.now);
                 if left.standing.is_some() {
                     prop_assert_eq!(left.standing, Some(plain + bent));
                 }
@@ -380,7 +382,7 @@
         for call in bench.open.keys().copied().collect::<Vec<_>>() {
             bench.end(call, Outcome::Reset);
         }
-        prop_assert_eq!(bench.crossing.open(), 0);
+        prop_assert_eq!(bench.crossing.open_calls(), 0);
     }
 }
 
@@ -438,7 +440,7 @@
     assert_eq!(went(&mut bench, 0, 1, 9), 0, "nothing is left for the rest");
     let left = |bench: &mut Bench| {
         let all = bench.crossing.budgets().iter_mut().last().unwrap();
-        all.left(bench.now).tokens.unwrap()
+        all.remaining(bench.now).tokens.unwrap()
     };
     assert_eq!(left(&mut bench), -2.0, "and it owes no more than its burst");
     bench.now += 1.0;
@@ -482,10 +484,10 @@
     bench.now += 60.0;
     assert_eq!(went(&mut bench, 1, 1, 20), 6, "all of it again, though the first still stand");
     let places = Rule { standing: Some(here(100.0)), rate: None, ..rule };
-    bench.crossing.change(settings(vec![places]), bench.now);
+    bench.crossing.update_settings(settings(vec![places]), bench.now);
     assert!(bench.offer(0, 1, false));
     let call = bench.next;
-    bench.crossing.change(settings(vec![rule]), bench.now);
+    bench.crossing.update_settings(settings(vec![rule]), bench.now);
     bench.end(call, Outcome::Full);
     assert!(!bench.offer(0, 1, false), "it never paid for what it is handed back");
     bench.now += 0.25;
@@ -499,14 +501,14 @@
     assert!(!bench.offer(0, 1, true));
     assert!(!bench.offer(1, 1, false));
     assert!(bench.offer(1, 1, true));
-    let bent: u64 = bench.crossing.account().cells().map(|c| c.2.total().bent).sum();
+    let bent: u64 = bench.crossing.account().cells().map(|c| c.2.total().overdrew).sum();
     assert_eq!(bent, 1);
 }
 
 /// A share is of the scope's own set-ups, over the window; a fleet's figure is divided.
 #[test]
 fn shares_and_places_and_fleet_figures_hold() {
-    let share = Rule { share: Some(Share { part: 0.2, window: 20.0 }), ..rule(Scope::default()) };
+    let share = Rule { ratio: Some(RatioLimit { max_ratio: 0.2, window_s: 20.0 }), ..rule(Scope::default()) };
     let mut bench = Bench::new(vec![share]);
     for _ in 0..50 {
         bench.now += 0.2;
@@ -519,7 +521,7 @@
         abroad += if to == OWN { 0 } else { cell.total().sent };
     }
     assert!(abroad * 5 <= sent && abroad * 5 + 5 > sent, "{abroad} of {sent}");
-    let places = Rule { standing: Some(Amount { value: 8.0, fleet: true }), ..rule(Scope::default()) };
+    let places = Rule { standing: Some(Amount { value: 8.0, whole_fleet: true }), ..rule(Scope::default()) };
     let mut bench = Bench::new(vec![places]);
     assert_eq!(went(&mut bench, 0, 1, 9), 2, "a quarter of eight");
     let call = bench.next - 8;
@@ -565,9 +567,9 @@
     let report = bench.crossing.report(bench.now, Span::Total);
     let row = |class: &str, to: &str| report.rows.iter().find(|r| r.class == class && r.to == to).unwrap();
     let abroad = row("meter-read", "medical-center");
-    assert!((abroad.crossing_delay.unwrap() - 0.3).abs() < 1e-9);
-    assert!((row("all", "abroad").crossing_delay_paid.unwrap() - 0.3).abs() < 1e-9);
-    assert_eq!((row("all", "all").counts.stood, row("all", "all").standing), (3, 3));
+    assert!((abroad.extra_delay_s.unwrap() - 0.3).abs() < 1e-9);
+    assert!((row("all", "abroad").total_extra_delay_s.unwrap() - 0.3).abs() < 1e-9);
+    assert_eq!((row("all", "all").counts.established, row("all", "all").standing), (3, 3));
     assert_eq!((report.budgets[0].scope.as_str(), report.own.as_str()), ("all", "downtown"));
     let json = serde_json::to_value(&report).unwrap();
     assert_eq!(json["rows"][0]["sent"], 2);
--- a/crates/faults/src/world/budget.rs
+++ b/crates/faults/src/world/budget.rs
@@ -1,7 +1,7 @@
 //! A budget that all members share, and what is sent on it.
 
 use hollypaddle_crossing::{
-    Amount, BendSettings, ClassInfo, Crossing, District, Rate, Rule, Scope, Settings as Crossings,
+    Amount, ClassInfo, Crossing, District, OverdraftSettings, Rate, Rule, Scope, Settings as Crossings,
 };
 use hollypaddle_lending::LEASE_TERM_S;
 use hollypaddle_policy::{
@@ -14,22 +14,22 @@
 
 /// The budget of one member: all crossings, the fleet's rate.
 pub(super) fn crossing(shared: &Shared, members: usize, now: f64) -> Crossing {
-    let whole = |value| Amount { value, fleet: true };
+    let whole = |value| Amount { value, whole_fleet: true };
     let rate = Some(Rate { per_s: whole(shared.per_s), burst: whole(shared.burst) });
     let rule = Rule {
         scope: Scope::default(),
         rate,
-        share: None,
+        ratio: None,
         standing: None,
         overdraft: whole(0.0),
         floor: 0.0,
     };
     let settings = Crossings {
         districts: vec!["here".into(), "there".into()],
-        own: District(0),
-        classes: vec![ClassInfo { name: "any".into(), goal_time: 1.0, urgent: false }],
-        part: 1.0 / members as f64,
-        bend: BendSettings::default(),
+        own_district: District(0),
+        classes: vec![ClassInfo { name: "any".into(), goal_time_s: 1.0, urgent: false }],
+        fleet_share: 1.0 / members as f64,
+        overdraft: OverdraftSettings::default(),
         rules: vec![rule],
     };
     let mut crossing = Crossing::new(settings, now);
@@ -65,14 +65,14 @@
             let valid = leases.clone().map(|(at, part)| (at + LEASE_TERM_S, part)).filter(|l| local < l.0);
             match self.plan.planted {
                 Some(Planted::LendsAndUses) => {
-                    crossing.share(local, &Scope::default(), own + lent, valid.collect());
+                    crossing.set_fleet_share(local, &Scope::default(), own + lent, valid.collect());
                 }
                 Some(Planted::ForgetsLeases) => {
-                    crossing.share(local, &Scope::default(), part - lent, valid.collect());
+                    crossing.set_fleet_share(local, &Scope::default(), part - lent, valid.collect());
                 }
                 Some(Planted::EndlessLease) => {
                     let endless = leases.map(|(_, part)| (f64::INFINITY, part)).collect();
-                    crossing.share(local, &Scope::default(), own, endless);
+                    crossing.set_fleet_share(local, &Scope::default(), own, endless);
                 }
                 _ => {}
             }
--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -254,9 +254,9 @@
         for row in report.rows.iter().filter(|r| r.class != "all" && r.to != "all" && r.to != "abroad") {
             let (class, from, to, c) = (row.class.as_str(), row.from.as_str(), row.to.as_str(), &row.counts);
             log::info!(
-                class, from, to, sent = c.sent, stood = c.stood, late = c.late, refused = c.refused,
+                class, from, to, sent = c.sent, stood = c.established, late = c.late, refused = c.refused,
                 failed = c.failed, reset = c.reset, given_up = c.given_up, ended = c.ended, cut = c.cut,
-                bent = c.bent, denied = c.denied, out = row.out, standing = row.standing;
+                bent = c.overdrew, denied = c.denied, out = row.in_flight, standing = row.standing;
                 "crossings"
             );
         }
@@ -284,7 +284,7 @@
         }
         let word = match (gate.as_mut(), &new.crossings) {
             (Some(crossing), Some(conf)) => {
-                crossing.change(conf.settings(ctx.platform), ctx.now);
+                crossing.update_settings(conf.settings(ctx.platform), ctx.now);
                 "changed"
             }
             (None, Some(conf)) => {
@@ -302,7 +302,7 @@
         };
         // If the own district is unknown no set-up counts as a crossing, and budgets that never take effect look as if they
         // were kept.
-        if gate.as_ref().is_some_and(|g| g.settings().own == District::UNKNOWN) {
+        if gate.as_ref().is_some_and(|g| g.settings().own_district == District::UNKNOWN) {
             log::warn!("own-district-unknown");
         }
         let budgets = new.crossings.as_ref().map_or(0, |c| c.budgets.len());
@@ -315,7 +315,7 @@
 
     fn answer(&mut self, ctx: &mut ComponentContext, query: &Query) -> Option<Value> {
         let Query::Crossings { span } = query else { return None };
-        Some(match (Span::named(span), &mut ctx.gates.crossing) {
+        Some(match (Span::from_name(span), &mut ctx.gates.crossing) {
             (None, _) => json!({"error": format!("no span {span:?}: expected total, 10s, 1min or 10min")}),
             (_, None) => json!({"error": "no counts of crossings: the block `crossings` is not configured"}),
             (Some(span), Some(crossing)) => json!({"ok": crossing.report(ctx.now, span)}),
--- a/crates/gatekeeper/tests/crossing.rs
+++ b/crates/gatekeeper/tests/crossing.rs
@@ -69,7 +69,7 @@
         for _ in 0..(90.0 / STEP_S) as usize {
             let open: usize = self.world.callers.iter().map(|c| c.unanswered() + c.standing()).sum();
             let held: usize =
-                self.gatekeepers.iter_mut().filter_map(|n| n.crossing().map(|c| c.open())).sum();
+                self.gatekeepers.iter_mut().filter_map(|n| n.crossing().map(|c| c.open_calls())).sum();
             if open + held == 0 {
                 return;
             }
@@ -77,7 +77,7 @@
         }
         let callers: Vec<_> = self.world.callers.iter().map(|c| (c.unanswered(), c.standing())).collect();
         let held: Vec<_> =
-            self.gatekeepers.iter_mut().filter_map(|n| n.crossing().map(|c| c.open())).collect();
+            self.gatekeepers.iter_mut().filter_map(|n| n.crossing().map(|c| c.open_calls())).collect();
         let standing: Vec<_> = self.world.servers.iter().map(|s| s.standing()).collect();
         panic!(
             "calls still open after 90 s: (unanswered, standing) by callers {callers:?}, held by gatekeepers {held:?}, \
@@ -139,12 +139,12 @@
                 assert_eq!(c.refused, seen("refused"), "{row:?}");
                 // A call whose answer crosses the give-up, or is lost with its server, was established at the server
                 // only.
-                let crossed = seen("stood") - c.stood;
+                let crossed = seen("stood") - c.established;
                 assert_eq!(c.given_up + c.reset, seen("given up") + seen("reset") + crossed, "{row:?}");
                 assert!(crossed > 0 || c.reset == seen("reset"), "{row:?}");
                 assert_eq!(c.ended + c.cut + crossed, seen("ended") + seen("cut"), "{row:?}");
-                assert_eq!(c.sent, c.stood + c.refused + c.failed + c.reset + c.given_up, "{row:?}");
-                assert_eq!((row.out, row.standing), (0, 0), "{row:?}");
+                assert_eq!(c.sent, c.established + c.refused + c.failed + c.reset + c.given_up, "{row:?}");
+                assert_eq!((row.in_flight, row.standing), (0, 0), "{row:?}");
             }
             assert_eq!(compared_rows, seen.len(), "the report lacks a row for a class and district");
             // The callers' own measurement of late answers, with a tolerance of three steps around the goal time.
@@ -229,7 +229,7 @@
             (established, all)
         };
         let result = established(&fleet);
-        let overdrafts: Vec<_> = (0..2).map(|f| fleet.report(f).bending).collect();
+        let overdrafts: Vec<_> = (0..2).map(|f| fleet.report(f).overdrafts).collect();
         fleet.check_accounts();
         (result, crossed, overdrafts)
     };
@@ -249,9 +249,9 @@
     // 0.5 per second for 40 s and a burst of 2, plus one set-up; ordinary calls never overdraw.
     assert!(crossed.iter().all(|n| *n <= 23), "{crossed:?}");
     for row in overdrafts.iter().flatten() {
-        assert!(row.times >= 1 && !row.bending, "{row:?}");
-        assert!(row.since >= 20.0 - 2.0 * 5.0, "the overdraft lasted more than two windows: {row:?}");
-        assert!(row.times <= 3, "the overdraft flaps: {row:?}");
+        assert!(row.starts >= 1 && !row.active, "{row:?}");
+        assert!(row.state_age_s >= 20.0 - 2.0 * 5.0, "the overdraft lasted more than two windows: {row:?}");
+        assert!(row.starts <= 3, "the overdraft flaps: {row:?}");
     }
 }
 
@@ -282,7 +282,7 @@
         let ordinary = fleet.sent_abroad(0, "meter-read") - before;
         let report = fleet.report(0);
         let row = report.rows.iter().find(|r| r.class == "valve-set" && r.to == "abroad").unwrap();
-        let (by_overdraft, overdraft_report) = (row.counts.bent, &report.bending[0]);
+        let (by_overdraft, overdraft_report) = (row.counts.overdrew, &report.overdrafts[0]);
         fleet.advance(3.0);
         let calls = fleet.world.callers[0].calls.values();
         let urgent: Vec<_> = calls
@@ -296,7 +296,7 @@
         // A cold or overloaded server still accepts some of the urgent calls.
         let min_by_overdraft = if matches!(name, "cold" | "overloaded") { 2 } else { 10 };
         assert!(
-            by_overdraft >= min_by_overdraft && overdraft_report.times >= 1,
+            by_overdraft >= min_by_overdraft && overdraft_report.starts >= 1,
             "{name}: {by_overdraft} by overdraft, {overdraft_report:?}"
         );
         assert!(
@@ -374,7 +374,7 @@
     let report = fleet.report(0);
     let (row, used) = (&report.rows[0], report.budgets[0].used);
     assert_eq!((row.counts.sent, row.counts.reset, row.counts.denied), (1, 1, 1));
-    assert_eq!((used.debits, used.handed_back, used.denied), (1, 0, 1));
+    assert_eq!((used.debits, used.refunded, used.denied), (1, 0, 1));
     fleet.check_accounts();
 }
 
@@ -435,15 +435,15 @@
     for _ in 0..6 {
         fleet.generate_traffic(10.0, &[48.0], |_, a, _| 1 + u32::from(a < 0.5));
         let crossing = fleet.gatekeepers[0].crossing().unwrap();
-        open_calls.push(crossing.open());
+        open_calls.push(crossing.open_calls());
         assert!(crossing.account().cells().count() <= 2 * 4);
     }
     assert!(open_calls.iter().all(|n| *n <= 48 * 6), "{open_calls:?}");
     let report = fleet.report(0);
-    assert!(report.budgets.iter().all(|b| b.left.overdrawn <= b.left.overdraft));
+    assert!(report.budgets.iter().all(|b| b.remaining.overdrawn <= b.remaining.overdraft));
     assert!(report.budgets.iter().map(|b| b.used.denied).sum::<u64>() > 100);
     fleet.check_accounts();
-    assert_eq!(fleet.gatekeepers[0].crossing().unwrap().open(), 0);
+    assert_eq!(fleet.gatekeepers[0].crossing().unwrap().open_calls(), 0);
 }
 
 /// Under load, budgets shrink, grow, are added and removed, and a server changes its district.
@@ -465,8 +465,8 @@
         fleet.reload(&conf);
         for gatekeeper in 0..2 {
             let report = fleet.report(gatekeeper);
-            assert!(report.budgets.iter().all(|b| b.left.overdrawn <= b.left.overdraft.max(4.0)));
-            assert!(report.age > 5.0, "the account was reset");
+            assert!(report.budgets.iter().all(|b| b.remaining.overdrawn <= b.remaining.overdraft.max(4.0)));
+            assert!(report.age_s > 5.0, "the account was reset");
         }
     }
     // A file with errors changes nothing.
--- a/crates/measure/src/crossings.rs
+++ b/crates/measure/src/crossings.rs
@@ -197,7 +197,7 @@
                 "all" => sum.0 += row.counts.sent,
                 "abroad" => {
                     sum.1 += row.counts.sent;
-                    sum.2 += row.counts.bent;
+                    sum.2 += row.counts.overdrew;
                 }
                 _ => {}
             }
--- a/crates/measure/src/decisions.rs
+++ b/crates/measure/src/decisions.rs
@@ -6,7 +6,7 @@
 
 use hollypaddle_core::calls::{Calls, Command, Content, Effect, End, Request};
 use hollypaddle_crossing::{
-    Amount, BendSettings, ClassInfo, Crossing, District, Rate, Rule, Scope, Settings as GateSettings,
+    Amount, ClassInfo, Crossing, District, OverdraftSettings, Rate, Rule, Scope, Settings as GateSettings,
 };
 use hollypaddle_policy::{
     Action, AllowAll, CallId, Cause, ClassSettings, Controller, Event, Gate, GoalWeights, ListKind, Outcome,
@@ -51,7 +51,7 @@
 /// A gate with so many budgets: one for all, then pairs and classes that mostly concern others, as in a file
 /// that a whole fleet shares.
 fn gate(rules: usize) -> Crossing {
-    let here = |value| Amount { value, fleet: false };
+    let here = |value| Amount { value, whole_fleet: false };
     let districts: Vec<String> = (0..30).map(|n| format!("d{n}")).collect();
     let scope = |n: usize| match n {
         0 => Scope::default(),
@@ -63,18 +63,18 @@
     let rule = |n: usize| Rule {
         scope: scope(n),
         rate: Some(Rate { per_s: here(1e5), burst: here(1e5) }),
-        share: None,
+        ratio: None,
         standing: Some(here(1e5)),
         overdraft: here(20.0),
         floor: 0.25,
     };
-    let class = |name: &str, urgent| ClassInfo { name: name.into(), goal_time: 1.5, urgent };
+    let class = |name: &str, urgent| ClassInfo { name: name.into(), goal_time_s: 1.5, urgent };
     let settings = GateSettings {
         districts,
-        own: District(0),
+        own_district: District(0),
         classes: vec![class("meter-read", false), class("valve-set", true)],
-        part: 0.125,
-        bend: BendSettings::default(),
+        fleet_share: 0.125,
+        overdraft: OverdraftSettings::default(),
         rules: (0..rules).map(rule).collect(),
     };
     Crossing::new(settings, 0.0)
@@ -232,18 +232,18 @@
 
 /// Measures the flood.
 pub fn flood() -> Flood {
-    let here = |value| Amount { value, fleet: false };
+    let here = |value| Amount { value, whole_fleet: false };
     let mut crossing = gate(0);
     let mut settings = crossing.settings().clone();
     settings.rules = vec![Rule {
         scope: Scope::default(),
         rate: Some(Rate { per_s: here(40.0), burst: here(4.0) }),
-        share: Some(hollypaddle_crossing::Share { part: 0.3, window: 10.0 }),
+        ratio: Some(hollypaddle_crossing::RatioLimit { max_ratio: 0.3, window_s: 10.0 }),
         standing: Some(here(10.0)),
         overdraft: here(20.0),
         floor: 0.25,
     }];
-    crossing.change(settings, 100.0);
+    crossing.update_settings(settings, 100.0);
     let mut feed = Feed::new(crossing, 3, false);
     // Servers 1 and 2 are abroad, and 0 is at home.
     feed.abroad = true;
