--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -51,7 +51,7 @@
                     let BudgetDemand {
                         configured_share: part, wanted_share: wanted, is_overdrawn: owes, ..
                     } = *asks;
-                    Demand { budget: *budget, part, wanted, is_overdrawn: owes }
+                    Demand { budget: *budget, part, wanted, overdrawn: owes }
                 };
                 let demands: Vec<Demand> = asks.iter().map(demand).collect();
                 for announcement in self.lending.update(now, &demands, &fleet.budget_requests()) {
