--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -127,7 +127,7 @@
     CatchingUp,
     /// This relay does not reach a majority of relays.
     #[error(
-        "{reachable} of {total} relays are reachable, this one included, and a change needs a majority: nothing was changed; restore the \
+        "{reachable} of {total} relays are heard here, this one included, and a change needs a majority: nothing was changed; restore the \
          links between relays or regions, then send SIGHUP again"
     )]
     NoMajority {
