--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,22 +1,22 @@
 //! Which directives there are, and what each may say.
 
-use crate::problem::{Place, Problem};
-use crate::syntax::{Directive, Word};
+use crate::problem::{Location, Problem};
+use crate::syntax::{Directive, Token};
 use crate::{crossings, fleet};
 use crate::{Conf, Names};
 
 /// How alike a word must be to one that is known for it to be named.
-const ALIKE: f64 = 0.8;
+const MIN_SIMILARITY: f64 = 0.8;
 
 /// Notes a mistake.
-pub(crate) fn wrong(place: &Place, what: impl Into<String>, problems: &mut Vec<Problem>) {
-    problems.push(Problem { place: place.clone(), what: what.into() });
+pub(crate) fn wrong(location: &Location, what: impl Into<String>, problems: &mut Vec<Problem>) {
+    problems.push(Problem { location: location.clone(), description: what.into() });
 }
 
 /// What was expected: the word that was likely meant, or all that there are.
 pub(crate) fn expected(word: &str, known: &[&str]) -> String {
     let alike = known.iter().map(|k| (strsim::jaro_winkler(word, k), *k));
-    match alike.filter(|a| a.0 >= ALIKE).max_by(|a, b| a.0.total_cmp(&b.0)) {
+    match alike.filter(|a| a.0 >= MIN_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0)) {
         Some((_, meant)) => format!("did you mean {meant:?}?"),
         None if known.is_empty() => "there is none".into(),
         None => format!("expected one of: {}", known.join(", ")),
@@ -24,13 +24,18 @@
 }
 
 /// Whether a word is one of these; else a mistake.
-pub(crate) fn one_of(word: &Word, what: &str, known: Option<&[String]>, problems: &mut Vec<Problem>) -> bool {
+pub(crate) fn one_of(
+    word: &Token,
+    what: &str,
+    known: Option<&[String]>,
+    problems: &mut Vec<Problem>,
+) -> bool {
     let Some(known) = known else { return true };
     let known: Vec<&str> = known.iter().map(String::as_str).collect();
     let found = known.contains(&word.text.as_str());
     if !found {
         let text = format!("unknown {what} {:?}, {}", word.text, expected(&word.text, &known));
-        wrong(&word.place, text, problems);
+        wrong(&word.location, text, problems);
     }
     found
 }
@@ -39,18 +44,22 @@
 pub(crate) fn unknown(line: &Directive, known: &[&str], problems: &mut Vec<Problem>) {
     let name = &line.name;
     let text = format!("unknown directive {:?}, {}", name.text, expected(&name.text, known));
-    wrong(&name.place, text, problems);
+    wrong(&name.location, text, problems);
 }
 
 /// Notes a directive that comes twice where one is meant; returns whether it is the first.
-pub(crate) fn once(seen: &mut Vec<(String, Place)>, line: &Directive, problems: &mut Vec<Problem>) -> bool {
+pub(crate) fn once(
+    seen: &mut Vec<(String, Location)>,
+    line: &Directive,
+    problems: &mut Vec<Problem>,
+) -> bool {
     let name = &line.name;
     if let Some((_, first)) = seen.iter().find(|s| s.0 == name.text) {
         let text = format!("a second {:?}, expected one; the first is at {first}", name.text);
-        wrong(&name.place, text, problems);
+        wrong(&name.location, text, problems);
         return false;
     }
-    seen.push((name.text.clone(), name.place.clone()));
+    seen.push((name.text.clone(), name.location.clone()));
     true
 }
 
@@ -59,11 +68,11 @@
     match (&line.block, wanted) {
         (Some(_), false) => {
             let text = format!("{:?} takes no block, expected the end of the line", line.name.text);
-            wrong(&line.name.place, text, problems);
+            wrong(&line.name.location, text, problems);
         }
         (None, true) => {
             let text = format!("{:?} without its block, expected `{{`", line.name.text);
-            wrong(&line.name.place, text, problems);
+            wrong(&line.name.location, text, problems);
         }
         _ => {}
     }
@@ -72,7 +81,7 @@
 /// Notes too few or too many words.
 pub(crate) fn words(line: &Directive, form: &str, sound: bool, problems: &mut Vec<Problem>) -> bool {
     if !sound {
-        wrong(&line.name.place, format!("not the words of this directive, expected: {form}"), problems);
+        wrong(&line.name.location, format!("not the words of this directive, expected: {form}"), problems);
     }
     sound
 }
--- a/crates/config/src/crossings.rs
+++ b/crates/config/src/crossings.rs
@@ -3,20 +3,20 @@
 use hollypaddle_crossing::{Amount, BendSettings, ClassInfo, District, Rate, Rule, Scope, Settings, Share};
 
 use crate::check::{block, once, one_of, unknown, words, wrong};
-use crate::problem::{Place, Problem};
-use crate::syntax::{Directive, Word};
+use crate::problem::{Location, Problem};
+use crate::syntax::{Directive, Token};
 use crate::values::{count, percent, rate, take, window};
 use crate::Names;
 
 /// Most budgets: each is asked on every crossing.
-const MOST_BUDGETS: usize = 256;
+const MAX_BUDGETS: usize = 256;
 /// Defaults.
-const OVERDRAFT: f64 = 20.0;
-const FLOOR: f64 = 0.25;
+const DEFAULT_OVERDRAFT: f64 = 20.0;
+const DEFAULT_FLOOR_RATIO: f64 = 0.25;
 
 /// A budget, its scope by names.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RuleConf {
+pub struct BudgetConf {
     /// From which district to which.
     pub pair: Option<(String, String)>,
     /// Of which class.
@@ -39,7 +39,7 @@
     /// Seconds between two log events with the account.
     pub log_every: Option<f64>,
     /// The budgets.
-    pub budgets: Vec<RuleConf>,
+    pub budgets: Vec<BudgetConf>,
 }
 
 /// What the platform tells that the block builds on.
@@ -54,17 +54,17 @@
     /// The classes and their wanted times, in seconds.
     pub classes: Vec<(String, f64)>,
     /// How many gatekeepers share the servers.
-    pub fronts: u32,
+    pub gatekeepers: u32,
 }
 
 impl Crossings {
     /// This gatekeeper's part of a fleet's figure: its own share, or an even one of what others leave.
-    fn part(&self, name: &str, fronts: u32) -> f64 {
+    fn part(&self, name: &str, gatekeepers: u32) -> f64 {
         if let Some((_, part)) = self.share_of.iter().find(|s| s.0 == name) {
             return *part;
         }
         let told: f64 = self.share_of.iter().map(|s| s.1).sum();
-        let others = f64::from(fronts) - self.share_of.len() as f64;
+        let others = f64::from(gatekeepers) - self.share_of.len() as f64;
         (1.0 - told).max(0.0) / others.max(1.0)
     }
 
@@ -106,7 +106,7 @@
             districts: platform.districts.clone(),
             own: self.own.as_ref().and_then(district).or(told).unwrap_or(District::UNKNOWN),
             classes: platform.classes.iter().map(info).collect(),
-            part: self.part(&platform.name, platform.fronts),
+            part: self.part(&platform.name, platform.gatekeepers),
             bend: self.bend,
             rules: rules.collect(),
         }
@@ -127,7 +127,7 @@
         log_every: None,
         budgets: Vec::new(),
     };
-    let (mut seen, mut scopes): (_, Vec<(RuleConf, Place)>) = (Vec::new(), Vec::new());
+    let (mut seen, mut scopes): (_, Vec<(BudgetConf, Location)>) = (Vec::new(), Vec::new());
     for line in lines {
         let name = line.name.text.as_str();
         if !matches!(name, "budget") {
@@ -166,16 +166,16 @@
                     continue;
                 }
                 let Some(budget) = budget(line, names, problems) else { continue };
-                let same = |b: &&(RuleConf, Place)| b.0.pair == budget.pair && b.0.class == budget.class;
+                let same = |b: &&(BudgetConf, Location)| b.0.pair == budget.pair && b.0.class == budget.class;
                 if let Some((_, first)) = scopes.iter().find(same) {
                     let text = format!("a second budget of one scope, expected one; the first is at {first}");
-                    wrong(&line.name.place, text, problems);
+                    wrong(&line.name.location, text, problems);
                 }
-                scopes.push((budget.clone(), line.name.place.clone()));
+                scopes.push((budget.clone(), line.name.location.clone()));
                 conf.budgets.push(budget);
-                if conf.budgets.len() == MOST_BUDGETS + 1 {
-                    let text = format!("too many budgets, expected at most {MOST_BUDGETS}");
-                    wrong(&line.name.place, text, problems);
+                if conf.budgets.len() == MAX_BUDGETS + 1 {
+                    let text = format!("too many budgets, expected at most {MAX_BUDGETS}");
+                    wrong(&line.name.location, text, problems);
                 }
             }
             _ => unknown(line, KNOWN, problems),
@@ -190,13 +190,13 @@
     }
     let (name, part) = (&line.args[0], take(&line.args[1], percent, problems));
     if conf.share_of.iter().any(|s| s.0 == name.text) {
-        wrong(&name.place, format!("a second share of {:?}, expected one", name.text), problems);
+        wrong(&name.location, format!("a second share of {:?}, expected one", name.text), problems);
     }
     conf.share_of.push((name.text.clone(), part.unwrap_or(0.0)));
     let sum: f64 = conf.share_of.iter().map(|s| s.1).sum();
     if sum > 1.0 + 1e-9 {
         let text = format!("the shares add up to {:.0}%, expected at most 100%", sum * 100.0);
-        wrong(&line.args[1].place, text, problems);
+        wrong(&line.args[1].location, text, problems);
     }
 }
 
@@ -206,15 +206,15 @@
     form: &str,
     known: &[&str],
     problems: Problems,
-) -> Vec<(&'l str, &'l Word)> {
-    let mut found: Vec<(&str, &Word)> = Vec::new();
+) -> Vec<(&'l str, &'l Token)> {
+    let mut found: Vec<(&str, &Token)> = Vec::new();
     if !words(line, form, line.args.len().is_multiple_of(2) && !line.args.is_empty(), problems) {
         return found;
     }
     for pair in line.args.chunks(2) {
         let name = pair[0].text.as_str();
         if !known.contains(&name) || found.iter().any(|f| f.0 == name) {
-            wrong(&pair[0].place, format!("{name:?} makes no sense here, expected: {form}"), problems);
+            wrong(&pair[0].location, format!("{name:?} makes no sense here, expected: {form}"), problems);
         } else {
             found.push((name, &pair[1]));
         }
@@ -234,7 +234,7 @@
     }
     if bend.end >= bend.start {
         let text = "bending ends at or above its start, expected a lower end, so that it does not flap";
-        wrong(&line.name.place, text, problems);
+        wrong(&line.name.location, text, problems);
     }
     bend
 }
@@ -265,7 +265,11 @@
     let pair = pair.map(|(from, to)| (district(from, problems), district(to, problems)));
     if let Some((from, to)) = &pair {
         if from == to {
-            wrong(&line.name.place, format!("from {from} to {to} crosses nothing, expected two"), problems);
+            wrong(
+                &line.name.location,
+                format!("from {from} to {to} crosses nothing, expected two"),
+                problems,
+            );
         }
     }
     if let Some(at) = class {
@@ -274,12 +278,18 @@
     Some((pair, class.map(|at| args[at].text.clone())))
 }
 
-fn budget(line: &Directive, names: &Names, problems: Problems) -> Option<RuleConf> {
+fn budget(line: &Directive, names: &Names, problems: Problems) -> Option<BudgetConf> {
     const KNOWN: &[&str] = &["floor", "include", "overdraft", "rate", "share", "standing"];
     let scope = scope(line, names, problems);
-    let overdraft = Amount { value: OVERDRAFT, fleet: false };
-    let none =
-        Rule { scope: Scope::default(), rate: None, share: None, standing: None, overdraft, floor: FLOOR };
+    let overdraft = Amount { value: DEFAULT_OVERDRAFT, fleet: false };
+    let none = Rule {
+        scope: Scope::default(),
+        rate: None,
+        share: None,
+        standing: None,
+        overdraft,
+        floor: DEFAULT_FLOOR_RATIO,
+    };
     let (mut rule, mut seen) = (none, Vec::new());
     for inner in line.block.as_deref().unwrap_or_default() {
         block(inner, false, problems);
@@ -287,7 +297,7 @@
         if known && !once(&mut seen, inner, problems) {
             continue;
         }
-        let (fleet, args): (bool, Vec<&Word>) = match inner.args.split_last() {
+        let (fleet, args): (bool, Vec<&Token>) = match inner.args.split_last() {
             Some((last, rest)) if last.text == "fleet" => (true, rest.iter().collect()),
             _ => (false, inner.args.iter().collect()),
         };
@@ -301,7 +311,7 @@
                 let burst_at = burst;
                 let (per_s, burst) = (take(per_s, rate, problems), take(burst, count, problems));
                 if burst == Some(0.0) {
-                    wrong(&burst_at.place, "a burst of 0 lets nothing go, expected 1 or more", problems);
+                    wrong(&burst_at.location, "a burst of 0 lets nothing go, expected 1 or more", problems);
                 }
                 rule.rate = per_s.zip(burst).map(|(r, b)| Rate { per_s: amount(r), burst: amount(b) });
             }
@@ -313,7 +323,9 @@
             ("overdraft", [most]) => {
                 rule.overdraft = take(most, count, problems).map_or(overdraft, amount);
             }
-            ("floor", [part]) if !fleet => rule.floor = take(part, percent, problems).unwrap_or(FLOOR),
+            ("floor", [part]) if !fleet => {
+                rule.floor = take(part, percent, problems).unwrap_or(DEFAULT_FLOOR_RATIO)
+            }
             ("rate", _) => drop(words(inner, "rate RATE [burst COUNT] [fleet]", false, problems)),
             ("share", _) => drop(words(inner, "share SHARE over TIME", false, problems)),
             ("standing", _) => drop(words(inner, "standing COUNT [fleet]", false, problems)),
@@ -324,8 +336,8 @@
     }
     if !seen.iter().any(|(name, _)| matches!(name.as_str(), "rate" | "share" | "standing")) {
         let text = "a budget without a limit, expected rate, share or standing";
-        wrong(&line.name.place, text, problems);
+        wrong(&line.name.location, text, problems);
     }
     let (pair, class) = scope?;
-    Some(RuleConf { pair, class, rule })
+    Some(BudgetConf { pair, class, rule })
 }
--- a/crates/config/src/entries.rs
+++ b/crates/config/src/entries.rs
@@ -7,14 +7,14 @@
 use std::path::Path;
 
 use crate::check::{self, wrong};
-use crate::problem::{in_order, Place, Problem};
-use crate::syntax::{self, Directive, Word};
+use crate::problem::{in_order, Location, Problem};
+use crate::syntax::{self, Directive, Token};
 use crate::{Conf, Names};
 
 /// The blocks that belong to a fleet as a whole.
-const BLOCKS: &[&str] = &["crossings"];
+const FLEET_BLOCKS: &[&str] = &["crossings"];
 /// What of them each gatekeeper says for itself.
-const OWN: &[(&str, &str)] = &[("crossings", "own")];
+const PER_GATEKEEPER: &[(&str, &str)] = &[("crossings", "own")];
 
 /// An own configuration file as it was read, without the fleet's entries.
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
             let inner = match lines.iter_mut().find(|l| l.name.text == block) {
                 Some(found) => found.block.get_or_insert_default(),
                 None => {
-                    let name = Word { text: block, place: line.name.place.clone() };
+                    let name = Token { text: block, location: line.name.location.clone() };
                     lines.push(Directive { name, args: Vec::new(), block: Some(Vec::new()) });
                     lines.last_mut().expect("one was pushed").block.get_or_insert_default()
                 }
@@ -62,12 +62,12 @@
 /// The one directive of an entry, and the block to which it belongs.
 fn entry(name: &str, text: &str, problems: &mut Vec<Problem>) -> Option<(String, Directive)> {
     let file = format!("fleet settings {name}");
-    let place = Place { file: file.as_str().into(), line: 1, column: 1 };
+    let location = Location { file: file.as_str().into(), line: 1, column: 1 };
     let Some(block) =
-        BLOCKS.iter().find(|b| name.strip_prefix(**b).is_some_and(|rest| rest.starts_with('/')))
+        FLEET_BLOCKS.iter().find(|b| name.strip_prefix(**b).is_some_and(|rest| rest.starts_with('/')))
     else {
-        let text = format!("the fleet does not set this, expected an entry of {}", BLOCKS.join(", "));
-        wrong(&place, text, problems);
+        let text = format!("the fleet does not set this, expected an entry of {}", FLEET_BLOCKS.join(", "));
+        wrong(&location, text, problems);
         return None;
     };
     let before = problems.len();
@@ -76,40 +76,40 @@
         return None;
     }
     let (Some(line), true) = (lines.pop(), lines.is_empty()) else {
-        wrong(&place, "not one directive, expected one an entry", problems);
+        wrong(&location, "not one directive, expected one an entry", problems);
         return None;
     };
     own_only(block, &line, problems);
     no_include(&line, problems);
     if problems.len() == before && key(block, &line) != name {
         let text = format!("the text of another entry, expected that of {name:?}");
-        wrong(&place, text, problems);
+        wrong(&location, text, problems);
     }
     (problems.len() == before).then(|| (block.to_string(), line))
 }
 
 /// Notes a directive that each gatekeeper says for itself.
 fn own_only(block: &str, line: &Directive, problems: &mut Vec<Problem>) {
-    if OWN.contains(&(block, &line.name.text)) {
+    if PER_GATEKEEPER.contains(&(block, &line.name.text)) {
         let text = format!(
             "{:?} belongs to one gatekeeper, expected it in that one's own configuration",
             line.name.text
         );
-        wrong(&line.name.place, text, problems);
+        wrong(&line.name.location, text, problems);
     }
 }
 
 /// Notes an `include`: an entry names no files of the gatekeeper that takes it.
 fn no_include(line: &Directive, problems: &mut Vec<Problem>) {
     if line.name.text == "include" {
-        wrong(&line.name.place, "an entry includes no file, expected the lines themselves", problems);
+        wrong(&line.name.location, "an entry includes no file, expected the lines themselves", problems);
     }
     line.block.iter().flatten().for_each(|inner| no_include(inner, problems));
 }
 
 /// The name of a directive's entry: what may come more than once has its words in it.
 fn key(block: &str, line: &Directive) -> String {
-    let words: &[Word] = match line.name.text.as_str() {
+    let words: &[Token] = match line.name.text.as_str() {
         "budget" => &line.args,
         "share-of" => line.args.get(..1).unwrap_or_default(),
         _ => &[],
@@ -125,10 +125,12 @@
     let mut all = Vec::new();
     for line in &lines {
         let block = line.name.text.as_str();
-        if !BLOCKS.contains(&block) {
-            let text =
-                format!("{block:?} is no part of a fleet's settings, expected one of: {}", BLOCKS.join(", "));
-            wrong(&line.name.place, text, &mut problems);
+        if !FLEET_BLOCKS.contains(&block) {
+            let text = format!(
+                "{block:?} is no part of a fleet's settings, expected one of: {}",
+                FLEET_BLOCKS.join(", ")
+            );
+            wrong(&line.name.location, text, &mut problems);
             continue;
         }
         for inner in line.block.iter().flatten() {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -9,25 +9,25 @@
 
 use crate::check::{block, once, one_of, unknown, words, wrong};
 use crate::problem::Problem;
-use crate::syntax::{Directive, Word};
+use crate::syntax::{Directive, Token};
 use crate::values::{bytes_rate, count, duration, leaf_rate, percent, take};
 use crate::Names;
 
 /// Most members: each has a link to each other.
-pub const MOST_MEMBERS: usize = 64;
+pub const MAX_MEMBERS: usize = 64;
 
 /// Most relays: each has a link to each other.
-pub const MOST_RELAYS: usize = 16;
+pub const MAX_RELAYS: usize = 16;
 
 /// Most leaves that a relay may be told to take: each costs it a descriptor and a buffer.
-pub const MOST_LEAVES: usize = 4096;
+pub const MAX_LEAVES: usize = 4096;
 
 /// Longest name of a relay, zone, region or service, in bytes: each is said on links.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Leaves that a relay takes, and bytes a second that it says to each, by default.
-const LEAVES: usize = 400;
-const LEAF_RATE: f64 = 5.0 * 1024.0;
+const DEFAULT_MAX_LEAVES: usize = 400;
+const DEFAULT_LEAF_RATE_BYTES_PER_S: f64 = 5.0 * 1024.0;
 
 /// A member as the file names it.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,7 +42,7 @@
 
 /// Where a relay or a leaf stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Location {
+pub struct Locality {
     /// Its zone.
     pub zone: Option<String>,
     /// Its region, which holds zones.
@@ -57,7 +57,7 @@
     /// Where it takes links from leaves and from other relays.
     pub address: SocketAddr,
     /// Where it stands.
-    pub location: Location,
+    pub locality: Locality,
 }
 
 /// A tier of relays, where the block has `relay` lines.
@@ -66,7 +66,7 @@
     /// All relays.
     pub relays: Vec<RelayConf>,
     /// Where this process stands; at a relay its own line counts.
-    pub location: Location,
+    pub locality: Locality,
     /// The service whose calls this gatekeeper carries, which tells what it needs to hear.
     pub service: Option<String>,
     /// The relay at which changes of the fleet's settings enter.
@@ -74,9 +74,9 @@
     /// The file with the fleet's settings. Only the writer reads it.
     pub settings: Option<PathBuf>,
     /// Most leaves that a relay takes.
-    pub leaves: usize,
+    pub max_leaves: usize,
     /// Bytes a second that a relay says to one leaf.
-    pub leaf_rate: f64,
+    pub leaf_rate_bytes_per_s: f64,
 }
 
 impl Tier {
@@ -96,7 +96,7 @@
     /// All members, the own one among them.
     pub members: Vec<MemberConf>,
     /// Most that this member lends of its part of a budget that is the fleet's, 0 to 0.9.
-    pub lend: f64,
+    pub lend_ratio: f64,
     /// Times and bounds.
     pub settings: Settings,
     /// The tier of relays; then there are no members.
@@ -104,11 +104,11 @@
 }
 
 /// What is lent of a part by default.
-const LEND: f64 = 0.75;
+const DEFAULT_LEND_RATIO: f64 = 0.75;
 
 impl Fleet {
     /// The own member, by the name of the block or else the platform's.
-    pub fn own(&self, platform: &str) -> Option<&MemberConf> {
+    pub fn own_member(&self, platform: &str) -> Option<&MemberConf> {
         let name = self.own_name(platform);
         self.members.iter().find(|m| m.name == name)
     }
@@ -144,7 +144,14 @@
         "zone",
     ];
     let settings = Settings::default();
-    let mut fleet = Fleet { name: None, listen: None, members: Vec::new(), lend: LEND, settings, tier: None };
+    let mut fleet = Fleet {
+        name: None,
+        listen: None,
+        members: Vec::new(),
+        lend_ratio: DEFAULT_LEND_RATIO,
+        settings,
+        tier: None,
+    };
     let mut tier = TierLines::default();
     let mut seen = Vec::new();
     let mut named = None;
@@ -179,19 +186,19 @@
             ("records", [most]) => {
                 let most = take(most, count, problems).unwrap_or(s.catch_up.most as f64);
                 if most < 1.0 {
-                    wrong(&inner.name.place, "no records at all, expected 1 or more", problems);
+                    wrong(&inner.name.location, "no records at all, expected 1 or more", problems);
                 }
                 s.catch_up.most = most as usize;
             }
             ("lend", [part]) => {
-                fleet.lend = take(part, percent, problems).unwrap_or(LEND);
-                if fleet.lend > MOST {
+                fleet.lend_ratio = take(part, percent, problems).unwrap_or(DEFAULT_LEND_RATIO);
+                if fleet.lend_ratio > MOST {
                     let text = format!(
                         "{:.0}% of the own part is too much, expected at most {:.0}%",
-                        100.0 * fleet.lend,
+                        100.0 * fleet.lend_ratio,
                         100.0 * MOST
                     );
-                    wrong(&part.place, text, problems);
+                    wrong(&part.location, text, problems);
                 }
             }
             ("lend", _) => drop(words(inner, "lend SHARE", false, problems)),
@@ -205,33 +212,33 @@
             _ => unknown(inner, KNOWN, problems),
         }
     }
-    let place = &line.name.place;
+    let location = &line.name.location;
     let members = lines(line, "member").next();
     fleet.tier = tier.finish(members, problems);
     if fleet.tier.is_some() {
         finish_name(named, problems);
     } else if fleet.members.len() < 2 {
         let text = "a fleet of fewer than two members, expected `member NAME ADDRESS:PORT` for each";
-        wrong(place, text, problems);
+        wrong(location, text, problems);
     }
-    if fleet.members.len() > MOST_MEMBERS {
-        wrong(place, format!("too many members, expected at most {MOST_MEMBERS}"), problems);
+    if fleet.members.len() > MAX_MEMBERS {
+        wrong(location, format!("too many members, expected at most {MAX_MEMBERS}"), problems);
     }
-    let member = |own: &&Word| fleet.members.iter().any(|m| m.name == own.text);
+    let member = |own: &&Token| fleet.members.iter().any(|m| m.name == own.text);
     if let Some(own) = named.filter(|own| fleet.tier.is_none() && !member(own)) {
         let text = format!("{:?} is no member, expected one of the block", own.text);
-        wrong(&own.place, text, problems);
+        wrong(&own.location, text, problems);
     }
     let s = &fleet.settings;
     if s.membership.gone_after_s < 2.0 * s.membership.suspect_after_s {
         let text =
             "a member is gone before its silence is suspect, expected `gone` of twice `suspect` or more";
-        wrong(place, text, problems);
+        wrong(location, text, problems);
     }
     if s.forget < 2.0 * s.membership.gone_after_s {
         let text =
             "what a member held is forgotten before it is gone, expected `forget` of twice `gone` or more";
-        wrong(place, text, problems);
+        wrong(location, text, problems);
     }
     fleet
 }
@@ -241,7 +248,7 @@
     line.block.iter().flatten().filter(move |inner| inner.name.text == name)
 }
 
-fn finish_name(named: Option<&Word>, problems: &mut Vec<Problem>) {
+fn finish_name(named: Option<&Token>, problems: &mut Vec<Problem>) {
     if let Some(named) = named {
         take(named, short, problems);
     }
@@ -251,12 +258,12 @@
 #[derive(Default)]
 struct TierLines<'l> {
     relays: Vec<RelayConf>,
-    first: Option<&'l Word>,
+    first: Option<&'l Token>,
     /// Lines that mean something only where there are relays.
-    others: Vec<&'l Word>,
-    location: Location,
+    others: Vec<&'l Token>,
+    locality: Locality,
     service: Option<String>,
-    writer: Option<&'l Word>,
+    writer: Option<&'l Token>,
     settings: Option<PathBuf>,
     leaves: Option<f64>,
     leaf_rate: Option<f64>,
@@ -275,21 +282,20 @@
         }
         self.others.push(&line.name);
         match (name, &line.args[..]) {
-            ("zone", [word]) => self.location.zone = zone(word, names, problems),
-            ("region", [word]) => self.location.region = take(word, short, problems),
+            ("zone", [word]) => self.locality.zone = zone(word, names, problems),
+            ("region", [word]) => self.locality.region = take(word, short, problems),
             ("service", [word]) => self.service = take(word, short, problems),
             ("writer", [word]) => self.writer = Some(word),
             ("settings", [word]) => {
                 // Beside the file in which it stands, as with `include`.
-                let folder = Path::new(&*word.place.file).parent().unwrap_or(Path::new(""));
+                let folder = Path::new(&*word.location.file).parent().unwrap_or(Path::new(""));
                 self.settings = Some(folder.join(&word.text));
             }
             ("leaves", [word]) => {
                 self.leaves = take(word, count, problems);
-                if self.leaves.is_some_and(|leaves| !(1.0..=MOST_LEAVES as f64).contains(&leaves)) {
-                    let text =
-                        format!("{} leaves make no sense here, expected 1 to {MOST_LEAVES}", word.text);
-                    wrong(&word.place, text, problems);
+                if self.leaves.is_some_and(|leaves| !(1.0..=MAX_LEAVES as f64).contains(&leaves)) {
+                    let text = format!("{} leaves make no sense here, expected 1 to {MAX_LEAVES}", word.text);
+                    wrong(&word.location, text, problems);
                 }
             }
             ("leaf-rate", [word]) => self.leaf_rate = take(word, leaf_rate, problems),
@@ -309,20 +315,20 @@
             for word in self.others {
                 let text =
                     format!("{:?} without a relay, expected `relay NAME ADDRESS:PORT` lines", word.text);
-                wrong(&word.place, text, problems);
+                wrong(&word.location, text, problems);
             }
             return None;
         };
         if let Some(member) = member {
             let text = "`relay` and `member` lines in one block, expected relays for a tier or members alone";
-            wrong(&member.name.place, text, problems);
+            wrong(&member.name.location, text, problems);
         }
-        if self.relays.len() > MOST_RELAYS {
-            wrong(&first.place, format!("too many relays, expected at most {MOST_RELAYS}"), problems);
+        if self.relays.len() > MAX_RELAYS {
+            wrong(&first.location, format!("too many relays, expected at most {MAX_RELAYS}"), problems);
         }
         if let Some(word) = self.writer.filter(|word| !self.relays.iter().any(|r| r.name == word.text)) {
             let text = format!("{:?} is no relay, expected one of the block", word.text);
-            wrong(&word.place, text, problems);
+            wrong(&word.location, text, problems);
         }
         let writer = match (self.writer, self.relays.first()) {
             (Some(word), _) => word.text.clone(),
@@ -330,12 +336,12 @@
         };
         Some(Tier {
             relays: self.relays,
-            location: self.location,
+            locality: self.locality,
             service: self.service,
             writer,
             settings: self.settings,
-            leaves: self.leaves.map_or(LEAVES, |leaves| leaves as usize),
-            leaf_rate: self.leaf_rate.unwrap_or(LEAF_RATE),
+            max_leaves: self.leaves.map_or(DEFAULT_MAX_LEAVES, |leaves| leaves as usize),
+            leaf_rate_bytes_per_s: self.leaf_rate.unwrap_or(DEFAULT_LEAF_RATE_BYTES_PER_S),
         })
     }
 }
@@ -349,39 +355,39 @@
             return;
         }
     };
-    let mut location = Location::default();
+    let mut locality = Locality::default();
     for pair in rest.chunks(2) {
         match pair[0].text.as_str() {
-            "zone" if location.zone.is_none() => location.zone = zone(&pair[1], names, problems),
-            "region" if location.region.is_none() => location.region = take(&pair[1], short, problems),
+            "zone" if locality.zone.is_none() => locality.zone = zone(&pair[1], names, problems),
+            "region" if locality.region.is_none() => locality.region = take(&pair[1], short, problems),
             other => {
                 let text = format!("{other:?} makes no sense here, expected: {FORM}");
-                wrong(&pair[0].place, text, problems);
+                wrong(&pair[0].location, text, problems);
             }
         }
     }
     let (name_read, address_read) = (take(name, short, problems), take(address, socket, problems));
     let (Some(name_read), Some(address_read)) = (name_read, address_read) else { return };
     if relays.iter().any(|r| r.name == name_read) {
-        wrong(&name.place, format!("a second relay {name_read:?}, expected one"), problems);
+        wrong(&name.location, format!("a second relay {name_read:?}, expected one"), problems);
     } else if relays.iter().any(|r| MemberId::of(&r.name) == MemberId::of(&name_read)) {
-        wrong(&name.place, format!("{name_read:?} is too like another name, expected another"), problems);
+        wrong(&name.location, format!("{name_read:?} is too like another name, expected another"), problems);
     }
     if relays.iter().any(|r| r.address == address_read) {
-        wrong(&address.place, format!("a second relay at {address_read}, expected one"), problems);
+        wrong(&address.location, format!("a second relay at {address_read}, expected one"), problems);
     }
-    relays.push(RelayConf { name: name_read, address: address_read, location });
+    relays.push(RelayConf { name: name_read, address: address_read, locality });
 }
 
 /// A zone. Where the platform has districts it is one of them.
-fn zone(word: &Word, names: &Names, problems: &mut Vec<Problem>) -> Option<String> {
+fn zone(word: &Token, names: &Names, problems: &mut Vec<Problem>) -> Option<String> {
     let districts = names.districts.as_deref().filter(|districts| !districts.is_empty());
     one_of(word, "zone", districts, problems);
     take(word, short, problems)
 }
 
 fn short(text: &str) -> Result<String, &'static str> {
-    let fits = !text.is_empty() && text.len() <= LONGEST_NAME;
+    let fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
     fits.then(|| text.to_string()).ok_or("expected a name of 1 to 64 bytes")
 }
 
@@ -412,12 +418,16 @@
     }
     let Some(address_read) = take(address, socket, problems) else { return };
     if members.iter().any(|m| m.name == name.text) {
-        wrong(&name.place, format!("a second member {:?}, expected one", name.text), problems);
+        wrong(&name.location, format!("a second member {:?}, expected one", name.text), problems);
     } else if members.iter().any(|m| MemberId::of(&m.name) == MemberId::of(&name.text)) {
-        wrong(&name.place, format!("{:?} is too like another name, expected another", name.text), problems);
+        wrong(
+            &name.location,
+            format!("{:?} is too like another name, expected another", name.text),
+            problems,
+        );
     }
     if members.iter().any(|m| m.address == address_read) {
-        wrong(&address.place, format!("a second member at {address_read}, expected one"), problems);
+        wrong(&address.location, format!("a second member at {address_read}, expected one"), problems);
     }
     let district = district.map(|d| d.text.clone());
     members.push(MemberConf { name: name.text.clone(), address: address_read, district });
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -16,11 +16,11 @@
 
 use std::path::{Path, PathBuf};
 
-pub use crossings::{Crossings, Platform, RuleConf};
+pub use crossings::{BudgetConf, Crossings, Platform};
 pub use entries::{entries, OwnFile};
-pub use fleet::{Fleet, Location, MemberConf, RelayConf, Tier};
-pub use fleet::{LONGEST_NAME, MOST_LEAVES, MOST_MEMBERS, MOST_RELAYS};
-pub use problem::{Place, Problem};
+pub use fleet::{Fleet, Locality, MemberConf, RelayConf, Tier};
+pub use fleet::{MAX_LEAVES, MAX_MEMBERS, MAX_NAME_BYTES, MAX_RELAYS};
+pub use problem::{Location, Problem};
 
 /// The names that the platform's settings give; one that is not there cannot be held against the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -5,7 +5,7 @@
 
 /// A place in a file; lines and columns (in characters) count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Location {
     /// The file, as it was named.
     pub file: Rc<str>,
     /// The line.
@@ -14,7 +14,7 @@
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -24,29 +24,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What is wrong, and what was expected.
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.location, self.description)
     }
 }
 
 impl std::error::Error for Problem {}
 
-/// Sorted by place, within each file in the order of its lines; files in the order of their first mistake.
+/// Sorted by location, within each file in the order of its lines; files in the order of their first mistake.
 pub(crate) fn in_order(mut problems: Vec<Problem>) -> Vec<Problem> {
     let mut files: Vec<Rc<str>> = Vec::new();
     for problem in &problems {
-        if !files.contains(&problem.place.file) {
-            files.push(Rc::clone(&problem.place.file));
+        if !files.contains(&problem.location.file) {
+            files.push(Rc::clone(&problem.location.file));
         }
     }
-    let file = |p: &Problem| files.iter().position(|f| *f == p.place.file);
-    problems.sort_by_key(|p| (file(p), p.place.line, p.place.column));
+    let file = |p: &Problem| files.iter().position(|f| *f == p.location.file);
+    problems.sort_by_key(|p| (file(p), p.location.line, p.location.column));
     problems.dedup();
     problems
 }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -6,18 +6,18 @@
 
 use logos::Logos;
 
-use crate::problem::{Place, Problem};
+use crate::problem::{Location, Problem};
 
 /// Longest file, most files, deepest nesting of blocks and of files. Guards against a device, a pattern that
 /// takes in a whole disk, and a stack that runs out.
-const MOST_BYTES: u64 = 1 << 20;
-const MOST_FILES: usize = 256;
-const MOST_DEPTH: usize = 16;
+const MAX_FILE_BYTES: u64 = 1 << 20;
+const MAX_FILES: usize = 256;
+const MAX_DEPTH: usize = 16;
 
 #[derive(Logos, Clone, Copy, Debug, PartialEq)]
 #[logos(skip r"[ \t\r]+")]
 #[logos(skip(r"#[^\n]*", allow_greedy = true))]
-enum Token {
+enum TokenKind {
     #[token("\n")]
     Newline,
     #[token("{")]
@@ -27,21 +27,21 @@
     // Bare characters, escapes and quoted stretches in any mix, as a shell has them; a `#` inside a word
     // begins no comment.
     #[regex(r##"([^\s{}"'#\\]|\\[^\n]|"([^"\\]|\\[^\n])*"|'[^']*')([^\s{}"'\\]|\\[^\n]|"([^"\\]|\\[^\n])*"|'[^']*')*"##)]
-    Word,
+    Text,
 }
 
 /// A word and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Word {
+pub(crate) struct Token {
     pub text: String,
-    pub place: Place,
+    pub location: Location,
 }
 
 /// A line: its name, its arguments, and its block where it has one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Directive {
-    pub name: Word,
-    pub args: Vec<Word>,
+    pub name: Token,
+    pub args: Vec<Token>,
     pub block: Option<Vec<Directive>>,
 }
 
@@ -49,7 +49,7 @@
 pub(crate) fn read(path: &Path, problems: &mut Vec<Problem>) -> Vec<Directive> {
     let mut reader = Reader { open: Vec::new(), files: 0, problems };
     let name: Rc<str> = path.display().to_string().into();
-    reader.file(path, &Place { file: name, line: 1, column: 1 })
+    reader.file(path, &Location { file: name, line: 1, column: 1 })
 }
 
 /// Reads a text that is no file. An `include` in it stays a line.
@@ -103,12 +103,12 @@
 }
 
 impl Reader<'_> {
-    fn problem(&mut self, place: &Place, what: impl Into<String>) {
-        self.problems.push(Problem { place: place.clone(), what: what.into() });
+    fn problem(&mut self, location: &Location, what: impl Into<String>) {
+        self.problems.push(Problem { location: location.clone(), description: what.into() });
     }
 
     /// Reads one file; `from` is where it was asked for.
-    fn file(&mut self, path: &Path, from: &Place) -> Vec<Directive> {
+    fn file(&mut self, path: &Path, from: &Location) -> Vec<Directive> {
         let real = match std::fs::canonicalize(path) {
             Ok(real) => real,
             Err(error) => {
@@ -120,13 +120,13 @@
             self.problem(from, format!("{} includes itself, expected another file", path.display()));
             return Vec::new();
         }
-        if self.open.len() >= MOST_DEPTH || self.files >= MOST_FILES {
-            let what = format!("too many files, expected at most {MOST_FILES}, {MOST_DEPTH} deep");
+        if self.open.len() >= MAX_DEPTH || self.files >= MAX_FILES {
+            let what = format!("too many files, expected at most {MAX_FILES}, {MAX_DEPTH} deep");
             self.problem(from, what);
             return Vec::new();
         }
         self.files += 1;
-        let plain = std::fs::metadata(&real).is_ok_and(|m| m.is_file() && m.len() <= MOST_BYTES);
+        let plain = std::fs::metadata(&real).is_ok_and(|m| m.is_file() && m.len() <= MAX_FILE_BYTES);
         let bytes = match plain.then(|| std::fs::read(&real)) {
             Some(Ok(bytes)) => bytes,
             Some(Err(error)) => {
@@ -134,7 +134,7 @@
                 return Vec::new();
             }
             None => {
-                let what = format!("{} is no file of at most {MOST_BYTES} bytes", path.display());
+                let what = format!("{} is no file of at most {MAX_FILE_BYTES} bytes", path.display());
                 self.problem(from, what);
                 return Vec::new();
             }
@@ -144,8 +144,8 @@
             Ok(text) => text,
             Err(error) => {
                 let sound = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
-                let place = place(&name, &sound, sound.len());
-                self.problem(&place, "a byte that is no UTF-8, expected text");
+                let location = location(&name, &sound, sound.len());
+                self.problem(&location, "a byte that is no UTF-8, expected text");
                 return Vec::new();
             }
         };
@@ -166,15 +166,15 @@
                 continue;
             }
             if line.args.is_empty() || line.block.is_some() {
-                self.problem(&line.name.place, "include, expected the pattern of a file");
+                self.problem(&line.name.location, "include, expected the pattern of a file");
             }
             for pattern in &line.args {
                 let whole = path.parent().unwrap_or(Path::new("")).join(&pattern.text);
                 let found = match glob::glob(&whole.to_string_lossy()) {
-                    Ok(found) => found.filter_map(Result::ok).take(MOST_FILES + 1).collect::<Vec<PathBuf>>(),
+                    Ok(found) => found.filter_map(Result::ok).take(MAX_FILES + 1).collect::<Vec<PathBuf>>(),
                     Err(error) => {
                         self.problem(
-                            &pattern.place,
+                            &pattern.location,
                             format!("{:?} is no pattern: {}", pattern.text, error.msg),
                         );
                         continue;
@@ -183,10 +183,10 @@
                 // A pattern may match nothing; a plain name is meant to be there.
                 let plain = !pattern.text.contains(['*', '?', '[']);
                 if found.is_empty() && plain {
-                    self.problem(&pattern.place, format!("{} is not there", whole.display()));
+                    self.problem(&pattern.location, format!("{} is not there", whole.display()));
                 }
                 for file in found {
-                    all.extend(self.file(&file, &pattern.place));
+                    all.extend(self.file(&file, &pattern.location));
                 }
             }
         }
@@ -195,34 +195,34 @@
 }
 
 /// The place of a byte offset.
-fn place(file: &Rc<str>, text: &str, at: usize) -> Place {
+fn location(file: &Rc<str>, text: &str, at: usize) -> Location {
     let before = &text[..at];
     let start = before.rfind('\n').map_or(0, |n| n + 1);
     let (line, column) = (before.matches('\n').count() + 1, before[start..].chars().count() + 1);
-    Place { file: Rc::clone(file), line, column }
+    Location { file: Rc::clone(file), line, column }
 }
 
 struct Parser<'t, 'p> {
     file: Rc<str>,
     text: &'t str,
-    tokens: Vec<(Result<Token, ()>, std::ops::Range<usize>)>,
+    tokens: Vec<(Result<TokenKind, ()>, std::ops::Range<usize>)>,
     at: usize,
     problems: &'p mut Vec<Problem>,
 }
 
 impl<'t, 'p> Parser<'t, 'p> {
     fn new(file: Rc<str>, text: &'t str, problems: &'p mut Vec<Problem>) -> Self {
-        let tokens = Token::lexer(text).spanned().collect();
+        let tokens = TokenKind::lexer(text).spanned().collect();
         Parser { file, text, tokens, at: 0, problems }
     }
 
-    fn place(&self, at: usize) -> Place {
-        place(&self.file, self.text, at)
+    fn location(&self, at: usize) -> Location {
+        location(&self.file, self.text, at)
     }
 
     fn problem(&mut self, at: usize, what: impl Into<String>) {
-        let place = self.place(at);
-        self.problems.push(Problem { place, what: what.into() });
+        let location = self.location(at);
+        self.problems.push(Problem { location, description: what.into() });
     }
 
     fn lines(mut self) -> Vec<Directive> {
@@ -241,13 +241,13 @@
         let mut lines = Vec::new();
         while let Some((token, span)) = self.tokens.get(self.at).cloned() {
             match token {
-                Ok(Token::Newline) => self.at += 1,
-                Ok(Token::Close) => break,
-                Ok(Token::Open) => {
+                Ok(TokenKind::Newline) => self.at += 1,
+                Ok(TokenKind::Close) => break,
+                Ok(TokenKind::Open) => {
                     self.problem(span.start, "`{` opens a block of nothing, expected a directive before it");
                     self.at += 1;
                 }
-                Ok(Token::Word) | Err(()) => lines.extend(self.line(depth)),
+                Ok(TokenKind::Text) | Err(()) => lines.extend(self.line(depth)),
             }
         }
         lines
@@ -259,17 +259,17 @@
         let (mut opened, mut broken) = (None, false);
         while let Some((token, span)) = self.tokens.get(self.at).cloned() {
             match token {
-                Ok(Token::Newline | Token::Close) => break,
-                Ok(Token::Open) => {
+                Ok(TokenKind::Newline | TokenKind::Close) => break,
+                Ok(TokenKind::Open) => {
                     self.at += 1;
                     opened = Some(span.start);
                     break;
                 }
-                Ok(Token::Word) => {
-                    let place = self.place(span.start);
+                Ok(TokenKind::Text) => {
+                    let location = self.location(span.start);
                     // One word by the lexer's rule; the library takes its quotes and escapes away.
                     match shlex::split(&self.text[span.clone()]).as_deref() {
-                        Some([text]) => words.push(Word { text: text.clone(), place }),
+                        Some([text]) => words.push(Token { text: text.clone(), location }),
                         _ => self.problem(span.start, "quotes that make no word"),
                     }
                 }
@@ -280,7 +280,7 @@
                         "a quote or an escape without its end, expected a closing quote",
                     );
                     // What follows an open quote cannot be told; the next line can.
-                    while self.tokens.get(self.at).is_some_and(|t| t.0 != Ok(Token::Newline)) {
+                    while self.tokens.get(self.at).is_some_and(|t| t.0 != Ok(TokenKind::Newline)) {
                         self.at += 1;
                     }
                     break;
@@ -300,11 +300,11 @@
 
     fn body(&mut self, opened: usize, depth: usize) -> Vec<Directive> {
         match self.tokens.get(self.at).cloned() {
-            None | Some((Ok(Token::Newline | Token::Close), _)) => {}
+            None | Some((Ok(TokenKind::Newline | TokenKind::Close), _)) => {}
             Some((_, span)) => self.problem(span.start, "words after `{`, expected the end of the line"),
         }
-        if depth >= MOST_DEPTH {
-            self.problem(opened, format!("blocks nested too deep, expected at most {MOST_DEPTH}"));
+        if depth >= MAX_DEPTH {
+            self.problem(opened, format!("blocks nested too deep, expected at most {MAX_DEPTH}"));
             self.at = self.tokens.len();
             return Vec::new();
         }
@@ -314,7 +314,7 @@
             None => self.problem(opened, "the block is not closed, expected `}`"),
         }
         match self.tokens.get(self.at).cloned() {
-            None | Some((Ok(Token::Newline | Token::Close), _)) => {}
+            None | Some((Ok(TokenKind::Newline | TokenKind::Close), _)) => {}
             Some((_, span)) => self.problem(span.start, "words after `}`, expected the end of the line"),
         }
         lines
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,7 +1,7 @@
 //! Arguments and their units.
 
 use crate::problem::Problem;
-use crate::syntax::Word;
+use crate::syntax::Token;
 
 /// What went wrong with a value: what was expected.
 type Read<T> = Result<T, &'static str>;
@@ -78,11 +78,15 @@
 }
 
 /// Reads a word with one of the above; a mistake is noted and nothing is there.
-pub(crate) fn take<T>(word: &Word, read: impl Fn(&str) -> Read<T>, problems: &mut Vec<Problem>) -> Option<T> {
+pub(crate) fn take<T>(
+    word: &Token,
+    read: impl Fn(&str) -> Read<T>,
+    problems: &mut Vec<Problem>,
+) -> Option<T> {
     read(&word.text)
         .map_err(|expected| {
             let what = format!("{:?} makes no sense here, {expected}", word.text);
-            problems.push(Problem { place: word.place.clone(), what });
+            problems.push(Problem { location: word.location.clone(), description: what });
         })
         .ok()
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -69,7 +69,7 @@
         districts: names().districts.unwrap(),
         own: Some(0),
         classes: names().classes.unwrap().into_iter().map(|c| (c, 1.5)).collect(),
-        fronts: 4,
+        gatekeepers: 4,
     };
     let settings = crossings.settings(&platform);
     assert_eq!((settings.own, settings.part), (District(2), 0.4));
@@ -260,8 +260,8 @@
         (s.membership.suspect_after_s, s.membership.gone_after_s, s.forget, s.digest),
         (0.5, 3.0, 300.0, 1.0)
     );
-    assert_eq!(fleet.lend, 0.4);
-    assert_eq!(fleet.own("platform").map(|m| m.name.as_str()), Some("a"), "the block's name wins");
+    assert_eq!(fleet.lend_ratio, 0.4);
+    assert_eq!(fleet.own_member("platform").map(|m| m.name.as_str()), Some("a"), "the block's name wins");
     assert_eq!(fleet.listen.map(|l| l.to_string()), Some("0.0.0.0:7100".into()));
     assert_eq!(fleet.members[0].district.as_deref(), Some("east"));
 
@@ -269,7 +269,8 @@
                 10.0.0.1:7100\n member c [::1]:7100\n member d\n name z\n suspect 2s\n gone 1s\n forget soon\n records \
                 0\n catch-up rate 1MiB/s\n catch-up within 1s\n listens 1.2.3.4:5\n lend 95%\n}\n";
     let problems = read(text).unwrap_err();
-    let told: Vec<(usize, &str)> = problems.iter().map(|p| (p.place.line, p.what.as_str())).collect();
+    let told: Vec<(usize, &str)> =
+        problems.iter().map(|p| (p.location.line, p.description.as_str())).collect();
     for (line, what) in [
         (3, "unknown district \"north\""),
         (16, "95% of the own part is too much, expected at most 90%"),
@@ -291,5 +292,5 @@
         );
     }
     let few = read("fleet {\n member a 10.0.0.1:7100\n}\n").unwrap_err();
-    assert!(few[0].what.contains("fewer than two members"), "{few:?}");
+    assert!(few[0].description.contains("fewer than two members"), "{few:?}");
 }
--- a/crates/config/tests/tier.rs
+++ b/crates/config/tests/tier.rs
@@ -52,21 +52,21 @@
     let files = Files::new(&[("f", &format!("fleet {{\n{inner}}}\n"))]);
     let fleet = load(&files.path("f"), &names()).unwrap().fleet.unwrap();
     assert_eq!((fleet.own_name("n1"), fleet.members.len()), ("n7", 0));
-    assert!(fleet.own("n1").is_none(), "a tier has no members");
+    assert!(fleet.own_member("n1").is_none(), "a tier has no members");
     let tier = fleet.tier.unwrap();
     assert_eq!(tier.relays.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), ["r1", "r2", "r3"]);
     let first = tier.relay("r1").unwrap();
     assert_eq!(first.address.to_string(), "10.0.0.1:7100");
     assert_eq!(
-        (first.location.zone.as_deref(), first.location.region.as_deref()),
+        (first.locality.zone.as_deref(), first.locality.region.as_deref()),
         (Some("downtown"), Some("west"))
     );
     assert_eq!(
-        (tier.location.zone.as_deref(), tier.location.region.as_deref()),
+        (tier.locality.zone.as_deref(), tier.locality.region.as_deref()),
         (Some("riverside"), Some("west"))
     );
     assert_eq!((tier.service.as_deref(), tier.writer.as_str()), (Some("valves"), "r2"));
-    assert_eq!((tier.leaves, tier.leaf_rate), (200, 4096.0));
+    assert_eq!((tier.max_leaves, tier.leaf_rate_bytes_per_s), (200, 4096.0));
     assert_eq!(tier.settings, Some(files.path("the fleet.conf")), "beside the file in which it is named");
     assert!(tier.relay("n7").is_none());
 }
@@ -75,7 +75,7 @@
 fn what_a_tier_leaves_out_has_its_defaults() {
     let fleet = fleet(RELAYS, &names()).unwrap().fleet.unwrap();
     let tier = fleet.tier.as_ref().unwrap();
-    assert_eq!((tier.writer.as_str(), tier.leaves, tier.leaf_rate), ("r1", 400, 5120.0));
+    assert_eq!((tier.writer.as_str(), tier.max_leaves, tier.leaf_rate_bytes_per_s), ("r1", 400, 5120.0));
     assert_eq!((tier.settings.as_deref(), tier.service.as_deref()), (None, None));
     assert_eq!(fleet.own_name("n1"), "n1");
     let one = self::fleet("relay r1 10.0.0.1:7100\n", &names()).unwrap();
--- a/crates/drive/src/plain.rs
+++ b/crates/drive/src/plain.rs
@@ -82,7 +82,7 @@
     }
 
     fn set_up(&mut self, caller: u64, message: &Message, world: &World) {
-        let first = message.text(code::FIGURES).and_then(|figures| {
+        let first = message.text(code::ATTRIBUTES).and_then(|figures| {
             figures.split(';').find_map(|figure| figure.strip_prefix("dest:")?.parse::<usize>().ok())
         });
         let mut passed_on = Message::new(kind::SET_UP, message.call);
--- a/crates/gatekeeper/src/node/clients.rs
+++ b/crates/gatekeeper/src/node/clients.rs
@@ -25,9 +25,9 @@
 use super::steering::{self, Steering};
 use hollypaddle_core::calls::{Calls, OfferError, Origin, Reply};
 use hollypaddle_platform::boundary::{Candidate, Verdict};
-use hollypaddle_platform::connection::{Connection, Over};
-use hollypaddle_platform::message::{cause, kind, Message, MOST};
-use hollypaddle_service::drain::KeptFor;
+use hollypaddle_platform::connection::{CloseReason, Connection};
+use hollypaddle_platform::message::{cause, kind, Message, MAX_MESSAGE_BYTES};
+use hollypaddle_service::drain::KeepReason;
 
 /// Longest time after which a caller refused by an overloaded gatekeeper may try again, in seconds. The longest time that callers
 /// accept applies if it is shorter.
@@ -59,7 +59,7 @@
     /// A write or a poll failed: the connection was reset, and the kernel reports that only once.
     reset_seen: bool,
     /// Why the connection was last kept in a drain; logged when it changes.
-    kept_for: Option<KeptFor>,
+    kept_for: Option<KeepReason>,
 }
 
 /// The most significant message sent on a connection so far.
@@ -131,7 +131,8 @@
         let listener_key = poller.add(&listener, false)?;
         let (listener, connections) = (Some(listener), BTreeMap::new());
         let (accept_paused, undelivered_ends) = (false, VecDeque::new());
-        let max_unwritten_bytes = (memory_bytes / max_connections).clamp(2 * MOST, 8 * MOST);
+        let max_unwritten_bytes =
+            (memory_bytes / max_connections).clamp(2 * MAX_MESSAGE_BYTES, 8 * MAX_MESSAGE_BYTES);
         let refused_classes = Vec::new();
         Ok(Clients {
             address,
@@ -278,7 +279,7 @@
     fn read(&mut self, now: f64, key: Key, poller: &Poller, calls: &mut Calls) {
         let Some(client) = self.connections.get_mut(&key) else { return };
         let mut messages = Vec::new();
-        let mut end = client.connection.read_judged(&mut messages, &judge);
+        let mut end = client.connection.read_checked(&mut messages, &judge);
         for message in messages {
             if let Err(reason) = self.receive(now, key, &message, poller, calls) {
                 end = Err(reason);
@@ -383,7 +384,7 @@
         message: &Message,
         poller: &Poller,
         calls: &mut Calls,
-    ) -> Result<(), Over> {
+    ) -> Result<(), CloseReason> {
         let Some(client) = self.connections.get_mut(&key) else { return Ok(()) };
         match message.kind {
             kind::SET_UP => {
@@ -392,7 +393,7 @@
                     client.set_up_after_reply_at = Some(now);
                 }
                 let refusal = match parse_request(message, &self.classes) {
-                    Err(cause) => Message::new(kind::RELEASE, message.call).caused(cause),
+                    Err(cause) => Message::new(kind::RELEASE, message.call).with_cause(cause),
                     Ok(_)
                         if !calls.is_known(message.call)
                             && self.refuse_if_draining(now, key, message, poller) =>
@@ -411,10 +412,10 @@
                             return Ok(());
                         }
                         Err(OfferError::KnownId) => {
-                            Message::new(kind::RELEASE, message.call).caused(cause::INVALID_PARAMETER)
+                            Message::new(kind::RELEASE, message.call).with_cause(cause::INVALID_PARAMETER)
                         }
                         Err(OfferError::DuplicateId) => {
-                            return Err(Over::Improper("duplicate set-up of an open call"))
+                            return Err(CloseReason::UnexpectedMessage("duplicate set-up of an open call"))
                         }
                     },
                 };
@@ -424,17 +425,17 @@
                 let invalid_set_ups = client.invalid_set_ups;
                 self.send(now, key, &refusal, BestReply::Notice, poller);
                 if invalid_set_ups >= MAX_INVALID_SET_UPS {
-                    return Err(Over::Improper("too many invalid set-ups"));
+                    return Err(CloseReason::UnexpectedMessage("too many invalid set-ups"));
                 }
             }
             kind::RELEASE => {
                 client.used_at = now;
                 calls.caller_release(now, message.call);
             }
-            kind::RELEASE_HEARD => client.pending_ends.confirm(|end| end.id == message.call),
+            kind::RELEASE_COMPLETE => client.pending_ends.confirm(|end| end.id == message.call),
             kind::TEST => {
                 client.used_at = now;
-                let passed = Message::new(kind::TEST_RESULT, message.call).caused(1);
+                let passed = Message::new(kind::TEST_RESULT, message.call).with_cause(1);
                 self.send(now, key, &passed, BestReply::Notice, poller);
             }
             _ => {}
@@ -503,8 +504,8 @@
 /// caller's deadline.
 fn judge(candidate: Candidate) -> Verdict {
     match candidate.verdict(|_| false) {
-        Verdict::CutShort => Verdict::CutShort,
-        Verdict::Whole | Verdict::Undecided => Verdict::Whole,
+        Verdict::Truncated => Verdict::Truncated,
+        Verdict::Complete | Verdict::Undecided => Verdict::Complete,
     }
 }
 
@@ -519,11 +520,11 @@
     }
 
     /// Handles the result of a write.
-    fn handle_write_result(&mut self, key: Key, written: &Result<(), Over>) {
+    fn handle_write_result(&mut self, key: Key, written: &Result<(), CloseReason>) {
         match written {
             Ok(()) => {}
             // The caller does not read. The poller reports the socket after the shutdown, and it is closed then.
-            Err(Over::Stuck) => drop(self.connection.stream().shutdown(Shutdown::Both)),
+            Err(CloseReason::WriteBacklog) => drop(self.connection.stream().shutdown(Shutdown::Both)),
             // The poller reports a broken connection too.
             Err(error) => {
                 self.reset_seen = true;
--- a/crates/gatekeeper/src/node/clients/closing.rs
+++ b/crates/gatekeeper/src/node/clients/closing.rs
@@ -3,7 +3,7 @@
 use std::net::{Shutdown, TcpStream};
 
 use hollypaddle_core::calls::{Calls, Reply};
-use hollypaddle_platform::connection::{Connection, Over};
+use hollypaddle_platform::connection::{CloseReason, Connection};
 
 use super::ends::CallEnd;
 use super::reply::encode_reply;
@@ -86,8 +86,8 @@
                 let unused =
                     c.is_unused(now, NO_REPLY_TIMEOUT_S, IDLE_TIMEOUT_S) && !is_needed(key, reserved, calls);
                 match c.connection.stalled(now, NO_REPLY_TIMEOUT_S) {
-                    true => Some(Over::Stalled),
-                    false => unused.then_some(Over::Idle),
+                    true => Some(CloseReason::IncompleteMessage),
+                    false => unused.then_some(CloseReason::Idle),
                 }
             };
             if self.connections.get_mut(&key).is_some_and(|c| reason(c, calls).is_some()) {
@@ -105,7 +105,7 @@
         &mut self,
         now: f64,
         key: Key,
-        reason: impl Fn(&mut Client, &Calls) -> Option<Over>,
+        reason: impl Fn(&mut Client, &Calls) -> Option<CloseReason>,
         poller: &Poller,
         calls: &mut Calls,
     ) -> bool {
@@ -119,7 +119,7 @@
     /// Closes every connection once its unwritten bytes are written.
     pub fn close_all(&mut self, now: f64, poller: &Poller, calls: &mut Calls) {
         let keys: Vec<Key> = self.connections.keys().copied().collect();
-        keys.into_iter().for_each(|key| self.close_if_over(now, key, Err(Over::Idle), poller, calls));
+        keys.into_iter().for_each(|key| self.close_if_over(now, key, Err(CloseReason::Idle), poller, calls));
     }
 
     /// Whether any connection that was closed here is not yet closed by its peer.
@@ -144,8 +144,8 @@
             poller.set_interest(key, closing.connection.stream(), true, false);
             drop(closing.connection.stream().shutdown(Shutdown::Write));
         }
-        let Err(reason) = written.and_then(|()| closing.connection.pass_over()) else { return };
-        let reset = matches!(reason, Over::Broken(_)) || is_reset(&closing.connection);
+        let Err(reason) = written.and_then(|()| closing.connection.discard_input()) else { return };
+        let reset = matches!(reason, CloseReason::Broken(_)) || is_reset(&closing.connection);
         self.remove_closing(now, key, if reset { CloseKind::Reset } else { CloseKind::Graceful }, poller);
     }
 
@@ -193,7 +193,7 @@
         &mut self,
         now: f64,
         key: Key,
-        end: Result<(), Over>,
+        end: Result<(), CloseReason>,
         poller: &Poller,
         calls: &mut Calls,
     ) {
@@ -202,8 +202,8 @@
         log::debug!(caller = key, reason:% = error; "caller-closed");
         let Some(client) = self.connections.remove(&key) else { return };
         match error {
-            Over::Closed | Over::Broken(_) => {
-                let reset = client.reset_seen || matches!(error, Over::Broken(_));
+            CloseReason::Closed | CloseReason::Broken(_) => {
+                let reset = client.reset_seen || matches!(error, CloseReason::Broken(_));
                 self.handle_close_by_caller(now, key, client.connection, client.pending_ends, reset, poller);
             }
             _ if client.reset_seen => {
--- a/crates/gatekeeper/src/node/clients/draining.rs
+++ b/crates/gatekeeper/src/node/clients/draining.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use hollypaddle_core::calls::{Calls, Reply};
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::connection::CloseReason;
 use hollypaddle_platform::message::Message;
-use hollypaddle_service::drain::{self, Decision, KeptFor};
+use hollypaddle_service::drain::{self, Decision, KeepReason};
 
 use super::reply::encode_reply;
 use super::set_up::class_index;
@@ -61,7 +61,7 @@
     /// Whether the drain closes connections as soon as nothing is pending on them, which may happen in every iteration of the
     /// event loop.
     pub fn closes_idle_immediately(&self, now: f64) -> bool {
-        self.drain.as_ref().is_some_and(|drain| now - drain.started_at >= drain::FIRM_AFTER_S)
+        self.drain.as_ref().is_some_and(|drain| now - drain.started_at >= drain::BUSY_CLOSE_AFTER_S)
     }
 
     /// While drained, closes the connections that can go now; returns what must be done before others can. With
@@ -80,7 +80,7 @@
         let end_path = self.end_path(now, started_at, &kept, calls);
         let mut actions = DrainActions { kept, ..DrainActions::default() };
         let mut closing = Vec::new();
-        let decide = |state: &drain::Connection| match drain::decide(now, started_at, state) {
+        let decide = |state: &drain::ConnectionState| match drain::decide(now, started_at, state) {
             Decision::CutCalls if sent_elsewhere => Decision::Close,
             decision => decision,
         };
@@ -96,7 +96,7 @@
         for key in closing {
             let reason = |client: &mut Client, calls: &Calls| {
                 let state = client.state(key, end_path, calls);
-                (decide(&state) == Decision::Close).then_some(Over::Drained)
+                (decide(&state) == Decision::Close).then_some(CloseReason::Drained)
             };
             self.drain_counts.closed += u64::from(self.close_if(now, key, reason, poller, calls));
         }
@@ -106,7 +106,7 @@
         if actions.cut_calls {
             self.send_all_undelivered(now, poller, calls);
         }
-        if now - started_at >= drain::TERM_S {
+        if now - started_at >= drain::DEADLINE_S {
             self.log_term(now, calls);
         }
         actions
@@ -145,7 +145,7 @@
     /// Returns the connections that stay for calls of their own.
     fn connections_to_keep(&self, now: f64, started_at: f64, calls: &Calls) -> BTreeSet<Key> {
         let stays = |(key, client): &(&Key, &Client)| {
-            !client.reset_seen && drain::may_stay(now, started_at, &client.state(**key, None, calls))
+            !client.reset_seen && drain::may_remain(now, started_at, &client.state(**key, None, calls))
         };
         self.connections.iter().filter(stays).map(|(key, _)| *key).collect()
     }
@@ -160,7 +160,7 @@
         let usable = self.connections.iter().filter(|(_, client)| !client.reset_seen);
         let fitness = |key: Key, client: &Client| {
             let (reads, may_stay, unused) =
-                drain::fitness_for_ends(now, started_at, &client.state(key, None, calls));
+                drain::end_delivery_rank(now, started_at, &client.state(key, None, calls));
             ((reads, may_stay, client.best_reply), unused)
         };
         let fittest = usable.max_by(|(a_key, a), (b_key, b)| {
@@ -180,31 +180,32 @@
         let idle = held()
             .filter(|(key, _)| calls.open_count(**key) == 0 && calls.standing_count(**key) == 0)
             .count();
-        let is_in_use = |client: &Client| client.last_set_up_at.is_some_and(|at| now - at < drain::IN_USE_S);
+        let is_in_use =
+            |client: &Client| client.last_set_up_at.is_some_and(|at| now - at < drain::IN_USE_WINDOW_S);
         let in_use = held().filter(|(_, client)| is_in_use(client)).count();
         log::info!(held = held().count(), waiting, standing, idle, in_use; "drain-term");
     }
 }
 
 impl Client {
-    fn state(&self, key: Key, end_path: Option<Key>, calls: &Calls) -> drain::Connection {
-        drain::Connection {
+    fn state(&self, key: Key, end_path: Option<Key>, calls: &Calls) -> drain::ConnectionState {
+        drain::ConnectionState {
             since: self.connected_at,
-            used_at: self.used_at,
-            asked_at: self.last_set_up_at,
-            told: self.best_reply != BestReply::None,
-            asks_again: self.set_up_after_reply_at.is_some(),
+            last_used_at: self.used_at,
+            last_set_up_at: self.last_set_up_at,
+            sent_anything: self.best_reply != BestReply::None,
+            set_up_after_reply: self.set_up_after_reply_at.is_some(),
             // An answer that arrived in this iteration of the event loop is not written yet.
             open: calls.open_count(key) + usize::from(calls.has_pending_reply(key)),
             standing: calls.standing_count(key),
             writing: self.connection.blocked(),
-            reading: self.connection.holds_part(),
-            end_path: Some(key) == end_path,
+            reading: self.connection.has_partial_message(),
+            delivers_other_ends: Some(key) == end_path,
         }
     }
 
     /// Logs why the connection stays, if the reason has changed.
-    fn log_kept(&mut self, key: Key, reason: KeptFor, state: &drain::Connection) {
+    fn log_kept(&mut self, key: Key, reason: KeepReason, state: &drain::ConnectionState) {
         if self.kept_for.replace(reason) != Some(reason) {
             log::debug!(caller = key, reason:%, open = state.open, standing = state.standing; "drain-kept");
         }
--- a/crates/gatekeeper/src/node/clients/eviction.rs
+++ b/crates/gatekeeper/src/node/clients/eviction.rs
@@ -1,7 +1,7 @@
 //! Eviction of unused client connections, to free slots for new ones when the maximum is reached.
 
 use hollypaddle_core::calls::Calls;
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::connection::CloseReason;
 
 use super::closing::RESET_WAIT_S;
 use super::{BestReply, Client, Clients};
@@ -36,7 +36,7 @@
             }
             let reserved = self.reserved_connection(calls);
             let reason = |c: &mut Client, calls: &Calls| {
-                is_evictable(now, key, c, reserved, calls).then_some(Over::Idle)
+                is_evictable(now, key, c, reserved, calls).then_some(CloseReason::Idle)
             };
             self.close_if(now, key, reason, poller, calls);
             if self.socket_count() < self.max_connections {
--- a/crates/gatekeeper/src/node/clients/set_up.rs
+++ b/crates/gatekeeper/src/node/clients/set_up.rs
@@ -13,7 +13,7 @@
 pub(super) fn parse_request(message: &Message, classes: &[ProtocolClass]) -> Result<Request, u8> {
     let field = |code| message.bytes(code).ok_or(cause::MISSING_PARAMETER);
     let (class, wait) = (field(code::CLASS)?, field(code::WAIT)?);
-    let (number, figures) = (field(code::NUMBER)?, field(code::FIGURES)?);
+    let (number, figures) = (field(code::NUMBER)?, field(code::ATTRIBUTES)?);
     let description = Some(field(code::DESCRIPTION)?.to_vec());
     let parsed = || {
         // A name may have several numbers; the last live one takes new calls: see `hollypaddle_service::classes`.
@@ -22,7 +22,8 @@
         let wait = parse_digits(wait)? / 1000.0;
         let dialled = parse_hex(number)?;
         let first = parse_first_choice(std::str::from_utf8(figures).ok()?, class)?;
-        let valid = message.call != 0 && !message.repeats() && wait > 0.0 && wait <= class.max_wait;
+        let valid =
+            message.call != 0 && !message.has_duplicate_parameters() && wait > 0.0 && wait <= class.max_wait;
         let content = Content { number: number.to_vec(), description };
         let id = message.call;
         valid.then_some(Request { id, class: index, wait, dialled, first_choice: first, content })
--- a/crates/gatekeeper/src/node/components.rs
+++ b/crates/gatekeeper/src/node/components.rs
@@ -344,7 +344,9 @@
     fn prepare(&mut self, ctx: &mut ComponentContext, _: &Conf, new: &Conf) -> io::Result<()> {
         let Some(conf) = fleet_without_relays(new) else { return Ok(()) };
         let name = &ctx.platform.name;
-        if conf.own(name).is_none() || !self.joined.as_ref().is_some_and(|f| f.keeps_identity(conf, name)) {
+        if conf.own_member(name).is_none()
+            || !self.joined.as_ref().is_some_and(|f| f.keeps_identity(conf, name))
+        {
             self.prepared = Some(Fleet::join(ctx.now, conf, name, ctx.seed, ctx.calls, ctx.poller)?);
         }
         Ok(())
@@ -388,7 +390,7 @@
             fleet.set_classes(ctx.class_names);
         }
         if let Some(conf) = fleet_without_relays(new) {
-            self.shares.get_or_insert_with(|| Shares::new(ctx.now, conf.lend)).change(conf.lend);
+            self.shares.get_or_insert_with(|| Shares::new(ctx.now, conf.lend_ratio)).change(conf.lend_ratio);
         }
         Some(format!("fleet-{word}"))
     }
--- a/crates/gatekeeper/src/node/config.rs
+++ b/crates/gatekeeper/src/node/config.rs
@@ -232,7 +232,7 @@
         value => Err(ConfigError::OutOfRange { field, value, expected }),
     };
     let classes = settings.classes.len();
-    if classes == 0 || classes > hollypaddle_service::classes::MOST {
+    if classes == 0 || classes > hollypaddle_service::classes::MAX_CLASS_NUMBERS {
         let expected = "a list of 1 to 256 classes";
         return Err(ConfigError::OutOfRange {
             field: "settings.requestClasses".into(),
@@ -360,7 +360,7 @@
             districts: section.zones.clone(),
             own: section.zone.filter(|zone| *zone < section.zones.len()),
             classes: names.zip(settings.classes.iter().map(|c| c.goal_time)).collect(),
-            fronts: settings.gatekeepers,
+            gatekeepers: settings.gatekeepers,
         };
         let servers_report_state = telemetry.has_fields();
         let min_goal_time = settings.classes.iter().map(|c| c.goal_time).fold(MAX_GOAL_TIME_S, f64::min);
--- a/crates/gatekeeper/src/node/event_loop.rs
+++ b/crates/gatekeeper/src/node/event_loop.rs
@@ -24,9 +24,9 @@
 use hollypaddle_core::calls::{Calls, Command, Effect};
 use hollypaddle_core::wheel::TimerWheel;
 use hollypaddle_policy::ClassSettings;
-use hollypaddle_service::classes::Table;
-use hollypaddle_service::descriptors::{self, Descriptors};
-use hollypaddle_service::figures::{Figures, Outcome, OTHER};
+use hollypaddle_service::classes::ClassTable;
+use hollypaddle_service::descriptors::{self, DescriptorBudget};
+use hollypaddle_service::figures::{Figures, Outcome, OTHER_CLASS};
 use hollypaddle_service::lifecycle::{Lifecycle, Phase};
 
 /// A tick of the timer wheel, in seconds.
@@ -76,7 +76,7 @@
 mod stopping;
 
 /// Returns a function that tells whether set-ups of a class, given by its number, may be repeated.
-fn repeatable(classes: &Table<(ClassSettings, ProtocolClass)>) -> impl Fn(usize) -> bool + '_ {
+fn repeatable(classes: &ClassTable<(ClassSettings, ProtocolClass)>) -> impl Fn(usize) -> bool + '_ {
     |class| classes.entries().get(class).is_some_and(|entry| entry.settings.0.repeatable)
 }
 
@@ -121,7 +121,7 @@
     /// The names of the classes, indexed by number.
     class_names: Vec<String>,
     /// All classes since the start, indexed by number.
-    classes: Table<(ClassSettings, ProtocolClass)>,
+    classes: ClassTable<(ClassSettings, ProtocolClass)>,
     started: f64,
     /// Calls that were established in this iteration, but whose caller could not be sent the answer.
     undelivered: Vec<u64>,
@@ -169,13 +169,14 @@
             .as_ref()
             .map_or(0, |fleet| super::tier::max_link_descriptors(fleet, &config.name));
         let control_descriptors = config.control.map_or(0, |_| super::http::MAX_CONNECTIONS + 1);
-        let fixed = descriptors::FIXED + control_descriptors;
-        let descriptors = Descriptors { all: config.max_sockets.saturating_sub(link_descriptors), fixed };
+        let fixed = descriptors::FIXED_DESCRIPTORS + control_descriptors;
+        let descriptors =
+            DescriptorBudget { total: config.max_sockets.saturating_sub(link_descriptors), fixed };
         let listed = config.initial_list.servers.len();
-        if !descriptors.suffice(listed) {
+        if !descriptors.is_sufficient(listed) {
             log::warn!(sockets = config.max_sockets, servers = listed; "descriptors-short");
         }
-        let max_callers = descriptors.divided(listed).callers;
+        let max_callers = descriptors.allocate(listed).callers;
         let clients = Clients::listen(
             config.listen,
             max_callers,
@@ -189,7 +190,7 @@
         };
         let class_names: Vec<String> = config.protocol.classes.iter().map(|c| c.name.clone()).collect();
         let both = config.settings.classes.iter().cloned().zip(config.protocol.classes.iter().cloned());
-        let classes = Table::new(class_names.iter().cloned().zip(both));
+        let classes = ClassTable::new(class_names.iter().cloned().zip(both));
         let figures = Figures::new(class_names.iter().map(String::as_str));
         let names = config.names();
         let configured = config.settings;
@@ -532,7 +533,7 @@
     /// Closes or opens the callers' listener according to the lifecycle. If that is not possible yet, it is tried again at
     /// the next heartbeat: the listener can't close while callers wait for a free connection, and its address may be in use.
     fn update_listener(&mut self, now: f64) {
-        let (listening, may_listen) = (self.clients.is_listening(), self.lifecycle.listens(now));
+        let (listening, may_listen) = (self.clients.is_listening(), self.lifecycle.accepts_connections(now));
         if listening && !may_listen && self.clients.stop_listening(now, &mut self.poller, &mut self.calls) {
             log::info!("listener-closed");
         }
@@ -545,7 +546,7 @@
     }
 
     fn count_answer(&mut self, class: usize, outcome: Outcome) {
-        let name = self.class_names.get(class).map_or(OTHER, String::as_str);
+        let name = self.class_names.get(class).map_or(OTHER_CLASS, String::as_str);
         self.figures.answered(name, outcome);
     }
 }
--- a/crates/gatekeeper/src/node/event_loop/control.rs
+++ b/crates/gatekeeper/src/node/event_loop/control.rs
@@ -4,7 +4,7 @@
 use crate::node::components::ComponentContext;
 use crate::node::control::Query;
 use hollypaddle_service::figures::Gauges;
-use hollypaddle_service::http::{self as control_http, Call};
+use hollypaddle_service::http::{self as control_http, Endpoint};
 use hollypaddle_service::lifecycle::Phase;
 use serde_json::{json, Value};
 
@@ -35,24 +35,24 @@
     }
 
     /// Carries out a request from the control address, and returns the bytes of the answer.
-    pub(super) fn handle_request(&mut self, now: f64, call: Call) -> Vec<u8> {
+    pub(super) fn handle_request(&mut self, now: f64, call: Endpoint) -> Vec<u8> {
         let changed = match call {
-            Call::Ready => {
+            Endpoint::Ready => {
                 return match self.lifecycle.phase() {
                     Phase::Serving => match self.components.not_ready_reason() {
-                        Some(why) => control_http::answer(503, "text/plain", &format!("{why}\n")),
-                        None => control_http::answer(200, "text/plain", "ready\n"),
+                        Some(why) => control_http::response(503, "text/plain", &format!("{why}\n")),
+                        None => control_http::response(200, "text/plain", "ready\n"),
                     },
-                    Phase::Lameduck => control_http::answer(503, "text/plain", "lameduck\n"),
-                    Phase::Stopping => control_http::answer(503, "text/plain", "stopping\n"),
+                    Phase::Lameduck => control_http::response(503, "text/plain", "lameduck\n"),
+                    Phase::Stopping => control_http::response(503, "text/plain", "stopping\n"),
                 };
             }
-            Call::Vars => {
+            Endpoint::Vars => {
                 let json = serde_json::to_string(&self.figures_now()).unwrap_or_else(|_| "{}".into());
-                return control_http::answer(200, "application/json", &json);
+                return control_http::response(200, "application/json", &json);
             }
-            Call::LameduckOn => self.lifecycle.lameduck_on(now),
-            Call::LameduckOff => self.lifecycle.lameduck_off(now),
+            Endpoint::LameduckOn => self.lifecycle.lameduck_on(now),
+            Endpoint::LameduckOff => self.lifecycle.lameduck_off(now),
         };
         let phase = format!("{:?}", self.lifecycle.phase()).to_lowercase();
         if changed {
@@ -68,7 +68,7 @@
             }
             log::info!(phase = phase.as_str(); "lameduck");
         }
-        control_http::answer(200, "text/plain", &format!("{phase}\n"))
+        control_http::response(200, "text/plain", &format!("{phase}\n"))
     }
 
     /// The metrics, with the current values of the gauges.
--- a/crates/gatekeeper/src/node/event_loop/settings.rs
+++ b/crates/gatekeeper/src/node/event_loop/settings.rs
@@ -8,7 +8,7 @@
 use hollypaddle_config::{Conf, Problem};
 use hollypaddle_policy::{ClassSettings, ListKind, Settings};
 use hollypaddle_relay::settings::Set;
-use hollypaddle_service::classes::Table;
+use hollypaddle_service::classes::ClassTable;
 use std::io;
 
 /// Returns the first problem and the number of further ones.
@@ -54,15 +54,15 @@
             }
         };
         let both = new.settings.classes.iter().cloned().zip(new.protocol.classes.iter().cloned());
-        let table = match self.classes.retuned(new.protocol.classes.iter().map(|c| c.name.clone()).zip(both))
-        {
-            Ok(table) => table,
-            Err(error) => {
-                self.poller.remove(&socket);
-                self.figures.reloaded(false);
-                return log::warn!(error:% = error; "configuration-rejected");
-            }
-        };
+        let table =
+            match self.classes.with_classes(new.protocol.classes.iter().map(|c| c.name.clone()).zip(both)) {
+                Ok(table) => table,
+                Err(error) => {
+                    self.poller.remove(&socket);
+                    self.figures.reloaded(false);
+                    return log::warn!(error:% = error; "configuration-rejected");
+                }
+            };
         let names = new.names();
         let changes = match self.apply_own_conf(now, own) {
             Ok(changes) => changes,
@@ -104,7 +104,7 @@
     fn reject_own_file(&mut self, problems: &[Problem]) {
         self.figures.reloaded(false);
         for problem in problems {
-            let (place, what) = (problem.place.to_string(), problem.what.as_str());
+            let (place, what) = (problem.location.to_string(), problem.description.as_str());
             log::warn!(place = place.as_str(), what; "configuration-problem");
         }
         log::warn!(problems = problems.len(); "configuration-rejected");
@@ -144,16 +144,18 @@
 
     /// Applies new platform settings. The decision module gets them with every class number since the start, so that open
     /// calls keep the rules under which they came; the connections and the metrics get the classes' names.
-    fn retune(&mut self, mut settings: Settings, table: Table<(ClassSettings, ProtocolClass)>) {
+    fn retune(&mut self, mut settings: Settings, table: ClassTable<(ClassSettings, ProtocolClass)>) {
         let entries = table.entries();
         settings.classes = entries.iter().map(|e| e.settings.0.clone()).collect();
         settings.release_time += LIMIT_TOLERANCE_S;
         self.calls.set_mean_call_duration(settings.mean_holding_time);
         self.clients.set_max_retry_after(settings.max_retry_after);
         self.controller.update_settings(settings);
-        let protocol_class = |e: &hollypaddle_service::classes::Entry<(ClassSettings, ProtocolClass)>| {
-            ProtocolClass { accepts_calls: e.live, ..e.settings.1.clone() }
-        };
+        let protocol_class =
+            |e: &hollypaddle_service::classes::ClassEntry<(ClassSettings, ProtocolClass)>| ProtocolClass {
+                accepts_calls: e.open,
+                ..e.settings.1.clone()
+            };
         let protocol_classes: Vec<ProtocolClass> = entries.iter().map(protocol_class).collect();
         self.clients.set_classes(protocol_classes.clone());
         self.servers.set_classes(protocol_classes);
@@ -161,7 +163,7 @@
         if let Some(fleet) = &mut self.components.fleet.joined {
             fleet.set_classes(&self.class_names);
         }
-        self.figures.name(entries.iter().filter(|e| e.live).map(|e| e.name.as_str()));
+        self.figures.add_classes(entries.iter().filter(|e| e.open).map(|e| e.name.as_str()));
         self.classes = table;
     }
 }
--- a/crates/gatekeeper/src/node/fleet.rs
+++ b/crates/gatekeeper/src/node/fleet.rs
@@ -61,7 +61,7 @@
         calls: &mut Calls,
         poller: &mut Poller,
     ) -> io::Result<Fleet> {
-        let Some(own) = conf.own(name) else {
+        let Some(own) = conf.own_member(name) else {
             let what = format!("{name:?} is not a member of the block `fleet`");
             return Err(io::Error::new(io::ErrorKind::InvalidInput, what));
         };
@@ -89,7 +89,8 @@
 
     /// Whether a reloaded configuration keeps this member's listener and name. If not, it needs a new incarnation.
     pub fn keeps_identity(&self, conf: &Conf, name: &str) -> bool {
-        let own = |c: &Conf| c.own(name).map(|own| (own.name.clone(), c.listen.unwrap_or(own.address)));
+        let own =
+            |c: &Conf| c.own_member(name).map(|own| (own.name.clone(), c.listen.unwrap_or(own.address)));
         own(conf) == own(&self.conf)
     }
 
--- a/crates/gatekeeper/src/node/http.rs
+++ b/crates/gatekeeper/src/node/http.rs
@@ -10,7 +10,7 @@
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-use hollypaddle_service::http::{self, Asked, Call};
+use hollypaddle_service::http::{self, Endpoint, ParsedRequest};
 
 use super::poller::{Key, Poller, Ready};
 
@@ -64,7 +64,7 @@
 
     /// Handles an event, if it belongs to the control address. Returns a complete request, with the key of the connection
     /// that waits for [`HttpServer::reply`].
-    pub fn ready(&mut self, now: f64, ready: Ready, poller: &mut Poller) -> Option<(Key, Call)> {
+    pub fn ready(&mut self, now: f64, ready: Ready, poller: &mut Poller) -> Option<(Key, Endpoint)> {
         if ready.key == self.listener_key {
             self.accept(now, poller);
             return None;
@@ -75,11 +75,11 @@
             return None;
         }
         match client.read() {
-            Ok(Asked::Partial) => None,
-            Ok(Asked::Call(call)) => Some((ready.key, call)),
-            Ok(Asked::Wrong(refusal)) => {
+            Ok(ParsedRequest::Partial) => None,
+            Ok(ParsedRequest::Endpoint(call)) => Some((ready.key, call)),
+            Ok(ParsedRequest::Refused(refusal)) => {
                 log::debug!(status = refusal.status, reason = refusal.reason; "control-refused");
-                self.reply(ready.key, http::refusal(refusal), poller);
+                self.reply(ready.key, http::refusal_response(refusal), poller);
                 None
             }
             Err(_) => {
@@ -158,15 +158,15 @@
 impl Client {
     /// Reads more input. Returns the request or what is wrong with it, once its head is complete. An error, which includes
     /// the end of the stream, means that the connection must be closed.
-    fn read(&mut self) -> io::Result<Asked> {
+    fn read(&mut self) -> io::Result<ParsedRequest> {
         let mut chunk = [0; 2048];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(n) => {
-                    let remaining = http::MOST_HEAD + 1 - self.input.len().min(http::MOST_HEAD + 1);
+                    let remaining = http::MAX_HEAD_BYTES + 1 - self.input.len().min(http::MAX_HEAD_BYTES + 1);
                     self.input.extend(&chunk[..n.min(remaining)]);
-                    if self.input.len() > http::MOST_HEAD {
+                    if self.input.len() > http::MAX_HEAD_BYTES {
                         break;
                     }
                 }
@@ -175,7 +175,7 @@
                 Err(error) => return Err(error),
             }
         }
-        Ok(http::read(&self.input))
+        Ok(http::parse(&self.input))
     }
 
     /// Writes more of the answer. Returns whether all of it is written.
--- a/crates/gatekeeper/src/node/peers.rs
+++ b/crates/gatekeeper/src/node/peers.rs
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use hollypaddle_membership::MemberId;
-use hollypaddle_platform::connection::{Connection, Frame, Over};
+use hollypaddle_platform::connection::{CloseReason, Connection, Frame};
 use hollypaddle_replica::member::Rejection;
 use hollypaddle_replica::record::KINDS;
 use hollypaddle_replica::{Member, Word};
@@ -335,7 +335,9 @@
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.drop_link(now, ready.key, member, poller),
+            Err(CloseReason::Closed | CloseReason::Broken(_)) => {
+                self.drop_link(now, ready.key, member, poller)
+            }
             Err(reason) => {
                 let error = LinkError::Unreadable(reason.to_string());
                 self.refuse(now, ready.key, &error, member, poller)
--- a/crates/gatekeeper/src/node/relays.rs
+++ b/crates/gatekeeper/src/node/relays.rs
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use hollypaddle_membership::MemberId;
-use hollypaddle_platform::connection::{Connection, Frame, Over};
+use hollypaddle_platform::connection::{CloseReason, Connection, Frame};
 use hollypaddle_relay::message::{self, Message};
 use hollypaddle_relay::{LinkError, LinkId, Node};
 use socket2::SockRef;
@@ -253,7 +253,7 @@
         let Some(link) = self.links.get_mut(&ready.key) else { return false };
         if link.closing_since.is_some() {
             // Waits for the peer to close the link or for an error. What the peer still sends is discarded.
-            if link.connection.flush().is_err() || link.connection.pass_over().is_err() {
+            if link.connection.flush().is_err() || link.connection.discard_input().is_err() {
                 self.drop_link(ready.key, poller);
             } else {
                 link.watch(ready.key, poller);
@@ -298,7 +298,9 @@
         }
         match end {
             Ok(()) => {}
-            Err(Over::Closed | Over::Broken(_)) => self.handle_link_down(now, ready.key, false, node, poller),
+            Err(CloseReason::Closed | CloseReason::Broken(_)) => {
+                self.handle_link_down(now, ready.key, false, node, poller)
+            }
             Err(reason) => {
                 let error = RelayLinkError::Unreadable(reason.to_string());
                 self.refuse(now, ready.key, &error, node, poller);
--- a/crates/gatekeeper/src/node/servers.rs
+++ b/crates/gatekeeper/src/node/servers.rs
@@ -28,8 +28,8 @@
 use super::poller::{Key, Poller, Ready};
 use hollypaddle_core::calls::{Calls, Command};
 use hollypaddle_platform::boundary::Candidate;
-use hollypaddle_platform::list::{Listed, Readiness, Snapshot};
-use hollypaddle_service::descriptors::Descriptors;
+use hollypaddle_platform::list::{ListedServer, Readiness, Snapshot};
+use hollypaddle_service::descriptors::DescriptorBudget;
 
 /// Longest time for which a message is held back while it is undecided whether it was cut short, in seconds.
 const MAX_MESSAGE_HOLD_S: f64 = 0.004;
@@ -47,7 +47,7 @@
 /// A listed server. Times are in Unix seconds.
 struct Server {
     name: String,
-    listed: Listed,
+    listed: ListedServer,
     channels: BTreeMap<Key, Channel>,
     waiting_set_ups: VecDeque<WaitingSetUp>,
     /// Releases to be sent on the next connection.
@@ -85,7 +85,7 @@
     /// The server's number in this process.
     pub pool: PoolId,
     /// The server's entry in the list.
-    pub listed: &'a Listed,
+    pub listed: &'a ListedServer,
     /// When the server last sent a message.
     pub last_message_at: f64,
     /// Since when the server owes a response; none if it owes nothing.
@@ -102,21 +102,26 @@
     /// The last number given to a server.
     last_pool: u64,
     servers: BTreeMap<PoolId, Server>,
-    descriptors: Descriptors,
+    descriptors: DescriptorBudget,
     /// Differs between gatekeepers, so that they do not reconnect to a server at the same times.
     seed: u64,
 }
 
 impl Servers {
     /// Creates the state without any servers.
-    pub fn new(link: ProtocolSettings, telemetry: Telemetry, descriptors: Descriptors, seed: u64) -> Self {
+    pub fn new(
+        link: ProtocolSettings,
+        telemetry: Telemetry,
+        descriptors: DescriptorBudget,
+        seed: u64,
+    ) -> Self {
         let (pools, servers) = (BTreeMap::new(), BTreeMap::new());
         Servers { link, telemetry, pools, last_pool: 0, servers, descriptors, seed }
     }
 
     /// Maximum number of client connections that the descriptors allow beside those to the listed servers.
     pub fn max_caller_connections(&self) -> usize {
-        self.descriptors.divided(self.servers.len()).callers
+        self.descriptors.allocate(self.servers.len()).callers
     }
 
     /// Replaces the classes, indexed by class number, after the settings were read again. Set-ups carry their names.
@@ -153,7 +158,7 @@
                 log::info!(server = server.name.as_str(), cut; "server-gone");
             }
         }
-        self.link.connections = self.descriptors.divided(self.servers.len()).each_server;
+        self.link.connections = self.descriptors.allocate(self.servers.len()).per_server;
         ctx.calls.events.push(Event::List { kind, entries });
     }
 
@@ -252,7 +257,7 @@
         let mut end = if ready.writable { channel.connection.flush() } else { Ok(()) };
         if end.is_ok() && ready.readable {
             let calls = &*ctx.calls;
-            end = channel.connection.read_judged(&mut messages, &|candidate| judge(candidate, pool, calls));
+            end = channel.connection.read_checked(&mut messages, &|candidate| judge(candidate, pool, calls));
         }
         server.handle_read(pool, ready.key, (messages, end), (&self.telemetry, &self.link), ctx);
     }
@@ -289,7 +294,7 @@
 }
 
 impl Server {
-    fn new(name: String, listed: Listed, now: f64, silence_timeout: f64, seed: u64) -> Self {
+    fn new(name: String, listed: ListedServer, now: f64, silence_timeout: f64, seed: u64) -> Self {
         let (channels, waiting_set_ups) = (BTreeMap::new(), VecDeque::new());
         let (unreachable, quick_closes) = (false, 0);
         let (heard_at, retry_at) = (now, now);
@@ -314,7 +319,7 @@
         }
     }
 
-    fn update_listing(&mut self, pool: PoolId, listed: Listed, ctx: &mut Context) {
+    fn update_listing(&mut self, pool: PoolId, listed: ListedServer, ctx: &mut Context) {
         let old = std::mem::replace(&mut self.listed, listed);
         let (started, moved) = (self.listed.started, self.listed.address != old.address);
         if started > old.started || moved {
@@ -340,12 +345,12 @@
 }
 
 /// Converts an entry of the list to the form that the decision module uses.
-fn pool_entry(pool: PoolId, listed: &Listed) -> PoolEntry {
+fn pool_entry(pool: PoolId, listed: &ListedServer) -> PoolEntry {
     let readiness = match listed.readiness {
         Readiness::Ready => hollypaddle_policy::Readiness::Ready,
         Readiness::Draining => hollypaddle_policy::Readiness::Draining,
     };
-    let Listed { number, started: ready_at, district, .. } = *listed;
+    let ListedServer { number, started: ready_at, district, .. } = *listed;
     PoolEntry { pool, number, readiness, ready_at, district }
 }
 
--- a/crates/gatekeeper/src/node/servers/channel.rs
+++ b/crates/gatekeeper/src/node/servers/channel.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-use hollypaddle_platform::connection::{Connection, Over};
+use hollypaddle_platform::connection::{CloseReason, Connection};
 use hollypaddle_platform::message::Message;
 use hollypaddle_policy::PoolId;
 use socket2::{Domain, Socket, Type};
@@ -55,7 +55,7 @@
             Ok(end) => Some(end),
             Err(error) => {
                 log::debug!(connection = key, error:%; "connection-broken");
-                if let Over::Stuck = error {
+                if let CloseReason::WriteBacklog = error {
                     drop(self.connection.stream().shutdown(std::net::Shutdown::Both));
                 }
                 None
@@ -68,7 +68,7 @@
     /// Records since when a message is held back, if one is.
     pub(super) fn update_held_since(&mut self, now: f64) {
         let since = self.held_since.unwrap_or(now);
-        self.held_since = self.connection.holds_message().then_some(since);
+        self.held_since = self.connection.has_held_message().then_some(since);
     }
 
     /// Reports the give-ups that are fully written to the calls.
--- a/crates/gatekeeper/src/node/servers/connecting.rs
+++ b/crates/gatekeeper/src/node/servers/connecting.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{self, ErrorKind};
 
-use hollypaddle_platform::connection::{Connection, Over};
+use hollypaddle_platform::connection::{CloseReason, Connection};
 use hollypaddle_policy::PoolId;
 
 use super::channel::{connect_nonblocking, Channel};
@@ -70,7 +70,7 @@
         &mut self,
         pool: PoolId,
         key: Key,
-        reason: &Over,
+        reason: &CloseReason,
         link: &ProtocolSettings,
         ctx: &mut Context,
     ) {
@@ -133,7 +133,7 @@
             Err(error)
                 if error.kind() == ErrorKind::ConnectionReset && self.quick_closes < MAX_QUICK_CLOSES =>
             {
-                self.close_and_reconnect(pool, key, &Over::Broken(error), link, ctx);
+                self.close_and_reconnect(pool, key, &CloseReason::Broken(error), link, ctx);
             }
             Err(error) => {
                 self.close_channels(pool, |k| k == key, ctx);
--- a/crates/gatekeeper/src/node/servers/incoming.rs
+++ b/crates/gatekeeper/src/node/servers/incoming.rs
@@ -1,8 +1,8 @@
 //! Handling of messages from session servers.
 
 use hollypaddle_core::calls::{Calls, End};
-use hollypaddle_platform::boundary::{Candidate, Cut, Verdict};
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::boundary::{Candidate, TruncatedMessage, Verdict};
+use hollypaddle_platform::connection::CloseReason;
 use hollypaddle_platform::message::{cause, code, kind, Message};
 use hollypaddle_policy::settings::Telemetry;
 use hollypaddle_policy::{Cause, Outcome, PoolId, Report};
@@ -17,7 +17,7 @@
         &mut self,
         pool: PoolId,
         key: Key,
-        (messages, mut end): (Vec<Message>, Result<(), Over>),
+        (messages, mut end): (Vec<Message>, Result<(), CloseReason>),
         known: (&Telemetry, &ProtocolSettings),
         ctx: &mut Context,
     ) {
@@ -35,7 +35,7 @@
             }
         }
         if let Err(error) = end {
-            if let Over::CutShort(cut) = &error {
+            if let CloseReason::Truncated(cut) = &error {
                 self.record_cut_short(cut);
             }
             self.close_and_reconnect(pool, key, &error, known.1, ctx);
@@ -43,7 +43,7 @@
     }
 
     /// Counts a message that was cut short, and logs it whenever the count reaches a power of two.
-    fn record_cut_short(&mut self, cut: &Cut) {
+    fn record_cut_short(&mut self, cut: &TruncatedMessage) {
         self.cut_short_messages += 1;
         if self.cut_short_messages.is_power_of_two() {
             let (server, times) = (self.name.as_str(), self.cut_short_messages);
@@ -59,19 +59,21 @@
         message: Message,
         (telemetry, link): (&Telemetry, &ProtocolSettings),
         ctx: &mut Context,
-    ) -> Result<(), Over> {
+    ) -> Result<(), CloseReason> {
         let id = message.call;
         let report = message.text(code::REPORT).map_or(Report::default(), |t| telemetry.decode_text(t));
         let has_report = message.bytes(code::REPORT).is_some();
         let description = message.bytes(code::DESCRIPTION).map(<[u8]>::to_vec);
         // Guards against damaged answers that still have the form of a message. The call may be established at the server, but
         // what the server sent is not known, and nothing that follows on this connection can be trusted.
-        if message.repeats() {
-            return Err(Over::Improper("a message with a repeated parameter"));
+        if message.has_duplicate_parameters() {
+            return Err(CloseReason::UnexpectedMessage("a message with a repeated parameter"));
         }
         match message.kind {
             kind::ANSWER if description.is_none() || message.cause().is_some() => {
-                return Err(Over::Improper("an answer without a description, or with a cause"));
+                return Err(CloseReason::UnexpectedMessage(
+                    "an answer without a description, or with a cause",
+                ));
             }
             kind::ANSWER => {
                 self.silence_timeout = link.silence_timeout();
@@ -86,7 +88,9 @@
             kind::RELEASE if message.cause().is_none() || description.is_some() => {
                 // For a call that is not at this server it is harmless: no more than an answer that came early.
                 if ctx.calls.is_at(pool, id) {
-                    return Err(Over::Improper("a release without a cause, or with a description"));
+                    return Err(CloseReason::UnexpectedMessage(
+                        "a release without a cause, or with a description",
+                    ));
                 }
             }
             kind::RELEASE => {
@@ -96,14 +100,14 @@
             }
             kind::STATE | kind::TEST_RESULT if has_report => ctx.calls.load_reported(pool, report),
             kind::TEST => {
-                let passed = Message::new(kind::TEST_RESULT, id).caused(1);
+                let passed = Message::new(kind::TEST_RESULT, id).with_cause(1);
                 if let Some(channel) = self.channels.get_mut(&key) {
                     channel.send(key, &passed, ctx.poller);
                 }
             }
-            kind::RELEASE_HEARD => self.confirm_release(id),
+            kind::RELEASE_COMPLETE => self.confirm_release(id),
             kind::PROGRESS | kind::STATE | kind::TEST_RESULT => {}
-            _ => return Err(Over::Improper("a message of a type that servers do not send")),
+            _ => return Err(CloseReason::UnexpectedMessage("a message of a type that servers do not send")),
         }
         Ok(())
     }
@@ -125,7 +129,7 @@
 pub(super) fn judge(candidate: Candidate, pool: PoolId, calls: &Calls) -> Verdict {
     match candidate.is_followed_by_message() {
         true => candidate.verdict(|id| calls.is_at(pool, id)),
-        false => Verdict::CutShort,
+        false => Verdict::Truncated,
     }
 }
 
@@ -133,12 +137,12 @@
     let outcome = match message.cause() {
         Some(cause::NORMAL) => Outcome::Done,
         Some(cause::FULL) => Outcome::Full,
-        Some(cause::MOOT) => Outcome::NotSent,
+        Some(cause::NEVER_SENT) => Outcome::NotSent,
         Some(cause::TEMPORARY_FAILURE) => Outcome::Reset,
         // Busy (17), a fault (47), and any cause that no server should send: the attempt ends in any case.
         _ => Outcome::Error,
     };
-    let cause = match message.text(code::NOTE) {
+    let cause = match message.text(code::REJECT_REASON) {
         Some("congestion") => Cause::NoLine,
         Some("crankback" | "remote_throttled") => Cause::Crankback,
         Some("throttled") => Cause::ProcessorFull,
--- a/crates/gatekeeper/src/node/servers/liveness.rs
+++ b/crates/gatekeeper/src/node/servers/liveness.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::connection::CloseReason;
 use hollypaddle_policy::PoolId;
 
 use super::channel::{most_recent_channel, Channel, SentSetUp};
@@ -68,7 +68,7 @@
         let stalled: Vec<Key> =
             self.channels.iter_mut().filter_map(|(key, c)| stalled(c).then_some(*key)).collect();
         for key in stalled {
-            self.close_and_reconnect(pool, key, &Over::Stalled, link, ctx);
+            self.close_and_reconnect(pool, key, &CloseReason::IncompleteMessage, link, ctx);
         }
     }
 
@@ -151,7 +151,7 @@
         let dead = |c: &Channel| c.open.values().any(|set_up| overtaken(c, set_up));
         let dead: Vec<Key> = self.channels.iter().filter(|(_, c)| dead(c)).map(|(key, _)| *key).collect();
         for key in dead {
-            self.close_and_reconnect(pool, key, &Over::Silent, link, ctx);
+            self.close_and_reconnect(pool, key, &CloseReason::Unresponsive, link, ctx);
         }
     }
 }
--- a/crates/gatekeeper/src/node/servers/release.rs
+++ b/crates/gatekeeper/src/node/servers/release.rs
@@ -25,7 +25,7 @@
 
     /// The message for the server.
     pub fn message(self) -> Message {
-        Message::new(kind::RELEASE, self.id).caused(cause::NORMAL)
+        Message::new(kind::RELEASE, self.id).with_cause(cause::NORMAL)
     }
 
     /// Time after which the release is not sent again, in Unix seconds.
--- a/crates/gatekeeper/src/node/servers/release_queue.rs
+++ b/crates/gatekeeper/src/node/servers/release_queue.rs
@@ -6,10 +6,10 @@
 //! call at the same server. Therefore no release is sent again while its call is open, and sending a set-up discards the releases
 //! of its call.
 //!
-//! A server confirms a release with a message of its own ([`kind::RELEASE_HEARD`]), or by answering a set-up that was sent after
+//! A server confirms a release with a message of its own ([`kind::RELEASE_COMPLETE`]), or by answering a set-up that was sent after
 //! it on the same connection, as a stream is read in order.
 //!
-//! [`kind::RELEASE_HEARD`]: hollypaddle_platform::message::kind::RELEASE_HEARD
+//! [`kind::RELEASE_COMPLETE`]: hollypaddle_platform::message::kind::RELEASE_COMPLETE
 
 use std::collections::VecDeque;
 
--- a/crates/gatekeeper/src/node/servers/set_ups.rs
+++ b/crates/gatekeeper/src/node/servers/set_ups.rs
@@ -1,7 +1,7 @@
 //! Set-ups for a session server: waiting for a connection, sending, and giving up.
 
 use hollypaddle_core::calls::Content;
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::connection::CloseReason;
 use hollypaddle_platform::message::{code, kind, Message};
 use hollypaddle_policy::PoolId;
 
@@ -42,7 +42,7 @@
             if let Some(description) = &content.description {
                 message = message.with(code::DESCRIPTION, &description[..]);
             }
-            let (id, sent) = (*id, channel.connection.begin(&message));
+            let (id, sent) = (*id, channel.connection.try_start(&message));
             match sent {
                 Ok(None) => break,
                 Ok(Some(end_offset)) => {
@@ -79,7 +79,7 @@
         // reads it. Only closing the connection keeps it from arriving completely.
         if set_up.is_some_and(|set_up| set_up.end_offset > channel.connection.written()) {
             ctx.calls.give_up_written(pool, id);
-            return self.close_and_reconnect(pool, key, &Over::Stuck, link, ctx);
+            return self.close_and_reconnect(pool, key, &CloseReason::WriteBacklog, link, ctx);
         }
         let release = Release::new(ctx.now, id);
         match (channel.send_release(ctx.now, key, release, ctx.poller), set_up) {
--- a/crates/gatekeeper/src/node/servers/tests.rs
+++ b/crates/gatekeeper/src/node/servers/tests.rs
@@ -32,13 +32,13 @@
             "requestClasses":[],"safety":{"cold":14,"coldFrom":0.3,"overloadFactor":3}}"#,
         )
         .unwrap();
-        let servers = Servers::new(link, telemetry, Descriptors { all: 64, fixed: 16 }, seed);
+        let servers = Servers::new(link, telemetry, DescriptorBudget { total: 64, fixed: 16 }, seed);
         TestBed { poller: Poller::new().unwrap(), calls: Calls::new(0.0, 0), servers, address }
     }
 
     fn list(&mut self, now: f64, position: u32, name: &str, started: f64) {
         let (readiness, district) = (Readiness::Ready, None);
-        let listed = Listed { address: self.address, number: 0, readiness, started, district };
+        let listed = ListedServer { address: self.address, number: 0, readiness, started, district };
         let list = Snapshot { position: position.into(), servers: [(name.to_owned(), listed)].into() };
         let mut ctx = Context { now, poller: &mut self.poller, calls: &mut self.calls };
         self.servers.apply_list(&list, ListKind::Full, &mut ctx);
--- a/crates/gatekeeper/src/node/servers/tests/releases.rs
+++ b/crates/gatekeeper/src/node/servers/tests/releases.rs
@@ -170,7 +170,7 @@
 fn a_release_that_the_server_confirmed_is_not_sent_again() {
     // The answer to a set-up confirms the releases sent before it; the confirmation of a release confirms that one too.
     for (confirmation, unconfirmed) in
-        [(answer(2), vec![3, 4]), (Message::new(kind::RELEASE_HEARD, 3), vec![4])]
+        [(answer(2), vec![3, 4]), (Message::new(kind::RELEASE_COMPLETE, 3), vec![4])]
     {
         let (mut w, listener, mut first) = connected();
         w.release(0.2, [1]);
--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -234,7 +234,7 @@
     for code in [code::CLASS, code::NUMBER, code::DESCRIPTION] {
         assert_eq!(seen.bytes(code), sent.bytes(code));
     }
-    assert_eq!(seen.bytes(code::FIGURES), None, "the figures are for the gatekeeper");
+    assert_eq!(seen.bytes(code::ATTRIBUTES), None, "the figures are for the gatekeeper");
     let wait: u32 = seen.text(code::WAIT).unwrap().parse().unwrap();
     assert!((2000..=3000).contains(&wait));
     w.servers_say(&release(1, cause::NORMAL));
@@ -319,13 +319,13 @@
         (code::WAIT, "9001"),
         (code::NUMBER, "+7f"),
         (code::NUMBER, number),
-        (code::FIGURES, "dest:x"),
-        (code::FIGURES, "dest:9;width:1;via:-1"),
-        (code::FIGURES, "dest:0.5;width:1;via:-1"),
-        (code::FIGURES, "dest:0;width:nan;via:-1"),
-        (code::FIGURES, "dest:0;width:0;via:-1"),
-        (code::FIGURES, "dest:0;width:1;via:-1;dest:1"),
-        (code::FIGURES, "dest:0;width:1;via:-1;again:7"),
+        (code::ATTRIBUTES, "dest:x"),
+        (code::ATTRIBUTES, "dest:9;width:1;via:-1"),
+        (code::ATTRIBUTES, "dest:0.5;width:1;via:-1"),
+        (code::ATTRIBUTES, "dest:0;width:nan;via:-1"),
+        (code::ATTRIBUTES, "dest:0;width:0;via:-1"),
+        (code::ATTRIBUTES, "dest:0;width:1;via:-1;dest:1"),
+        (code::ATTRIBUTES, "dest:0;width:1;via:-1;again:7"),
         // Once more than it may come.
         (250, "?"),
     ]
@@ -333,7 +333,7 @@
     .enumerate()
     {
         let mut message = Message::new(kind::SET_UP, 10 + n as u64).with(code, value);
-        for other in [code::CLASS, code::WAIT, code::NUMBER, code::FIGURES, code::DESCRIPTION, 250] {
+        for other in [code::CLASS, code::WAIT, code::NUMBER, code::ATTRIBUTES, code::DESCRIPTION, 250] {
             if other != code || code == 250 {
                 message = message.with(other, set_up(1, 1000).bytes(other).unwrap_or(b"?"));
             }
@@ -345,7 +345,7 @@
     }
     assert!(w.at_servers.is_empty(), "nothing of it goes on");
     w.caller.send(&Message::new(200, 3).with(250, "?")).unwrap();
-    w.caller.send(&Message::new(kind::TEST, 4).caused(0)).unwrap();
+    w.caller.send(&Message::new(kind::TEST, 4).with_cause(0)).unwrap();
     assert_eq!(w.heard(4, kind::TEST_RESULT, None).cause(), Some(1));
     w.stand(5);
 }
@@ -364,9 +364,9 @@
         stream.write_all(&half).unwrap();
     }
     w.pass(1.0);
-    w.caller.send(&Message::new(kind::TEST, 2).caused(0)).unwrap();
+    w.caller.send(&Message::new(kind::TEST, 2).with_cause(0)).unwrap();
     let mut late = connect(&w);
-    late.send(&Message::new(kind::TEST, 3).caused(0)).unwrap();
+    late.send(&Message::new(kind::TEST, 3).with_cause(0)).unwrap();
     let mut got = Vec::new();
     w.pass(1.0);
     late.read(&mut got).unwrap();
@@ -668,7 +668,7 @@
                 // Before the first set-up there is nothing to say anything of.
                 2..=5 if next == 1 => {}
                 2 => w.servers_say(&answer(id)),
-                3 => w.servers_say(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
+                3 => w.servers_say(&release(id, cause::FULL).with(code::REJECT_REASON, "throttled").with(code::REPORT, "eps:0.1")),
                 4 => w.servers_say(&release(id, cause::NORMAL)),
                 5 if gone.insert(id) => drop(w.caller.send(&release(id, cause::NORMAL))),
                 _ => w.node.advance_clock(0.05),
--- a/crates/gatekeeper/src/node/tests/cut_messages.rs
+++ b/crates/gatekeeper/src/node/tests/cut_messages.rs
@@ -186,7 +186,7 @@
             .with(code::CLASS, "meter-read")
             .with(code::WAIT, "9000")
             .with(code::NUMBER, format!("{id:016x}"))
-            .with(code::FIGURES, "dest:0;width:1;via:-1")
+            .with(code::ATTRIBUTES, "dest:0;width:1;via:-1")
             .with(code::DESCRIPTION, description(id))
     };
     for missing in [1, 2, 3, 5, 8, 10, 11, 12, 20, 25] {
--- a/crates/gatekeeper/src/node/tests/draining.rs
+++ b/crates/gatekeeper/src/node/tests/draining.rs
@@ -239,7 +239,7 @@
     (0..2).for_each(|_| w.turn());
     w.node.shrink_send_buffers();
     for _ in 0..50 {
-        (0..100).for_each(|id| caller.send(&Message::new(kind::TEST, id).caused(0)).map(drop).unwrap());
+        (0..100).for_each(|id| caller.send(&Message::new(kind::TEST, id).with_cause(0)).map(drop).unwrap());
         w.until("that all is written", |_| caller.flush().is_err() || !caller.blocked());
         (0..3).for_each(|_| w.turn());
         if w.node.blocked_callers() {
--- a/crates/gatekeeper/src/node/tests/rare.rs
+++ b/crates/gatekeeper/src/node/tests/rare.rs
@@ -5,12 +5,12 @@
 use std::net::Shutdown;
 
 use super::*;
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::connection::CloseReason;
 
 /// Set-ups with a description as large as a message may hold.
 fn large(id: u64) -> Message {
     let figures = set_up(id, 9000);
-    [code::CLASS, code::WAIT, code::NUMBER, code::FIGURES]
+    [code::CLASS, code::WAIT, code::NUMBER, code::ATTRIBUTES]
         .into_iter()
         .fold(Message::new(kind::SET_UP, id), |m, code| m.with(code, figures.bytes(code).unwrap()))
         .with(code::DESCRIPTION, vec![7; 15_000])
@@ -204,7 +204,7 @@
     let bad = w.caller();
     let mut stream = bad.stream().try_clone().unwrap();
     let mut bytes = Vec::new();
-    Message::new(kind::TEST, 1).caused(0).encode(&mut bytes);
+    Message::new(kind::TEST, 1).with_cause(0).encode(&mut bytes);
     bytes.extend(vec![0xff; 300_000]);
     // All of it is there before the first look: a later write would take the word of a reset from the read.
     let sent = stream.write(&bytes).unwrap();
@@ -231,7 +231,7 @@
     let mut w = World::new(1);
     let mut mute = w.caller();
     w.pass(2.2);
-    assert!(matches!(mute.read(&mut Vec::new()), Err(Over::Closed)));
+    assert!(matches!(mute.read(&mut Vec::new()), Err(CloseReason::Closed)));
     // What it says from now on crossed the close and is answered by nobody; it comes again on a new connection.
     drop(mute.send(&set_up(1, 3000)));
     w.pass(0.3);
@@ -260,7 +260,7 @@
             break;
         }
     }
-    assert!(matches!(end, Err(Over::Closed)), "{end:?}");
+    assert!(matches!(end, Err(CloseReason::Closed)), "{end:?}");
     assert_eq!(w.heard.len(), 1, "{:?}", w.heard);
     let refusal = &w.heard[0];
     assert_eq!((refusal.call, refusal.cause()), (1, Some(cause::CONGESTION)));
--- a/crates/gatekeeper/src/node/tests/unread_ends.rs
+++ b/crates/gatekeeper/src/node/tests/unread_ends.rs
@@ -221,7 +221,7 @@
     let mut aborting = with_a_call(&mut w);
     end_written(&mut w, 1);
     read_end(&mut w, &mut aborting, 1);
-    aborting.send(&Message::new(kind::RELEASE_HEARD, 1)).unwrap();
+    aborting.send(&Message::new(kind::RELEASE_COMPLETE, 1)).unwrap();
     (0..2).for_each(|_| w.turn());
     abort(aborting);
     w.pass(1.0);
@@ -258,7 +258,7 @@
 
 fn encoded_test(id: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
-    Message::new(kind::TEST, id).caused(0).encode(&mut bytes);
+    Message::new(kind::TEST, id).with_cause(0).encode(&mut bytes);
     bytes
 }
 
--- a/crates/gatekeeper/src/node/tier.rs
+++ b/crates/gatekeeper/src/node/tier.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use hollypaddle_config::{Conf, Fleet as FleetConf, Location, Tier as TierConf};
+use hollypaddle_config::{Conf, Fleet as FleetConf, Locality, Tier as TierConf};
 use hollypaddle_membership::view::State;
 use hollypaddle_membership::MemberId;
 use hollypaddle_policy::{Event as ModuleEvent, ListKind, PoolEntry};
@@ -47,7 +47,7 @@
 
 fn max_links_in_tier(tier: &TierConf, own: &str) -> usize {
     match tier.relay(own) {
-        Some(_) => max_links(tier.leaves, tier.relays.len()),
+        Some(_) => max_links(tier.max_leaves, tier.relays.len()),
         None => max_leaf_links(),
     }
 }
@@ -105,13 +105,13 @@
         let relay = tier.relay(&name);
         // By default the zone of a leaf is the platform's district.
         let district = || platform.own.and_then(|own| platform.districts.get(own)).cloned();
-        let own = Location {
-            zone: tier.location.zone.clone().or_else(district),
-            region: tier.location.region.clone(),
+        let own = Locality {
+            zone: tier.locality.zone.clone().or_else(district),
+            region: tier.locality.region.clone(),
         };
         Identity {
             listen: relay.map(|relay| conf.listen.unwrap_or(relay.address)),
-            place: place(relay.map_or(&own, |relay| &relay.location), &tier.relays),
+            place: place(relay.map_or(&own, |relay| &relay.locality), &tier.relays),
             topic: Topic::of(tier.service.as_deref().unwrap_or_default()),
             name,
         }
@@ -119,14 +119,14 @@
 }
 
 /// Converts a location to a place of the crate `relay`. If the region is not configured, it is that of the zone's relays, if any.
-fn place(location: &Location, relays: &[hollypaddle_config::RelayConf]) -> Place {
+fn place(locality: &Locality, relays: &[hollypaddle_config::RelayConf]) -> Place {
     let of_zone = || {
-        let same = |l: &&Location| l.zone.is_some() && l.zone == location.zone;
-        relays.iter().map(|r| &r.location).filter(same).find_map(|l| l.region.clone())
+        let same = |l: &&Locality| l.zone.is_some() && l.zone == locality.zone;
+        relays.iter().map(|r| &r.locality).filter(same).find_map(|l| l.region.clone())
     };
     Place {
-        zone: location.zone.clone().unwrap_or_default(),
-        region: location.region.clone().or_else(of_zone).unwrap_or_default(),
+        zone: locality.zone.clone().unwrap_or_default(),
+        region: locality.region.clone().or_else(of_zone).unwrap_or_default(),
     }
 }
 
@@ -244,7 +244,7 @@
             Ok(wanted) => wanted,
             Err(problems) => {
                 for problem in problems.iter().take(MAX_LOGGED_PROBLEMS) {
-                    let (place, what) = (problem.place.to_string(), problem.what.as_str());
+                    let (place, what) = (problem.location.to_string(), problem.description.as_str());
                     log::warn!(place = place.as_str(), what; "fleet-settings-problem");
                 }
                 return self.record_refusal(&SettingsFileError::File(problems.len()));
@@ -380,7 +380,7 @@
                 () if status.second == Some(id) => "second",
                 () => "other",
             };
-            json!({"name": r.name, "state": state, "zone": r.location.zone, "region": r.location.region})
+            json!({"name": r.name, "state": state, "zone": r.locality.zone, "region": r.locality.region})
         };
         let peer = |(member, fact): (MemberId, hollypaddle_replica::record::LeafFact)| {
             json!({"name": self.name(member), "state": presence(fact.presence), "life": fact.life.to_string(),
@@ -458,7 +458,7 @@
 fn places(tier: &TierConf) -> Vec<RelayPlace> {
     let of = |r: &hollypaddle_config::RelayConf| RelayPlace {
         relay: MemberId::of(&r.name),
-        place: place(&r.location, &tier.relays),
+        place: place(&r.locality, &tier.relays),
     };
     tier.relays.iter().map(of).collect()
 }
@@ -468,7 +468,7 @@
 }
 
 fn timing(tier: &TierConf) -> Timing {
-    Timing { leaf_rate: tier.leaf_rate, leaves: tier.leaves, ..Timing::default() }
+    Timing { leaf_rate: tier.leaf_rate_bytes_per_s, leaves: tier.max_leaves, ..Timing::default() }
 }
 
 fn log_leaf_event(event: &leaf::Event, names: &BTreeMap<MemberId, String>) {
--- a/crates/gatekeeper/tests/rare.rs
+++ b/crates/gatekeeper/tests/rare.rs
@@ -198,7 +198,7 @@
     };
     until("a connection to each server", &mut |up| up >= 16);
     let mut active = peer(TcpStream::connect(listen).unwrap()).unwrap();
-    active.send(&Message::new(kind::TEST, 1).caused(0)).unwrap();
+    active.send(&Message::new(kind::TEST, 1).with_cause(0)).unwrap();
     active.send(&set_up("meter-read", 3, 2, 2000)).unwrap();
     let mut received = Vec::new();
     until("an answer beside idle callers", &mut |_| {
--- a/crates/platform/src/boundary.rs
+++ b/crates/platform/src/boundary.rs
@@ -6,10 +6,10 @@
 
 use std::fmt;
 
-use crate::message::{code, kind, Message, HEAD, LENGTH, MOST, PARAMETER_HEAD};
+use crate::message::{code, kind, Message, HEAD, LENGTH, MAX_MESSAGE_BYTES, PARAMETER_HEAD};
 
 /// Longest message of a type that carries no more than a cause.
-const MOST_OF_SHORT: usize = 64;
+const MAX_SHORT_MESSAGE_BYTES: usize = 64;
 
 /// Where the value of the first parameter begins.
 const FIRST_VALUE: usize = LENGTH + HEAD + PARAMETER_HEAD;
@@ -22,12 +22,12 @@
     /// The message's length, with its length field.
     pub length: usize,
     /// Whether its first bytes came in an earlier read than its last.
-    pub split: bool,
+    pub split_across_reads: bool,
 }
 
 /// A message that was cut short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut {
+pub struct TruncatedMessage {
     /// Its type, see [`kind`].
     pub kind: u8,
     /// Its call's 64-bit id.
@@ -35,16 +35,16 @@
     /// Its length in bytes, as it says, with its length field.
     pub length: usize,
     /// Bytes that came behind it.
-    pub behind: usize,
+    pub trailing_bytes: usize,
     /// Whether its first bytes came in an earlier read than its last.
-    pub split: bool,
+    pub split_across_reads: bool,
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for TruncatedMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Cut { kind, call, length, behind, split } = self;
-        let reads = if *split { "several reads" } else { "one read" };
-        write!(f, "a message of type {kind} and {length} bytes for call {call:016x} was cut short: {behind} bytes behind it, {reads}")
+        let TruncatedMessage { kind, call, length, trailing_bytes, split_across_reads } = self;
+        let reads = if *split_across_reads { "several reads" } else { "one read" };
+        write!(f, "a message of type {kind} and {length} bytes for call {call:016x} was cut short: {trailing_bytes} bytes behind it, {reads}")
     }
 }
 
@@ -52,9 +52,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It was sent whole, as far as can be told.
-    Whole,
+    Complete,
     /// It was cut short, and its last bytes are another message's.
-    CutShort,
+    Truncated,
     /// Its last bytes may be the beginning of another message, of which more has to come to tell.
     Undecided,
 }
@@ -71,27 +71,33 @@
 
 impl Candidate<'_> {
     /// What is told of the message where it was cut short.
-    pub fn cut(&self) -> Cut {
+    pub fn truncated_message(&self) -> TruncatedMessage {
         let mut head = [0; HEAD];
         let body = self.data.get(LENGTH..).unwrap_or_default();
         for (to, from) in head.iter_mut().zip(body) {
             *to = *from;
         }
         let [kind, call @ ..] = head;
-        let behind = self.data.len().saturating_sub(self.length);
-        Cut { kind, call: u64::from_be_bytes(call), length: self.length, behind, split: self.split }
+        let trailing_bytes = self.data.len().saturating_sub(self.length);
+        TruncatedMessage {
+            kind,
+            call: u64::from_be_bytes(call),
+            length: self.length,
+            trailing_bytes,
+            split_across_reads: self.split_across_reads,
+        }
     }
 
     /// Judges a message by the heads of messages within it. `known` tells whether an id is one of a call that the peer
     /// may speak of.
     pub fn verdict(&self, known: impl Fn(u64) -> bool) -> Verdict {
-        let mut verdict = Verdict::Whole;
+        let mut verdict = Verdict::Complete;
         // Of a message that came at once, with nothing behind it, the last few bytes alone tell nothing.
-        let more_may_come = self.split || self.data.len() > self.length;
+        let more_may_come = self.split_across_reads || self.data.len() > self.length;
         for start in LENGTH..self.length {
             let rest = &self.data[start..];
             match start_of_message(rest, &known) {
-                Start::Certain => return Verdict::CutShort,
+                Start::Certain => return Verdict::Truncated,
                 // The head of the first parameter is like that of a message where a description has the right length.
                 Start::Possible if start < FIRST_VALUE => {}
                 Start::Possible if more_may_come || rest.len() >= LENGTH + HEAD => {
@@ -114,11 +120,11 @@
 fn start_of_message(data: &[u8], known: &impl Fn(u64) -> bool) -> Start {
     let [high, after_high @ ..] = data else { return Start::Possible };
     let [low, body @ ..] = after_high else {
-        return possible_if(usize::from(*high) << 8 < MOST);
+        return possible_if(usize::from(*high) << 8 < MAX_MESSAGE_BYTES);
     };
     let length = LENGTH + usize::from(u16::from_be_bytes([*high, *low]));
     let [kind, after_kind @ ..] = body else {
-        return possible_if((LENGTH + HEAD..=MOST).contains(&length));
+        return possible_if((LENGTH + HEAD..=MAX_MESSAGE_BYTES).contains(&length));
     };
     if !(LENGTH + HEAD..=longest(*kind)).contains(&length) {
         return Start::No;
@@ -149,8 +155,8 @@
 /// Longest message of a type; 0 where there is no such type.
 fn longest(message_kind: u8) -> usize {
     match message_kind {
-        kind::SET_UP | kind::ANSWER | kind::RELEASE | kind::STATE => MOST,
-        kind::PROGRESS | kind::RELEASE_HEARD | kind::TEST | kind::TEST_RESULT => MOST_OF_SHORT,
+        kind::SET_UP | kind::ANSWER | kind::RELEASE | kind::STATE => MAX_MESSAGE_BYTES,
+        kind::PROGRESS | kind::RELEASE_COMPLETE | kind::TEST | kind::TEST_RESULT => MAX_SHORT_MESSAGE_BYTES,
         _ => 0,
     }
 }
@@ -158,7 +164,7 @@
 /// Whether a message has what its type asks for. One that carries nothing shows nothing: its few fixed bytes come by chance.
 fn is_complete(message: &Message) -> bool {
     let has = |code| message.bytes(code).is_some();
-    !message.repeats()
+    !message.has_duplicate_parameters()
         && match message.kind {
             kind::SET_UP => has(code::CLASS) && has(code::WAIT) && has(code::NUMBER),
             kind::ANSWER => has(code::DESCRIPTION),
--- a/crates/platform/src/boundary/tests.rs
+++ b/crates/platform/src/boundary/tests.rs
@@ -22,9 +22,9 @@
 /// Judges the first message in the bytes; none where they begin with none.
 fn judged(data: &[u8], split: bool) -> Option<Verdict> {
     let (_, length) = Message::decode(data).ok()??;
-    let candidate = Candidate { data, length, split };
+    let candidate = Candidate { data, length, split_across_reads: split };
     let followed = candidate.is_followed_by_message();
-    Some(if followed { candidate.verdict(known) } else { Verdict::CutShort })
+    Some(if followed { candidate.verdict(known) } else { Verdict::Truncated })
 }
 
 /// What may come behind a message: an answer or a release of a call that is known or not, a report, progress.
@@ -32,9 +32,9 @@
     let unknown = !SECOND;
     match which {
         0 => answer(SECOND, description),
-        1 => Message::new(kind::RELEASE, SECOND).caused(cause::NORMAL),
+        1 => Message::new(kind::RELEASE, SECOND).with_cause(cause::NORMAL),
         2 => answer(unknown, description),
-        3 => Message::new(kind::RELEASE, unknown).caused(cause::NORMAL),
+        3 => Message::new(kind::RELEASE, unknown).with_cause(cause::NORMAL),
         4 => Message::new(kind::STATE, 0).with(code::REPORT, "x0:12;queue:3"),
         _ => Message::new(kind::PROGRESS, SECOND),
     }
@@ -48,7 +48,7 @@
         releases: bool, cut in 0usize..1000,
     ) {
         let first = match releases {
-            true => Message::new(kind::RELEASE, FIRST).caused(cause::FULL).with(code::NOTE, description),
+            true => Message::new(kind::RELEASE, FIRST).with_cause(cause::FULL).with(code::REJECT_REASON, description),
             false => answer(FIRST, &description),
         };
         let mut bytes = encoded(&first);
@@ -58,7 +58,7 @@
         bytes.extend(encoded(&next_message(next, &other)));
         bytes.extend(encoded(&answer(SECOND, b"made for the second")));
         let verdict = judged(&bytes, false);
-        prop_assert!(matches!(verdict, None | Some(Verdict::CutShort)), "{verdict:?}");
+        prop_assert!(matches!(verdict, None | Some(Verdict::Truncated)), "{verdict:?}");
     }
 
     /// Guards against honest messages that are refused or held back: whole ones with whole ones behind them.
@@ -70,7 +70,7 @@
         if let Some(next) = next {
             bytes.extend(encoded(&next_message(next, &other)));
         }
-        prop_assert_eq!(judged(&bytes, false), Some(Verdict::Whole));
+        prop_assert_eq!(judged(&bytes, false), Some(Verdict::Complete));
     }
 
     /// Guards against honest set-ups of which an id, a length or a code is taken for the head of another message.
@@ -83,15 +83,15 @@
                 .with(code::CLASS, "meter-read")
                 .with(code::WAIT, "3000")
                 .with(code::NUMBER, format!("{id:016x}"))
-                .with(code::FIGURES, "dest:0;width:1;via:-1")
+                .with(code::ATTRIBUTES, "dest:0;width:1;via:-1")
                 .with(code::DESCRIPTION, &description[..])
         };
         let mut bytes = encoded(&set_up(id));
         if !alone {
             bytes.extend(encoded(&set_up(id.wrapping_add(1))));
         }
-        let candidate = Candidate { data: &bytes, length: encoded(&set_up(id)).len(), split: false };
-        prop_assert_ne!(candidate.verdict(|_| false), Verdict::CutShort);
+        let candidate = Candidate { data: &bytes, length: encoded(&set_up(id)).len(), split_across_reads: false };
+        prop_assert_ne!(candidate.verdict(|_| false), Verdict::Truncated);
     }
 
     /// Guards against a panic on bytes from the network.
@@ -111,7 +111,7 @@
         bytes.extend(&next[..missing]);
         assert_eq!(judged(&bytes, true), Some(Verdict::Undecided), "{missing} bytes missing");
         bytes.extend(&next[missing..]);
-        assert_eq!(judged(&bytes, true), Some(Verdict::CutShort), "{missing} bytes missing");
+        assert_eq!(judged(&bytes, true), Some(Verdict::Truncated), "{missing} bytes missing");
     }
-    assert_eq!(judged(&whole, true), Some(Verdict::Whole));
+    assert_eq!(judged(&whole, true), Some(Verdict::Complete));
 }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io::{self, ErrorKind, Read, Write};
 
-use crate::boundary::{Candidate, Cut, Verdict};
+use crate::boundary::{Candidate, TruncatedMessage, Verdict};
 use crate::message::Message;
 
 /// What a connection carries: something with an end of its own in a stream of bytes.
@@ -27,52 +27,52 @@
 }
 
 /// Bytes read at once, and reads in one turn, so that one busy peer does not keep the others waiting.
-const CHUNK: usize = 16 * 1024;
-const READS: usize = 4;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+const MAX_READS_PER_ITERATION: usize = 4;
 
 /// Why a connection is over.
 #[derive(Debug)]
-pub enum Over {
+pub enum CloseReason {
     /// The peer closed it.
     Closed,
     /// It broke.
     Broken(io::Error),
     /// The peer sent what is no message.
-    Unreadable(Box<dyn std::error::Error + Send + Sync>),
+    Malformed(Box<dyn std::error::Error + Send + Sync>),
     /// The peer stopped a message short and went on with the next one.
-    CutShort(Cut),
+    Truncated(TruncatedMessage),
     /// The peer does not read what it is sent.
-    Stuck,
+    WriteBacklog,
     /// The peer began a message and does not end it.
-    Stalled,
+    IncompleteMessage,
     /// The peer answers elsewhere what was sent later.
-    Silent,
+    Unresponsive,
     /// The peer sent a message that has no place there.
-    Improper(&'static str),
+    UnexpectedMessage(&'static str),
     /// The peer has been idle, or silent from the start, for too long.
     Idle,
     /// This side is drained, and lets its peers go.
     Drained,
 }
 
-impl fmt::Display for Over {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Over::Closed => write!(f, "closed by the peer"),
-            Over::Broken(error) => write!(f, "{error}"),
-            Over::Unreadable(reason) => write!(f, "{reason}"),
-            Over::CutShort(cut) => write!(f, "{cut}"),
-            Over::Stuck => write!(f, "the peer does not read what it is sent"),
-            Over::Stalled => write!(f, "a message was begun and not ended"),
-            Over::Silent => write!(f, "silent, while answers come on another"),
-            Over::Improper(what) => write!(f, "{what}"),
-            Over::Idle => write!(f, "idle"),
-            Over::Drained => write!(f, "drained"),
+            CloseReason::Closed => write!(f, "closed by the peer"),
+            CloseReason::Broken(error) => write!(f, "{error}"),
+            CloseReason::Malformed(reason) => write!(f, "{reason}"),
+            CloseReason::Truncated(cut) => write!(f, "{cut}"),
+            CloseReason::WriteBacklog => write!(f, "the peer does not read what it is sent"),
+            CloseReason::IncompleteMessage => write!(f, "a message was begun and not ended"),
+            CloseReason::Unresponsive => write!(f, "silent, while answers come on another"),
+            CloseReason::UnexpectedMessage(what) => write!(f, "{what}"),
+            CloseReason::Idle => write!(f, "idle"),
+            CloseReason::Drained => write!(f, "drained"),
         }
     }
 }
 
-impl std::error::Error for Over {}
+impl std::error::Error for CloseReason {}
 
 /// A stream with its buffers, of the platform's messages or of others.
 pub struct Connection<S, M = Message> {
@@ -84,20 +84,20 @@
     queued: u64,
     written: u64,
     /// Most bytes that wait to be written. A peer that reads so slowly is cut off.
-    most_waiting: usize,
-    /// Whole messages read so far; and which message was last seen half read, and since when.
+    max_unwritten_bytes: usize,
+    /// Complete messages read so far; and which message was last seen half read, and since when.
     messages: u64,
     half: Option<(u64, f64)>,
-    /// Whether the first bytes of the input are a whole message that is held back, see [`Connection::read_judged`].
+    /// Whether the first bytes of the input are a whole message that is held back, see [`Connection::read_checked`].
     held: bool,
 }
 
 /// Judges messages that are complete by their own length.
-pub type Judge<'a> = &'a dyn Fn(Candidate) -> Verdict;
+pub type BoundaryCheck<'a> = &'a dyn Fn(Candidate) -> Verdict;
 
 impl<S: Read + Write, M: Frame> Connection<S, M> {
     /// Wraps a non-blocking stream.
-    pub fn new(stream: S, most_waiting: usize) -> Self {
+    pub fn new(stream: S, max_unwritten_bytes: usize) -> Self {
         let (input, output, half) = (Vec::new(), Vec::new(), None);
         let carries = std::marker::PhantomData;
         Connection {
@@ -107,7 +107,7 @@
             output,
             queued: 0,
             written: 0,
-            most_waiting,
+            max_unwritten_bytes,
             messages: 0,
             half,
             held: false,
@@ -122,30 +122,32 @@
     /// Reads what has come and appends the whole messages to `messages`, also when the connection
     /// turns out to be over: what was sent before its end counts. Reads on until nothing is there, so that an end
     /// right behind a message is known together with it: whoever asked and left is gone before anything is decided.
-    pub fn read(&mut self, messages: &mut Vec<M>) -> Result<(), Over> {
-        self.read_judged(messages, &|_| Verdict::Whole)
+    pub fn read(&mut self, messages: &mut Vec<M>) -> Result<(), CloseReason> {
+        self.read_checked(messages, &|_| Verdict::Complete)
     }
 
     /// Reads as [`Connection::read`] does, and has each message judged. One that was cut short ends the connection; one on
-    /// which the judge is undecided is held back, with all behind it, until more comes, the connection ends, or
+    /// which the check is undecided is held back, with all behind it, until more comes, the connection ends, or
     /// [`Connection::release_held`] is called.
-    pub fn read_judged(&mut self, messages: &mut Vec<M>, judge: Judge) -> Result<(), Over> {
+    pub fn read_checked(&mut self, messages: &mut Vec<M>, check: BoundaryCheck) -> Result<(), CloseReason> {
         let earlier = self.input.len();
-        let end = self.read_stream(earlier, messages, judge);
+        let end = self.read_stream(earlier, messages, check);
         match &end {
             // Nothing comes any more that could tell.
-            Err(Over::Closed | Over::Broken(_)) if self.held => self.release_held(messages, judge).and(end),
+            Err(CloseReason::Closed | CloseReason::Broken(_)) if self.held => {
+                self.release_held(messages, check).and(end)
+            }
             _ => end,
         }
     }
 
     /// Whether a whole message is held back.
-    pub fn holds_message(&self) -> bool {
+    pub fn has_held_message(&self) -> bool {
         self.held
     }
 
-    /// Takes the message that is held back as whole, and what is behind it as the judge says.
-    pub fn release_held(&mut self, messages: &mut Vec<M>, judge: Judge) -> Result<(), Over> {
+    /// Takes the message that is held back as whole, and what is behind it as the check says.
+    pub fn release_held(&mut self, messages: &mut Vec<M>, check: BoundaryCheck) -> Result<(), CloseReason> {
         if !std::mem::take(&mut self.held) {
             return Ok(());
         }
@@ -154,25 +156,30 @@
             self.messages += 1;
             self.input.drain(..length);
         }
-        self.take(0, messages, judge)
+        self.accept_messages(0, messages, check)
     }
 
-    fn read_stream(&mut self, earlier: usize, messages: &mut Vec<M>, judge: Judge) -> Result<(), Over> {
-        let mut chunk = [0; CHUNK];
+    fn read_stream(
+        &mut self,
+        earlier: usize,
+        messages: &mut Vec<M>,
+        check: BoundaryCheck,
+    ) -> Result<(), CloseReason> {
+        let mut chunk = [0; READ_BUFFER_BYTES];
         let mut reads = 0;
         let before = self.messages;
-        while reads < READS {
+        while reads < MAX_READS_PER_ITERATION {
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Err(Over::Closed),
+                Ok(0) => return Err(CloseReason::Closed),
                 Ok(n) => {
                     self.input.extend(&chunk[..n]);
                     // Only the message that was begun then has bytes of an earlier read.
                     let earlier = if self.messages == before { earlier } else { 0 };
-                    self.take(earlier, messages, judge)?;
+                    self.accept_messages(earlier, messages, check)?;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(error) => return Err(Over::Broken(error)),
+                Err(error) => return Err(CloseReason::Broken(error)),
             }
             reads += 1;
         }
@@ -180,15 +187,15 @@
     }
 
     /// Reads what has come and throws it away.
-    pub fn pass_over(&mut self) -> Result<(), Over> {
-        let mut chunk = [0; CHUNK];
-        for _ in 0..READS {
+    pub fn discard_input(&mut self) -> Result<(), CloseReason> {
+        let mut chunk = [0; READ_BUFFER_BYTES];
+        for _ in 0..MAX_READS_PER_ITERATION {
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Err(Over::Closed),
+                Ok(0) => return Err(CloseReason::Closed),
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => return Err(Over::Broken(error)),
+                Err(error) => return Err(CloseReason::Broken(error)),
             }
         }
         Ok(())
@@ -203,12 +210,17 @@
     }
 
     /// Whether a part of a message has been read, and not its end.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.input.is_empty()
     }
 
     /// Takes the messages that are whole. The first `earlier` bytes of the input came in an earlier read.
-    fn take(&mut self, earlier: usize, messages: &mut Vec<M>, judge: Judge) -> Result<(), Over> {
+    fn accept_messages(
+        &mut self,
+        earlier: usize,
+        messages: &mut Vec<M>,
+        check: BoundaryCheck,
+    ) -> Result<(), CloseReason> {
         self.held = false;
         let mut used = 0;
         let end = loop {
@@ -216,12 +228,12 @@
             let (message, length) = match M::decode(data) {
                 Ok(Some(whole)) => whole,
                 Ok(None) => break Ok(()),
-                Err(reason) => break Err(Over::Unreadable(reason)),
+                Err(reason) => break Err(CloseReason::Malformed(reason)),
             };
-            let candidate = Candidate { data, length, split: used < earlier };
-            match judge(candidate) {
-                Verdict::Whole => {}
-                Verdict::CutShort => break Err(Over::CutShort(candidate.cut())),
+            let candidate = Candidate { data, length, split_across_reads: used < earlier };
+            match check(candidate) {
+                Verdict::Complete => {}
+                Verdict::Truncated => break Err(CloseReason::Truncated(candidate.truncated_message())),
                 Verdict::Undecided => {
                     self.held = true;
                     break Ok(());
@@ -241,7 +253,7 @@
 
     /// Puts a message in line and writes what can be written. Returns the position at which the
     /// message ends, to compare with [`Connection::written`].
-    pub fn send(&mut self, message: &M) -> Result<u64, Over> {
+    pub fn send(&mut self, message: &M) -> Result<u64, CloseReason> {
         let end = self.queue(message);
         self.write_queued()?;
         Ok(end)
@@ -257,17 +269,17 @@
     }
 
     /// Writes what can be written; an error where too much waits then.
-    pub fn write_queued(&mut self) -> Result<(), Over> {
+    pub fn write_queued(&mut self) -> Result<(), CloseReason> {
         self.flush()?;
         match self.output.len() {
-            n if n > self.most_waiting => Err(Over::Stuck),
+            n if n > self.max_unwritten_bytes => Err(CloseReason::WriteBacklog),
             _ => Ok(()),
         }
     }
 
     /// Puts a message in line if its first byte can be written now, and takes it back otherwise. Returns as
     /// [`Connection::send`] does; none where it was taken back. What has not begun to leave can still be called off.
-    pub fn begin(&mut self, message: &M) -> Result<Option<u64>, Over> {
+    pub fn try_start(&mut self, message: &M) -> Result<Option<u64>, CloseReason> {
         if self.blocked() {
             return Ok(None);
         }
@@ -282,18 +294,18 @@
     }
 
     /// Writes what can be written.
-    pub fn flush(&mut self) -> Result<(), Over> {
+    pub fn flush(&mut self) -> Result<(), CloseReason> {
         let mut done = 0;
         let end = loop {
             if done == self.output.len() {
                 break Ok(());
             }
             match self.stream.write(&self.output[done..]) {
-                Ok(0) => break Err(Over::Closed),
+                Ok(0) => break Err(CloseReason::Closed),
                 Ok(n) => done += n,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => break Err(Over::Broken(error)),
+                Err(error) => break Err(CloseReason::Broken(error)),
             }
         };
         self.output.drain(..done);
--- a/crates/platform/src/connection/tests.rs
+++ b/crates/platform/src/connection/tests.rs
@@ -95,14 +95,14 @@
     let mut connection: Connection<_, Message> = Connection::new(Choppy::default(), 64 * 1024);
     let message = Message::new(kind::ANSWER, 1).with(61, vec![0; 16_000]);
     let end = (0..20).find_map(|_| connection.send(&message).err());
-    assert!(matches!(end, Some(Over::Stuck)));
+    assert!(matches!(end, Some(CloseReason::WriteBacklog)));
     let mut bytes = Vec::new();
     Message::new(kind::RELEASE, 2).encode(&mut bytes);
     bytes.extend([0xff; 9]);
     connection.stream.incoming.extend(bytes);
     connection.stream.gives = 1000;
     let mut got = Vec::new();
-    assert!(matches!(connection.read(&mut got), Err(Over::Unreadable(_))));
+    assert!(matches!(connection.read(&mut got), Err(CloseReason::Malformed(_))));
     assert_eq!(got, [Message::new(kind::RELEASE, 2)]);
 }
 
@@ -112,14 +112,14 @@
 fn a_message_that_cannot_begin_to_leave_is_taken_back() {
     let mut connection: Connection<_, Message> = Connection::new(Choppy::default(), 64 * 1024);
     let message = Message::new(kind::RELEASE, 1);
-    assert!(matches!(connection.begin(&message), Ok(None)));
+    assert!(matches!(connection.try_start(&message), Ok(None)));
     assert!(!connection.blocked());
     connection.stream.takes = 4;
-    let end = connection.begin(&message).unwrap();
+    let end = connection.try_start(&message).unwrap();
     assert!(end.is_some_and(|end| end > connection.written()), "half of it is out");
     // Behind half a message nothing begins.
     connection.stream.takes = 0;
-    assert!(matches!(connection.begin(&Message::new(kind::RELEASE, 2)), Ok(None)));
+    assert!(matches!(connection.try_start(&Message::new(kind::RELEASE, 2)), Ok(None)));
     connection.stream.takes = usize::MAX;
     connection.flush().unwrap();
     let mut bytes = Vec::new();
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -19,7 +19,7 @@
 
 /// One server of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// The pool's number.
@@ -38,7 +38,7 @@
     /// Number of the last event that it holds.
     pub position: u64,
     /// The servers by id; one that is gone is not there.
-    pub servers: BTreeMap<String, Listed>,
+    pub servers: BTreeMap<String, ListedServer>,
 }
 
 /// One event of the list as the configuration file gives it.
@@ -97,7 +97,7 @@
                 };
                 let (address, number, started) = (host.host_port, host.cell, host.started_at_ms / 1000.0);
                 let district = district(districts, &host.zone);
-                let listed = Listed { address, number, readiness, started, district };
+                let listed = ListedServer { address, number, readiness, started, district };
                 list.servers.insert(host.instance_id.clone(), listed);
             }
         }
@@ -133,7 +133,7 @@
             let mut labels = srv.target.iter();
             let id = String::from_utf8(labels.next()?.to_vec()).ok()?;
             let zone = labels.next().and_then(|label| std::str::from_utf8(label).ok());
-            let listed = Listed {
+            let listed = ListedServer {
                 address: (ip as Ipv4Addr, srv.port).into(),
                 number: texts.get("cell")?.parse().ok()?,
                 readiness: if srv.priority == 0 { Readiness::Ready } else { Readiness::Draining },
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 
 /// Longest message, with its length field.
-pub const MOST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 /// Bytes of the length field.
 pub(crate) const LENGTH: usize = 2;
 /// Bytes of type and call.
@@ -27,7 +27,7 @@
     /// A release, with a cause.
     pub const RELEASE: u8 = 12;
     /// A release was heard.
-    pub const RELEASE_HEARD: u8 = 16;
+    pub const RELEASE_COMPLETE: u8 = 16;
     /// The state of a group.
     pub const STATE: u8 = 43;
     /// A test.
@@ -43,15 +43,15 @@
     /// How long the sender waits, in milliseconds.
     pub const WAIT: u8 = 19;
     /// Marks a caller's further try; else absent.
-    pub const AGAIN: u8 = 25;
+    pub const RETRY: u8 = 25;
     /// The number called, in hex digits.
     pub const NUMBER: u8 = 28;
     /// The request's figures.
-    pub const FIGURES: u8 = 31;
+    pub const ATTRIBUTES: u8 = 31;
     /// For how long a caller is to stay away, in milliseconds.
     pub const RETRY_AFTER: u8 = 34;
     /// Why a server turned a set-up back.
-    pub const NOTE: u8 = 37;
+    pub const REJECT_REASON: u8 = 37;
     /// The wait at a server's full processor, in milliseconds.
     pub const FULL_WAIT: u8 = 40;
     /// A load report.
@@ -62,8 +62,19 @@
     pub const DESCRIPTION: u8 = 61;
 
     /// All of them.
-    pub const ALL: [u8; 11] =
-        [CLASS, WAIT, AGAIN, NUMBER, FIGURES, RETRY_AFTER, NOTE, FULL_WAIT, REPORT, CAUSE, DESCRIPTION];
+    pub const ALL: [u8; 11] = [
+        CLASS,
+        WAIT,
+        RETRY,
+        NUMBER,
+        ATTRIBUTES,
+        RETRY_AFTER,
+        REJECT_REASON,
+        FULL_WAIT,
+        REPORT,
+        CAUSE,
+        DESCRIPTION,
+    ];
 }
 
 /// Release causes.
@@ -81,12 +92,12 @@
     /// A field makes no sense.
     pub const INVALID_PARAMETER: u8 = 100;
     /// It never left.
-    pub const MOOT: u8 = 102;
+    pub const NEVER_SENT: u8 = 102;
 }
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// Longer than a message may be.
     TooLong(usize),
     /// Too short for its type and call.
@@ -95,17 +106,17 @@
     CutParameter,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::TooLong(n) => write!(f, "a message of {n} bytes is too long"),
-            Unreadable::TooShort(n) => write!(f, "a message of {n} bytes has no room for its call"),
-            Unreadable::CutParameter => write!(f, "a parameter runs past the end of its message"),
+            DecodeError::TooLong(n) => write!(f, "a message of {n} bytes is too long"),
+            DecodeError::TooShort(n) => write!(f, "a message of {n} bytes has no room for its call"),
+            DecodeError::CutParameter => write!(f, "a parameter runs past the end of its message"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -130,7 +141,7 @@
     }
 
     /// The message with a cause.
-    pub fn caused(self, cause: u8) -> Self {
+    pub fn with_cause(self, cause: u8) -> Self {
         self.with(code::CAUSE, [cause])
     }
 
@@ -140,7 +151,7 @@
     }
 
     /// Whether any parameter comes twice; then nobody can tell which one was meant.
-    pub fn repeats(&self) -> bool {
+    pub fn has_duplicate_parameters(&self) -> bool {
         let mut codes: Vec<u8> = self.parameters.iter().map(|p| p.0).collect();
         codes.sort_unstable();
         codes.windows(2).any(|pair| pair[0] == pair[1])
@@ -160,29 +171,29 @@
     }
 
     /// The first whole message in `data` and its length in bytes; `None` if it has not all arrived.
-    pub fn decode(data: &[u8]) -> Result<Option<(Message, usize)>, Unreadable> {
+    pub fn decode(data: &[u8]) -> Result<Option<(Message, usize)>, DecodeError> {
         let Some(length) = data.first_chunk::<LENGTH>() else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes(*length));
         let whole = LENGTH + length;
         // Said before the rest arrives, so that no buffer grows past one message.
-        if whole > MOST {
-            return Err(Unreadable::TooLong(whole));
+        if whole > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::TooLong(whole));
         }
         let Some(body) = data.get(LENGTH..whole) else { return Ok(None) };
         let Some((head, mut rest)) = body.split_first_chunk::<HEAD>() else {
-            return Err(Unreadable::TooShort(whole));
+            return Err(DecodeError::TooShort(whole));
         };
         let [kind, id @ ..] = *head;
         let mut message = Message::new(kind, u64::from_be_bytes(id));
         while let [code, high, low, values @ ..] = rest {
             let length = usize::from(u16::from_be_bytes([*high, *low]));
-            let (value, after) = values.split_at_checked(length).ok_or(Unreadable::CutParameter)?;
+            let (value, after) = values.split_at_checked(length).ok_or(DecodeError::CutParameter)?;
             message.parameters.push((*code, value.to_vec()));
             rest = after;
         }
         match rest {
             [] => Ok(Some((message, whole))),
-            _ => Err(Unreadable::CutParameter),
+            _ => Err(DecodeError::CutParameter),
         }
     }
 
@@ -194,7 +205,7 @@
         out.push(self.kind);
         out.extend(self.call.to_be_bytes());
         for (code, value) in &self.parameters {
-            if out.len() - start + PARAMETER_HEAD + value.len() <= MOST {
+            if out.len() - start + PARAMETER_HEAD + value.len() <= MAX_MESSAGE_BYTES {
                 out.push(*code);
                 out.extend((value.len() as u16).to_be_bytes());
                 out.extend(value);
@@ -235,12 +246,12 @@
 
     #[test]
     fn broken_lengths_are_unreadable() {
-        assert_eq!(Message::decode(&[0x40, 0]), Err(Unreadable::TooLong(MOST + 2)));
-        assert_eq!(Message::decode(&[0, 3, 1, 2, 3]), Err(Unreadable::TooShort(5)));
+        assert_eq!(Message::decode(&[0x40, 0]), Err(DecodeError::TooLong(MAX_MESSAGE_BYTES + 2)));
+        assert_eq!(Message::decode(&[0, 3, 1, 2, 3]), Err(DecodeError::TooShort(5)));
         assert_eq!(
             Message::decode(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 16, 0, 9]),
-            Err(Unreadable::CutParameter)
+            Err(DecodeError::CutParameter)
         );
-        assert_eq!(Message::decode(&[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 16]), Err(Unreadable::CutParameter));
+        assert_eq!(Message::decode(&[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 16]), Err(DecodeError::CutParameter));
     }
 }
--- a/crates/service/src/drain/tests.rs
+++ b/crates/service/src/drain/tests.rs
@@ -2,23 +2,23 @@
 
 const DRAINED: f64 = 10.0;
 
-fn quiet(since: f64, used_at: f64) -> Connection {
-    let asked_at = Some(used_at);
-    Connection {
+fn quiet(since: f64, last_used_at: f64) -> ConnectionState {
+    let last_set_up_at = Some(last_used_at);
+    ConnectionState {
         since,
-        used_at,
-        asked_at,
-        told: true,
-        asks_again: true,
+        last_used_at,
+        last_set_up_at,
+        sent_anything: true,
+        set_up_after_reply: true,
         open: 0,
         standing: 0,
         writing: false,
         reading: false,
-        end_path: false,
+        delivers_other_ends: false,
     }
 }
 
-fn closes(now: f64, c: &Connection) -> bool {
+fn closes(now: f64, c: &ConnectionState) -> bool {
     decide(now, DRAINED, c) == Decision::Close
 }
 
@@ -29,10 +29,10 @@
     assert!(!closes(10.2, &old));
     assert!(closes(10.25, &old));
     // A request of the last moment is answered before its connection goes.
-    let asking = Connection { open: 1, ..old };
+    let asking = ConnectionState { open: 1, ..old };
     assert!(!closes(13.0, &asking));
-    let answering = Connection { writing: true, ..old };
-    let standing = Connection { standing: 1, ..old };
+    let answering = ConnectionState { writing: true, ..old };
+    let standing = ConnectionState { standing: 1, ..old };
     assert!(!closes(13.0, &standing), "the end of what stands is owed to it");
     assert!(!closes(12.4, &answering));
     assert!(closes(12.5, &answering), "whoever does not read by then sees no close in time");
@@ -40,7 +40,7 @@
     assert!(!closes(11.0, &answered));
     assert!(closes(11.05, &answered));
     // A new connection that says nothing gets a little longer to say it.
-    let mute = Connection { told: false, ..quiet(10.1, 10.1) };
+    let mute = ConnectionState { sent_anything: false, ..quiet(10.1, 10.1) };
     assert!(!closes(10.5, &mute));
     assert!(closes(10.6, &mute));
     // One that keeps asking is let go once the drain is firm, between its answers.
@@ -55,15 +55,23 @@
 #[test]
 fn nothing_idle_or_in_use_is_kept_at_the_term() {
     let asked = [None, Some(5.0), Some(10.5), Some(11.9), Some(12.0), Some(12.5), Some(13.4)];
-    for (asked_at, open, standing, end_path) in connections(&asked).filter(|(asked_at, open, standing, _)| {
-        let in_use = asked_at.is_some_and(|at| at >= DRAINED + TERM_S - IN_USE_S);
-        in_use || (*open, *standing) == (0, 0)
-    }) {
-        let used_at = asked_at.unwrap_or(0.0);
-        let c = Connection { asked_at, open, standing, end_path, ..quiet(0.0, used_at) };
-        let times = [DRAINED + FINAL_AFTER_S, 13.9, DRAINED + TERM_S, 14.1];
+    for (last_set_up_at, open, standing, delivers_other_ends) in
+        connections(&asked).filter(|(last_set_up_at, open, standing, _)| {
+            let in_use = last_set_up_at.is_some_and(|at| at >= DRAINED + DEADLINE_S - IN_USE_WINDOW_S);
+            in_use || (*open, *standing) == (0, 0)
+        })
+    {
+        let last_used_at = last_set_up_at.unwrap_or(0.0);
+        let c = ConnectionState {
+            last_set_up_at,
+            open,
+            standing,
+            delivers_other_ends,
+            ..quiet(0.0, last_used_at)
+        };
+        let times = [DRAINED + FINAL_CLOSE_AFTER_S, 13.9, DRAINED + DEADLINE_S, 14.1];
         for (now, half) in times.iter().flat_map(|now| [(*now, false), (*now, true)]) {
-            let decision = decide(now, DRAINED, &Connection { writing: half, reading: half, ..c });
+            let decision = decide(now, DRAINED, &ConnectionState { writing: half, reading: half, ..c });
             assert!(!matches!(decision, Decision::Keep(_)), "{decision:?} at {now}: {c:?}");
         }
     }
@@ -72,9 +80,11 @@
 /// Guards against a call cut or a set-up answered that the term does not ask for.
 #[test]
 fn what_is_not_in_use_at_the_term_keeps_its_calls() {
-    for (asked_at, open, standing, end_path) in connections(&[Some(5.0), Some(10.5), Some(11.9)]) {
-        let c = Connection { asked_at, open, standing, end_path, ..quiet(0.0, 5.0) };
-        for now in [10.1, 11.6, 12.1, DRAINED + FINAL_AFTER_S, DRAINED + TERM_S, 30.0] {
+    for (last_set_up_at, open, standing, delivers_other_ends) in
+        connections(&[Some(5.0), Some(10.5), Some(11.9)])
+    {
+        let c = ConnectionState { last_set_up_at, open, standing, delivers_other_ends, ..quiet(0.0, 5.0) };
+        for now in [10.1, 11.6, 12.1, DRAINED + FINAL_CLOSE_AFTER_S, DRAINED + DEADLINE_S, 30.0] {
             let decision = decide(now, DRAINED, &c);
             let needed = open > 0 || standing > 0;
             let ends_calls = matches!(decision, Decision::AnswerSetUps | Decision::CutCalls);
@@ -93,30 +103,30 @@
 
 #[test]
 fn one_connection_in_use_stays_for_ends_until_the_last_moment_and_others_go() {
-    let in_use = Connection { standing: 1, ..quiet(0.0, 12.2) };
-    let end_path = Connection { end_path: true, ..in_use };
+    let in_use = ConnectionState { standing: 1, ..quiet(0.0, 12.2) };
+    let delivers_other_ends = ConnectionState { delivers_other_ends: true, ..in_use };
     assert_eq!(decide(12.3, DRAINED, &in_use), Decision::Close);
-    assert_eq!(decide(13.4, DRAINED, &end_path), Decision::Keep(KeptFor::OtherEnds));
-    assert_eq!(decide(13.5, DRAINED, &end_path), Decision::CutCalls);
+    assert_eq!(decide(13.4, DRAINED, &delivers_other_ends), Decision::Keep(KeepReason::OtherCallEnds));
+    assert_eq!(decide(13.5, DRAINED, &delivers_other_ends), Decision::CutCalls);
     // The term is past: its ends can be told there.
-    assert_eq!(decide(14.3, DRAINED, &end_path), Decision::Keep(KeptFor::OtherEnds));
-    let quiet = Connection { standing: 1, ..quiet(0.0, 5.0) };
-    assert!(fitness_for_ends(12.3, DRAINED, &quiet) > fitness_for_ends(12.3, DRAINED, &in_use));
+    assert_eq!(decide(14.3, DRAINED, &delivers_other_ends), Decision::Keep(KeepReason::OtherCallEnds));
+    let quiet = ConnectionState { standing: 1, ..quiet(0.0, 5.0) };
+    assert!(end_delivery_rank(12.3, DRAINED, &quiet) > end_delivery_rank(12.3, DRAINED, &in_use));
     // A caller that may never read is no one to tell ends of others to.
-    let asked_once = Connection { asks_again: false, ..quiet };
-    assert!(fitness_for_ends(12.3, DRAINED, &in_use) > fitness_for_ends(12.3, DRAINED, &asked_once));
+    let asked_once = ConnectionState { set_up_after_reply: false, ..quiet };
+    assert!(end_delivery_rank(12.3, DRAINED, &in_use) > end_delivery_rank(12.3, DRAINED, &asked_once));
 }
 
 /// Guards against set-ups refused on a connection that could have been closed between two of them.
 #[test]
 fn a_busy_connection_with_standing_calls_goes_between_two_set_ups_where_another_takes_their_ends() {
-    let busy = Connection { standing: 1, ..quiet(0.0, 11.4) };
-    assert_eq!(decide(11.45, DRAINED, &busy), Decision::Keep(KeptFor::StandingCall));
+    let busy = ConnectionState { standing: 1, ..quiet(0.0, 11.4) };
+    assert_eq!(decide(11.45, DRAINED, &busy), Decision::Keep(KeepReason::StandingCall));
     assert_eq!(decide(11.55, DRAINED, &busy), Decision::Close);
     assert_eq!(
-        decide(11.55, DRAINED, &Connection { end_path: true, ..busy }),
-        Decision::Keep(KeptFor::OtherEnds)
+        decide(11.55, DRAINED, &ConnectionState { delivers_other_ends: true, ..busy }),
+        Decision::Keep(KeepReason::OtherCallEnds)
     );
     // A moment without requests: it may stay.
-    assert_eq!(decide(12.0, DRAINED, &busy), Decision::Keep(KeptFor::StandingCall));
+    assert_eq!(decide(12.0, DRAINED, &busy), Decision::Keep(KeepReason::StandingCall));
 }
--- a/crates/service/src/figures.rs
+++ b/crates/service/src/figures.rs
@@ -11,11 +11,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Classes counted at most; a name beyond them is counted under [`OTHER`]. Bounds the map against settings
+/// Classes counted at most; a name beyond them is counted under [`OTHER_CLASS`]. Bounds the map against settings
 /// that bring new names at every reload.
-pub const MOST_CLASSES: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 /// Where the requests of classes beyond the bound are counted.
-pub const OTHER: &str = "other";
+pub const OTHER_CLASS: &str = "other";
 
 /// What became of a request: its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,21 +114,21 @@
     /// Counts from 0, with the classes named so far shown at 0.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Self {
         let mut figures = Figures::default();
-        figures.name(classes);
+        figures.add_classes(classes);
         figures
     }
 
     /// Shows classes of new settings at 0 from now on.
-    pub fn name<'a>(&mut self, classes: impl IntoIterator<Item = &'a str>) {
+    pub fn add_classes<'a>(&mut self, classes: impl IntoIterator<Item = &'a str>) {
         for class in classes {
             self.counts(class);
         }
     }
 
     fn counts(&mut self, class: &str) -> &mut Counts {
-        let name = match self.classes.contains_key(class) || self.classes.len() < MOST_CLASSES {
+        let name = match self.classes.contains_key(class) || self.classes.len() < MAX_CLASSES {
             true => class,
-            false => OTHER,
+            false => OTHER_CLASS,
         };
         self.classes.entry(name.to_string()).or_default()
     }
--- a/crates/service/src/figures/tests.rs
+++ b/crates/service/src/figures/tests.rs
@@ -44,11 +44,11 @@
 #[test]
 fn names_beyond_the_bound_are_counted_together() {
     let mut figures = Figures::default();
-    for n in 0..MOST_CLASSES + 10 {
+    for n in 0..MAX_CLASSES + 10 {
         figures.answered(&format!("c{n}"), Outcome::Succeeded);
     }
     let report = figures.report(Gauges::default());
-    assert_eq!(report.succeeded.len(), MOST_CLASSES + 1);
-    assert_eq!(report.succeeded[OTHER], 10);
-    assert_eq!(report.succeeded.values().sum::<u64>(), (MOST_CLASSES + 10) as u64);
+    assert_eq!(report.succeeded.len(), MAX_CLASSES + 1);
+    assert_eq!(report.succeeded[OTHER_CLASS], 10);
+    assert_eq!(report.succeeded.values().sum::<u64>(), (MAX_CLASSES + 10) as u64);
 }
--- a/crates/service/src/http.rs
+++ b/crates/service/src/http.rs
@@ -2,13 +2,13 @@
 //! and the answer's bytes. One call a connection, so every answer ends its connection.
 
 /// A head may have so many bytes and headers; beyond them it is refused with 431.
-pub const MOST_HEAD: usize = 8192;
+pub const MAX_HEAD_BYTES: usize = 8192;
 /// Headers at most.
-pub const MOST_HEADERS: usize = 32;
+pub const MAX_HEADERS: usize = 32;
 
 /// What may be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Endpoint {
     /// `GET /_ready`: whether it takes clients.
     Ready,
     /// `GET /_vars`: the figures.
@@ -30,53 +30,53 @@
 
 /// What the bytes so far come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum ParsedRequest {
     /// The head is not whole yet.
     Partial,
     /// A call.
-    Call(Call),
+    Endpoint(Endpoint),
     /// Something wrong, to be answered so.
-    Wrong(Refusal),
+    Refused(Refusal),
 }
 
-const fn wrong(status: u16, reason: &'static str) -> Asked {
-    Asked::Wrong(Refusal { status, reason })
+const fn refused(status: u16, reason: &'static str) -> ParsedRequest {
+    ParsedRequest::Refused(Refusal { status, reason })
 }
 
 /// Reads what a connection sent so far.
-pub fn read(bytes: &[u8]) -> Asked {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+pub fn parse(bytes: &[u8]) -> ParsedRequest {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
-        Ok(httparse::Status::Partial) if bytes.len() >= MOST_HEAD => wrong(431, "head too large"),
-        Ok(httparse::Status::Partial) => Asked::Partial,
-        Ok(httparse::Status::Complete(length)) if length > MOST_HEAD => wrong(431, "head too large"),
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => refused(431, "head too large"),
+        Ok(httparse::Status::Partial) => ParsedRequest::Partial,
+        Ok(httparse::Status::Complete(length)) if length > MAX_HEAD_BYTES => refused(431, "head too large"),
         Ok(httparse::Status::Complete(length)) => route(&request, bytes.len() > length),
-        Err(httparse::Error::TooManyHeaders) => wrong(431, "too many headers"),
-        Err(_) => wrong(400, "malformed request"),
+        Err(httparse::Error::TooManyHeaders) => refused(431, "too many headers"),
+        Err(_) => refused(400, "malformed request"),
     }
 }
 
-fn route(request: &httparse::Request, more: bool) -> Asked {
+fn route(request: &httparse::Request, more: bool) -> ParsedRequest {
     let (Some(method), Some(path)) = (request.method, request.path) else {
-        return wrong(400, "malformed request");
+        return refused(400, "malformed request");
     };
     if request.version != Some(1) && request.version != Some(0) {
-        return wrong(400, "not HTTP/1");
+        return refused(400, "not HTTP/1");
     }
     let path = path.split_once('?').map_or(path, |(path, _)| path);
     let (want, call) = match path {
-        "/_ready" => ("GET", Call::Ready),
-        "/_vars" => ("GET", Call::Vars),
-        "/_lameduck/on" => ("POST", Call::LameduckOn),
-        "/_lameduck/off" => ("POST", Call::LameduckOff),
-        _ => return wrong(404, "no such call"),
+        "/_ready" => ("GET", Endpoint::Ready),
+        "/_vars" => ("GET", Endpoint::Vars),
+        "/_lameduck/on" => ("POST", Endpoint::LameduckOn),
+        "/_lameduck/off" => ("POST", Endpoint::LameduckOff),
+        _ => return refused(404, "no such call"),
     };
     // HEAD is refused too: its answer would have to leave the body out.
     if method != want {
         return match want {
-            "GET" => wrong(405, "use GET"),
-            _ => wrong(405, "use POST"),
+            "GET" => refused(405, "use GET"),
+            _ => refused(405, "use POST"),
         };
     }
     let body = request.headers.iter().any(|h| {
@@ -85,13 +85,13 @@
             || h.name.eq_ignore_ascii_case("transfer-encoding")
     });
     if body || more {
-        return wrong(400, "no body belongs to this call");
+        return refused(400, "no body belongs to this call");
     }
-    Asked::Call(call)
+    ParsedRequest::Endpoint(call)
 }
 
 /// An answer's bytes, with the end of the connection announced.
-pub fn answer(status: u16, content_type: &str, body: &str) -> Vec<u8> {
+pub fn response(status: u16, content_type: &str, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -111,8 +111,8 @@
 }
 
 /// A refusal's bytes.
-pub fn refusal(refusal: Refusal) -> Vec<u8> {
-    answer(refusal.status, "text/plain", &format!("{}\n", refusal.reason))
+pub fn refusal_response(refusal: Refusal) -> Vec<u8> {
+    response(refusal.status, "text/plain", &format!("{}\n", refusal.reason))
 }
 
 #[cfg(test)]
@@ -120,27 +120,33 @@
     use super::*;
 
     fn status(bytes: &[u8]) -> Option<u16> {
-        match read(bytes) {
-            Asked::Wrong(r) => Some(r.status),
+        match parse(bytes) {
+            ParsedRequest::Refused(r) => Some(r.status),
             _ => None,
         }
     }
 
     #[test]
     fn each_call_is_read_from_its_head() {
-        assert_eq!(read(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"), Asked::Call(Call::Ready));
-        assert_eq!(read(b"GET /_vars HTTP/1.0\r\n\r\n"), Asked::Call(Call::Vars));
+        assert_eq!(
+            parse(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"),
+            ParsedRequest::Endpoint(Endpoint::Ready)
+        );
+        assert_eq!(parse(b"GET /_vars HTTP/1.0\r\n\r\n"), ParsedRequest::Endpoint(Endpoint::Vars));
         let on = b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
-        assert_eq!(read(on), Asked::Call(Call::LameduckOn));
-        assert_eq!(read(b"POST /_lameduck/off HTTP/1.1\r\n\r\n"), Asked::Call(Call::LameduckOff));
-        assert_eq!(read(b"GET /_ready?x=1 HTTP/1.1\r\n\r\n"), Asked::Call(Call::Ready));
+        assert_eq!(parse(on), ParsedRequest::Endpoint(Endpoint::LameduckOn));
+        assert_eq!(
+            parse(b"POST /_lameduck/off HTTP/1.1\r\n\r\n"),
+            ParsedRequest::Endpoint(Endpoint::LameduckOff)
+        );
+        assert_eq!(parse(b"GET /_ready?x=1 HTTP/1.1\r\n\r\n"), ParsedRequest::Endpoint(Endpoint::Ready));
     }
 
     #[test]
     fn a_head_in_pieces_is_partial_until_whole() {
         let whole = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n";
         for cut in 0..whole.len() {
-            assert_eq!(read(&whole[..cut]), Asked::Partial, "cut at {cut}");
+            assert_eq!(parse(&whole[..cut]), ParsedRequest::Partial, "cut at {cut}");
         }
     }
 
@@ -154,15 +160,15 @@
         let chunked = b"POST /_lameduck/on HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         assert_eq!(status(chunked), Some(400));
         assert_eq!(status(b"\x00\x01\x02 garbage\r\n\r\n"), Some(400));
-        let long = [b"GET /_ready HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MOST_HEAD]].concat();
+        let long = [b"GET /_ready HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MAX_HEAD_BYTES]].concat();
         assert_eq!(status(&long), Some(431));
-        let many: String = (0..=MOST_HEADERS).map(|n| format!("X{n}: y\r\n")).collect();
+        let many: String = (0..=MAX_HEADERS).map(|n| format!("X{n}: y\r\n")).collect();
         assert_eq!(status(format!("GET /_ready HTTP/1.1\r\n{many}\r\n").as_bytes()), Some(431));
     }
 
     #[test]
     fn an_answer_says_its_length_and_the_end_of_the_connection() {
-        let text = String::from_utf8(answer(200, "application/json", "{}")).unwrap();
+        let text = String::from_utf8(response(200, "application/json", "{}")).unwrap();
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n"));
         assert!(text.contains("Content-Length: 2\r\n"));
         assert!(text.contains("Connection: close\r\n"));
--- a/crates/service/src/lifecycle.rs
+++ b/crates/service/src/lifecycle.rs
@@ -5,7 +5,7 @@
 
 /// So long after a drain began, in seconds, the clients' listener still takes connections: the front sends new ones
 /// for 0.2 s after its no, and a few more may be on their way.
-pub const LISTEN_AFTER_DRAIN_S: f64 = 0.5;
+pub const ACCEPT_AFTER_DRAIN_START_S: f64 = 0.5;
 
 /// Where the gatekeeper stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,12 +56,12 @@
 
     /// Lameduck on; returns whether that changed anything. Twice is once.
     pub fn lameduck_on(&mut self, now: f64) -> bool {
-        self.to(now, Phase::Serving, Phase::Lameduck)
+        self.transition(now, Phase::Serving, Phase::Lameduck)
     }
 
     /// Lameduck off; returns whether that changed anything. Off while not on changes nothing.
     pub fn lameduck_off(&mut self, now: f64) -> bool {
-        self.to(now, Phase::Lameduck, Phase::Serving)
+        self.transition(now, Phase::Lameduck, Phase::Serving)
     }
 
     /// SIGTERM: from any phase, and for good.
@@ -73,7 +73,7 @@
         changed
     }
 
-    fn to(&mut self, now: f64, from: Phase, to: Phase) -> bool {
+    fn transition(&mut self, now: f64, from: Phase, to: Phase) -> bool {
         let changed = self.phase == from;
         if changed {
             (self.phase, self.since, self.changes) = (to, now, self.changes + 1);
@@ -84,10 +84,10 @@
     /// Whether the clients' listener is to take connections now. While drained, it stops a little after
     /// the drain began: a listener that takes connections tells the front that it takes work. Stopping is
     /// seen to by the program's own end.
-    pub fn listens(&self, now: f64) -> bool {
+    pub fn accepts_connections(&self, now: f64) -> bool {
         match self.phase {
             Phase::Serving | Phase::Stopping => true,
-            Phase::Lameduck => now - self.since < LISTEN_AFTER_DRAIN_S,
+            Phase::Lameduck => now - self.since < ACCEPT_AFTER_DRAIN_START_S,
         }
     }
 }
--- a/crates/service/src/lifecycle/tests.rs
+++ b/crates/service/src/lifecycle/tests.rs
@@ -18,12 +18,12 @@
 #[test]
 fn the_listener_stops_a_little_after_a_drain_and_listens_again_after_it() {
     let mut life = Lifecycle::new(0.0);
-    assert!(life.listens(0.0));
+    assert!(life.accepts_connections(0.0));
     life.lameduck_on(5.0);
-    assert!(life.listens(5.0 + LISTEN_AFTER_DRAIN_S - 0.01));
-    assert!(!life.listens(5.0 + LISTEN_AFTER_DRAIN_S));
+    assert!(life.accepts_connections(5.0 + ACCEPT_AFTER_DRAIN_START_S - 0.01));
+    assert!(!life.accepts_connections(5.0 + ACCEPT_AFTER_DRAIN_START_S));
     life.lameduck_off(9.0);
-    assert!(life.listens(9.0));
+    assert!(life.accepts_connections(9.0));
 }
 
 #[test]
--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -183,7 +183,8 @@
             }
             kind::RELEASE => {
                 let after = message.text(code::RETRY_AFTER).and_then(|t| t.parse::<f64>().ok());
-                let refused = matches!(message.cause(), Some(cause::FULL | cause::CONGESTION | cause::MOOT));
+                let refused =
+                    matches!(message.cause(), Some(cause::FULL | cause::CONGESTION | cause::NEVER_SENT));
                 let end = if refused { End::Refused(after.unwrap_or(0.0) / 1000.0) } else { End::Failed };
                 call.end.get_or_insert((now, end));
                 call.answers += 1;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -82,10 +82,10 @@
         .with(code::CLASS, class)
         .with(code::WAIT, wait_ms.to_string())
         .with(code::NUMBER, format!("{number:016x}"))
-        .with(code::FIGURES, format!("dest:{first_choice};width:1;via:-1"))
+        .with(code::ATTRIBUTES, format!("dest:{first_choice};width:1;via:-1"))
         .with(code::DESCRIPTION, vec![0, 255, 7]);
     match marked {
-        true => again.with(code::AGAIN, "1"),
+        true => again.with(code::RETRY, "1"),
         false => again,
     }
 }
@@ -97,10 +97,10 @@
 
 /// A release with its cause.
 pub fn release(id: u64, why: u8) -> Message {
-    Message::new(kind::RELEASE, id).caused(why)
+    Message::new(kind::RELEASE, id).with_cause(why)
 }
 
 /// What a server says when it turns a set-up away.
 pub fn full(id: u64, note: &str) -> Message {
-    release(id, cause::FULL).with(code::NOTE, note)
+    release(id, cause::FULL).with(code::REJECT_REASON, note)
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -507,7 +507,7 @@
                 }
             }
             kind::TEST => {
-                let passed = self.told(Message::new(kind::TEST_RESULT, call).caused(1));
+                let passed = self.told(Message::new(kind::TEST_RESULT, call).with_cause(1));
                 self.say(at, door, peer, passed);
             }
             _ => {}
