--- a/crates/platform/src/boundary.rs
+++ b/crates/platform/src/boundary.rs
@@ -1,42 +1,44 @@
-//! Whether a message that is complete by its own length was sent whole.
+//! Detects messages that a peer truncated although their length field makes them look complete.
 //!
-//! A peer that stops a message short and goes on with the next one leaves a stream in which the first bytes of the next
-//! one stand for the rest of this one. By its length such a message is complete, and any bytes make a description. What
-//! gives it away is the head of the next message within it, or bytes behind it that begin no message.
+//! When a peer stops a message short and goes on with the next one, the first bytes of the next message fill the rest of
+//! the truncated one. By its length the result is complete, and a description may hold any bytes. A truncated message is
+//! recognized by the header of another message inside it, or by trailing bytes that cannot begin a message.
 
 use std::fmt;
 
-use crate::message::{code, kind, Message, HEAD, LENGTH, MAX_MESSAGE_BYTES, PARAMETER_HEAD};
+use crate::message::{
+    code, kind, Message, HEADER_BYTES, LENGTH_BYTES, MAX_MESSAGE_BYTES, PARAMETER_HEADER_BYTES,
+};
 
-/// Longest message of a type that carries no more than a cause.
+/// Maximum length of a message whose type carries no more than a cause, with its length field.
 const MAX_SHORT_MESSAGE_BYTES: usize = 64;
 
-/// Where the value of the first parameter begins.
-const FIRST_VALUE: usize = LENGTH + HEAD + PARAMETER_HEAD;
+/// Offset at which the value of the first parameter begins.
+const FIRST_VALUE_OFFSET: usize = LENGTH_BYTES + HEADER_BYTES + PARAMETER_HEADER_BYTES;
 
-/// A message that is complete by its own length, with the bytes that came behind it.
+/// A message that is complete according to its length field, with the bytes received after it.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// The message's bytes and all that came behind it so far.
+    /// The bytes of the message and everything received after it so far.
     pub data: &'a [u8],
-    /// The message's length, with its length field.
+    /// Length of the message in bytes, including its length field.
     pub length: usize,
-    /// Whether its first bytes came in an earlier read than its last.
+    /// Whether its first bytes were received in an earlier read than its last.
     pub split_across_reads: bool,
 }
 
-/// A message that was cut short.
+/// Describes a truncated message, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TruncatedMessage {
-    /// Its type, see [`kind`].
+    /// Message type, see [`kind`].
     pub kind: u8,
-    /// Its call's 64-bit id.
+    /// 64-bit id of its call.
     pub call: u64,
-    /// Its length in bytes, as it says, with its length field.
+    /// Length in bytes that the message declares, including its length field.
     pub length: usize,
-    /// Bytes that came behind it.
+    /// Number of bytes received after it.
     pub trailing_bytes: usize,
-    /// Whether its first bytes came in an earlier read than its last.
+    /// Whether its first bytes were received in an earlier read than its last.
     pub split_across_reads: bool,
 }
 
@@ -44,36 +46,36 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let TruncatedMessage { kind, call, length, trailing_bytes, split_across_reads } = self;
         let reads = if *split_across_reads { "several reads" } else { "one read" };
-        write!(f, "a message of type {kind} and {length} bytes for call {call:016x} was cut short: {trailing_bytes} bytes behind it, {reads}")
+        write!(f, "a message of type {kind} and {length} bytes for call {call:016x} was truncated: {trailing_bytes} bytes follow it, received in {reads}")
     }
 }
 
-/// What the bytes tell of a message.
+/// Result of checking whether a message was sent completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was sent whole, as far as can be told.
+    /// No sign of truncation was found.
     Complete,
-    /// It was cut short, and its last bytes are another message's.
+    /// The message was truncated, and its last bytes belong to another message.
     Truncated,
-    /// Its last bytes may be the beginning of another message, of which more has to come to tell.
+    /// Its last bytes may be the beginning of another message; deciding takes more input.
     Undecided,
 }
 
-/// Whether bytes are the beginning of a message.
+/// How likely it is that bytes are the beginning of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Start {
     No,
-    /// As far as they are there.
+    /// The bytes received so far fit the beginning of a message.
     Possible,
-    /// Of a call that is known, or whole and sound.
+    /// The header names a known call, or the message is complete and valid.
     Certain,
 }
 
 impl Candidate<'_> {
-    /// What is told of the message where it was cut short.
+    /// Describes the message for the log, in case it was truncated.
     pub fn truncated_message(&self) -> TruncatedMessage {
-        let mut head = [0; HEAD];
-        let body = self.data.get(LENGTH..).unwrap_or_default();
+        let mut head = [0; HEADER_BYTES];
+        let body = self.data.get(LENGTH_BYTES..).unwrap_or_default();
         for (to, from) in head.iter_mut().zip(body) {
             *to = *from;
         }
@@ -88,19 +90,19 @@
         }
     }
 
-    /// Judges a message by the heads of messages within it. `known` tells whether an id is one of a call that the peer
-    /// may speak of.
+    /// Checks a message for the headers of other messages inside it. `known` reports whether the peer may send messages for
+    /// the call with that id.
     pub fn verdict(&self, known: impl Fn(u64) -> bool) -> Verdict {
         let mut verdict = Verdict::Complete;
-        // Of a message that came at once, with nothing behind it, the last few bytes alone tell nothing.
+        // If a message arrived in one read with nothing after it, its last few bytes alone are no evidence.
         let more_may_come = self.split_across_reads || self.data.len() > self.length;
-        for start in LENGTH..self.length {
+        for start in LENGTH_BYTES..self.length {
             let rest = &self.data[start..];
             match start_of_message(rest, &known) {
                 Start::Certain => return Verdict::Truncated,
-                // The head of the first parameter is like that of a message where a description has the right length.
-                Start::Possible if start < FIRST_VALUE => {}
-                Start::Possible if more_may_come || rest.len() >= LENGTH + HEAD => {
+                // For some lengths of a description, the header of the first parameter looks like that of a message.
+                Start::Possible if start < FIRST_VALUE_OFFSET => {}
+                Start::Possible if more_may_come || rest.len() >= LENGTH_BYTES + HEADER_BYTES => {
                     verdict = Verdict::Undecided;
                 }
                 Start::Possible | Start::No => {}
@@ -109,24 +111,24 @@
         verdict
     }
 
-    /// Whether what came behind the message can be the beginning of another one.
+    /// Returns whether the trailing bytes can be the beginning of another message.
     pub fn is_followed_by_message(&self) -> bool {
         let behind = &self.data[self.length..];
         behind.is_empty() || start_of_message(behind, &|_| true) != Start::No
     }
 }
 
-/// Judges bytes that may be the beginning of a message.
+/// Checks whether bytes can be the beginning of a message.
 fn start_of_message(data: &[u8], known: &impl Fn(u64) -> bool) -> Start {
     let [high, after_high @ ..] = data else { return Start::Possible };
     let [low, body @ ..] = after_high else {
         return possible_if(usize::from(*high) << 8 < MAX_MESSAGE_BYTES);
     };
-    let length = LENGTH + usize::from(u16::from_be_bytes([*high, *low]));
+    let length = LENGTH_BYTES + usize::from(u16::from_be_bytes([*high, *low]));
     let [kind, after_kind @ ..] = body else {
-        return possible_if((LENGTH + HEAD..=MAX_MESSAGE_BYTES).contains(&length));
+        return possible_if((LENGTH_BYTES + HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length));
     };
-    if !(LENGTH + HEAD..=longest(*kind)).contains(&length) {
+    if !(LENGTH_BYTES + HEADER_BYTES..=max_length(*kind)).contains(&length) {
         return Start::No;
     }
     match after_kind.first_chunk() {
@@ -136,12 +138,14 @@
     }
 }
 
-/// Judges bytes with a sound head of a call that is not known.
+/// Checks bytes with a valid message header of an unknown call by their parameters.
 fn start_by_parameters(data: &[u8]) -> Start {
     match Message::decode(data) {
         Ok(Some((message, _))) if is_complete(&message) => Start::Certain,
         Ok(Some(_)) | Err(_) => Start::No,
-        Ok(None) => possible_if(data.get(LENGTH + HEAD).is_none_or(|first| code::ALL.contains(first))),
+        Ok(None) => {
+            possible_if(data.get(LENGTH_BYTES + HEADER_BYTES).is_none_or(|first| code::ALL.contains(first)))
+        }
     }
 }
 
@@ -152,8 +156,8 @@
     }
 }
 
-/// Longest message of a type; 0 where there is no such type.
-fn longest(message_kind: u8) -> usize {
+/// Maximum length in bytes of a message of a type; 0 if there is no such type.
+fn max_length(message_kind: u8) -> usize {
     match message_kind {
         kind::SET_UP | kind::ANSWER | kind::RELEASE | kind::STATE => MAX_MESSAGE_BYTES,
         kind::PROGRESS | kind::RELEASE_COMPLETE | kind::TEST | kind::TEST_RESULT => MAX_SHORT_MESSAGE_BYTES,
@@ -161,7 +165,8 @@
     }
 }
 
-/// Whether a message has what its type asks for. One that carries nothing shows nothing: its few fixed bytes come by chance.
+/// Returns whether a message has the parameters that its type requires. Types that carry no parameters never count as
+/// complete, as their few fixed bytes can occur by chance.
 fn is_complete(message: &Message) -> bool {
     let has = |code| message.bytes(code).is_some();
     !message.has_duplicate_parameters()
--- a/crates/platform/src/boundary/tests.rs
+++ b/crates/platform/src/boundary/tests.rs
@@ -19,15 +19,15 @@
     [FIRST, SECOND].contains(&id)
 }
 
-/// Judges the first message in the bytes; none where they begin with none.
-fn judged(data: &[u8], split: bool) -> Option<Verdict> {
+/// Checks the first message in the bytes; `None` if they do not begin with a complete message.
+fn verdict_of_first(data: &[u8], split: bool) -> Option<Verdict> {
     let (_, length) = Message::decode(data).ok()??;
     let candidate = Candidate { data, length, split_across_reads: split };
     let followed = candidate.is_followed_by_message();
     Some(if followed { candidate.verdict(known) } else { Verdict::Truncated })
 }
 
-/// What may come behind a message: an answer or a release of a call that is known or not, a report, progress.
+/// A message that may follow another: an answer or a release of a known or unknown call, a report, or progress.
 fn next_message(which: usize, description: &[u8]) -> Message {
     let unknown = !SECOND;
     match which {
@@ -41,9 +41,10 @@
 }
 
 proptest! {
-    /// Guards against a message that is completed by the next one, wherever it was cut and whatever the next one is.
+    /// Guards against a truncated message that is completed by the bytes of the next one, wherever it was truncated and
+    /// whatever the next one is.
     #[test]
-    fn a_message_cut_anywhere_is_not_taken_for_whole(
+    fn a_message_truncated_anywhere_is_not_accepted_as_complete(
         description in prop::collection::vec(any::<u8>(), 1..60), next in 0usize..6, other in prop::collection::vec(any::<u8>(), 1..60),
         releases: bool, cut in 0usize..1000,
     ) {
@@ -52,30 +53,30 @@
             false => answer(FIRST, &description),
         };
         let mut bytes = encoded(&first);
-        // Cut behind its call, so that it still tells whose it is.
-        let head = LENGTH + HEAD;
+        // Truncated after its call id, so that it still names its call.
+        let head = LENGTH_BYTES + HEADER_BYTES;
         bytes.truncate(head + cut % (bytes.len() - head));
         bytes.extend(encoded(&next_message(next, &other)));
         bytes.extend(encoded(&answer(SECOND, b"made for the second")));
-        let verdict = judged(&bytes, false);
+        let verdict = verdict_of_first(&bytes, false);
         prop_assert!(matches!(verdict, None | Some(Verdict::Truncated)), "{verdict:?}");
     }
 
-    /// Guards against honest messages that are refused or held back: whole ones with whole ones behind them.
+    /// Guards against valid messages that are refused or held back: complete ones with complete ones after them.
     #[test]
-    fn a_message_sent_whole_is_taken_at_once(
+    fn a_message_sent_completely_is_accepted_at_once(
         text in "[ -*,-~]{1,80}", next in prop::option::of(0usize..6), other in prop::collection::vec(any::<u8>(), 1..60),
     ) {
         let mut bytes = encoded(&answer(FIRST, text.as_bytes()));
         if let Some(next) = next {
             bytes.extend(encoded(&next_message(next, &other)));
         }
-        prop_assert_eq!(judged(&bytes, false), Some(Verdict::Complete));
+        prop_assert_eq!(verdict_of_first(&bytes, false), Some(Verdict::Complete));
     }
 
-    /// Guards against honest set-ups of which an id, a length or a code is taken for the head of another message.
+    /// Guards against valid set-ups in which an id, a length or a code is mistaken for the header of another message.
     #[test]
-    fn a_set_up_sent_whole_is_not_refused(
+    fn a_set_up_sent_completely_is_not_refused(
         id in prop_oneof![0u64..1000, any::<u64>()], description in prop::collection::vec(any::<u8>(), 0..60), alone: bool,
     ) {
         let set_up = |id: u64| {
@@ -96,22 +97,23 @@
 
     /// Guards against a panic on bytes from the network.
     #[test]
-    fn any_bytes_are_judged(data in prop::collection::vec(any::<u8>(), 0..300), split: bool) {
-        let _ = judged(&data, split);
+    fn any_bytes_are_checked_without_a_panic(data in prop::collection::vec(any::<u8>(), 0..300), split: bool) {
+        let _ = verdict_of_first(&data, split);
     }
 }
 
-/// Guards against an answer of pieces that is passed on before it can be told whose its last bytes are.
+/// Guards against an answer received in several reads that is forwarded before it is known which message its last bytes
+/// belong to.
 #[test]
-fn the_beginning_of_a_head_at_the_end_leaves_it_undecided() {
+fn a_message_that_ends_with_the_beginning_of_a_header_is_undecided_until_more_input_arrives() {
     let next = encoded(&answer(SECOND, b"made for the second"));
     let whole = encoded(&answer(FIRST, b"made for the first of them"));
     for missing in 1..=10 {
         let mut bytes = whole[..whole.len() - missing].to_vec();
         bytes.extend(&next[..missing]);
-        assert_eq!(judged(&bytes, true), Some(Verdict::Undecided), "{missing} bytes missing");
+        assert_eq!(verdict_of_first(&bytes, true), Some(Verdict::Undecided), "{missing} bytes missing");
         bytes.extend(&next[missing..]);
-        assert_eq!(judged(&bytes, true), Some(Verdict::Truncated), "{missing} bytes missing");
+        assert_eq!(verdict_of_first(&bytes, true), Some(Verdict::Truncated), "{missing} bytes missing");
     }
-    assert_eq!(judged(&whole, true), Some(Verdict::Complete));
+    assert_eq!(verdict_of_first(&whole, true), Some(Verdict::Complete));
 }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: non-blocking, with bounded buffers, partial reads and partial writes.
+//! A non-blocking connection with bounded buffers that handles partial reads and partial writes.
 
 use std::fmt;
 use std::io::{self, ErrorKind, Read, Write};
@@ -6,13 +6,13 @@
 use crate::boundary::{Candidate, TruncatedMessage, Verdict};
 use crate::message::Message;
 
-/// What a connection carries: something with an end of its own in a stream of bytes.
+/// A message type that a connection can carry: it marks its own end in a stream of bytes.
 pub trait Frame: Sized {
-    /// Appends its bytes.
+    /// Appends the encoded message to `out`.
     fn encode(&self, out: &mut Vec<u8>);
 
-    /// Reads one from the start of the bytes, with its length; none while it is not whole. Something too long is an
-    /// error before the rest of it arrives.
+    /// Decodes the message at the start of `data` and returns it with its length in bytes, or `None` if it is incomplete.
+    /// A message that is too long is an error before the rest of it arrives.
     fn decode(data: &[u8]) -> Result<Option<(Self, usize)>, Box<dyn std::error::Error + Send + Sync>>;
 }
 
@@ -26,32 +26,33 @@
     }
 }
 
-/// Bytes read at once, and reads in one turn, so that one busy peer does not keep the others waiting.
+/// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum number of reads per iteration of the event loop, so that one busy peer does not keep the others waiting.
 const MAX_READS_PER_ITERATION: usize = 4;
 
-/// Why a connection is over.
+/// Reason why a connection ended.
 #[derive(Debug)]
 pub enum CloseReason {
     /// The peer closed it.
     Closed,
-    /// It broke.
+    /// An I/O error occurred.
     Broken(io::Error),
-    /// The peer sent what is no message.
+    /// The peer sent bytes that are not a valid message.
     Malformed(Box<dyn std::error::Error + Send + Sync>),
-    /// The peer stopped a message short and went on with the next one.
+    /// The peer truncated a message and went on with the next one.
     Truncated(TruncatedMessage),
-    /// The peer does not read what it is sent.
+    /// The peer does not read, and too many bytes wait to be written.
     WriteBacklog,
-    /// The peer began a message and does not end it.
+    /// The peer began a message and did not complete it in time.
     IncompleteMessage,
-    /// The peer answers elsewhere what was sent later.
+    /// The peer does not answer here, while it answers on another connection what was sent later.
     Unresponsive,
-    /// The peer sent a message that has no place there.
+    /// The peer sent a message that is not allowed at this point; the text says which.
     UnexpectedMessage(&'static str),
-    /// The peer has been idle, or silent from the start, for too long.
+    /// The peer has been idle for too long, or never sent anything.
     Idle,
-    /// This side is drained, and lets its peers go.
+    /// This side is draining and closes its connections.
     Drained,
 }
 
@@ -62,9 +63,13 @@
             CloseReason::Broken(error) => write!(f, "{error}"),
             CloseReason::Malformed(reason) => write!(f, "{reason}"),
             CloseReason::Truncated(cut) => write!(f, "{cut}"),
-            CloseReason::WriteBacklog => write!(f, "the peer does not read what it is sent"),
-            CloseReason::IncompleteMessage => write!(f, "a message was begun and not ended"),
-            CloseReason::Unresponsive => write!(f, "silent, while answers come on another"),
+            CloseReason::WriteBacklog => {
+                write!(f, "the peer does not read: too many bytes wait to be written")
+            }
+            CloseReason::IncompleteMessage => write!(f, "the peer did not complete a message in time"),
+            CloseReason::Unresponsive => {
+                write!(f, "no answers, while the peer answers on another connection")
+            }
             CloseReason::UnexpectedMessage(what) => write!(f, "{what}"),
             CloseReason::Idle => write!(f, "idle"),
             CloseReason::Drained => write!(f, "drained"),
@@ -74,66 +79,70 @@
 
 impl std::error::Error for CloseReason {}
 
-/// A stream with its buffers, of the platform's messages or of others.
+/// A stream with its input and output buffers. It carries the platform's messages, or another [`Frame`].
 pub struct Connection<S, M = Message> {
     stream: S,
-    carries: std::marker::PhantomData<M>,
+    message_type: std::marker::PhantomData<M>,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Bytes put in and bytes written since the start.
+    /// Bytes queued for writing since the start.
     queued: u64,
+    /// Bytes written to the stream since the start.
     written: u64,
-    /// Most bytes that wait to be written. A peer that reads so slowly is cut off.
+    /// Maximum number of bytes that wait to be written; the connection of a peer that reads too slowly for it is ended.
     max_unwritten_bytes: usize,
-    /// Complete messages read so far; and which message was last seen half read, and since when.
+    /// Number of complete messages read so far.
     messages: u64,
-    half: Option<(u64, f64)>,
-    /// Whether the first bytes of the input are a whole message that is held back, see [`Connection::read_checked`].
+    /// The message that was incomplete at the last check, by the number of messages before it, and since when.
+    incomplete: Option<(u64, f64)>,
+    /// Whether the input begins with a complete message that is held back, see [`Connection::read_checked`].
     held: bool,
 }
 
-/// Judges messages that are complete by their own length.
+/// Checks a message that is complete according to its length field for truncation.
 pub type BoundaryCheck<'a> = &'a dyn Fn(Candidate) -> Verdict;
 
 impl<S: Read + Write, M: Frame> Connection<S, M> {
-    /// Wraps a non-blocking stream.
+    /// Wraps a non-blocking stream. No more than `max_unwritten_bytes` may wait to be written.
     pub fn new(stream: S, max_unwritten_bytes: usize) -> Self {
-        let (input, output, half) = (Vec::new(), Vec::new(), None);
-        let carries = std::marker::PhantomData;
+        let (input, output, incomplete) = (Vec::new(), Vec::new(), None);
+        let message_type = std::marker::PhantomData;
         Connection {
             stream,
-            carries,
+            message_type,
             input,
             output,
             queued: 0,
             written: 0,
             max_unwritten_bytes,
             messages: 0,
-            half,
+            incomplete,
             held: false,
         }
     }
 
-    /// The stream, to watch it.
+    /// The stream, to register it with a poller.
     pub fn stream(&self) -> &S {
         &self.stream
     }
 
-    /// Reads what has come and appends the whole messages to `messages`, also when the connection
-    /// turns out to be over: what was sent before its end counts. Reads on until nothing is there, so that an end
-    /// right behind a message is known together with it: whoever asked and left is gone before anything is decided.
+    /// Reads the available input and appends the complete messages to `messages`.
+    ///
+    /// If the connection has ended, the messages before its end are appended too, and the reason is returned. It reads
+    /// until no input is left (up to a limit), so that a close right after a message is seen together with it: a caller
+    /// that sent a set-up and left is known to be gone before the set-up is decided.
     pub fn read(&mut self, messages: &mut Vec<M>) -> Result<(), CloseReason> {
         self.read_checked(messages, &|_| Verdict::Complete)
     }
 
-    /// Reads as [`Connection::read`] does, and has each message judged. One that was cut short ends the connection; one on
-    /// which the check is undecided is held back, with all behind it, until more comes, the connection ends, or
-    /// [`Connection::release_held`] is called.
+    /// Reads like [`Connection::read`] and checks each message. A truncated message ends the connection. A message for
+    /// which the check is undecided is held back with everything after it until more input arrives, the connection ends,
+    /// or [`Connection::release_held`] is called.
     pub fn read_checked(&mut self, messages: &mut Vec<M>, check: BoundaryCheck) -> Result<(), CloseReason> {
         let earlier = self.input.len();
         let end = self.read_stream(earlier, messages, check);
         match &end {
-            // Nothing comes any more that could tell.
+            // No more input arrives that could decide the check.
             Err(CloseReason::Closed | CloseReason::Broken(_)) if self.held => {
                 self.release_held(messages, check).and(end)
             }
@@ -141,12 +150,12 @@
         }
     }
 
-    /// Whether a whole message is held back.
+    /// Returns whether a complete message is held back.
     pub fn has_held_message(&self) -> bool {
         self.held
     }
 
-    /// Takes the message that is held back as whole, and what is behind it as the check says.
+    /// Accepts the message that is held back as complete, and checks the messages after it.
     pub fn release_held(&mut self, messages: &mut Vec<M>, check: BoundaryCheck) -> Result<(), CloseReason> {
         if !std::mem::take(&mut self.held) {
             return Ok(());
@@ -173,7 +182,7 @@
                 Ok(0) => return Err(CloseReason::Closed),
                 Ok(n) => {
                     self.input.extend(&chunk[..n]);
-                    // Only the message that was begun then has bytes of an earlier read.
+                    // Only the message that was incomplete before has bytes from an earlier read.
                     let earlier = if self.messages == before { earlier } else { 0 };
                     self.accept_messages(earlier, messages, check)?;
                 }
@@ -186,7 +195,7 @@
         Ok(())
     }
 
-    /// Reads what has come and throws it away.
+    /// Reads and discards the available input.
     pub fn discard_input(&mut self) -> Result<(), CloseReason> {
         let mut chunk = [0; READ_BUFFER_BYTES];
         for _ in 0..MAX_READS_PER_ITERATION {
@@ -201,20 +210,23 @@
         Ok(())
     }
 
-    /// Whether one and the same message has been half read for so many seconds, as far as the looks at
-    /// it tell. Guards against a length that is too long: whatever comes later is taken for its rest.
+    /// Returns whether the same message has been incomplete for at least `limit` seconds, as far as successive calls show.
+    /// Guards against a length field that is too large: all later input would count as part of that message.
     pub fn stalled(&mut self, now: f64, limit: f64) -> bool {
-        let since = self.half.filter(|half| half.0 == self.messages).map_or(now, |half| half.1);
-        self.half = (!self.input.is_empty()).then_some((self.messages, since));
-        self.half.is_some() && now - since >= limit
+        let since = self
+            .incomplete
+            .filter(|incomplete| incomplete.0 == self.messages)
+            .map_or(now, |incomplete| incomplete.1);
+        self.incomplete = (!self.input.is_empty()).then_some((self.messages, since));
+        self.incomplete.is_some() && now - since >= limit
     }
 
-    /// Whether a part of a message has been read, and not its end.
+    /// Returns whether a part of a message has been read, but not its end.
     pub fn has_partial_message(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Takes the messages that are whole. The first `earlier` bytes of the input came in an earlier read.
+    /// Decodes the complete messages in the input. The first `earlier` bytes of it were received in an earlier read.
     fn accept_messages(
         &mut self,
         earlier: usize,
@@ -244,23 +256,23 @@
             used += length;
         };
         self.input.drain(..used);
-        // Many idle connections would each hold on to the room of their largest message.
+        // Otherwise each of many idle connections would keep the memory of its largest message.
         if self.input.is_empty() {
             self.input = Vec::new();
         }
         end
     }
 
-    /// Puts a message in line and writes what can be written. Returns the position at which the
-    /// message ends, to compare with [`Connection::written`].
+    /// Queues a message and writes as much as possible. Returns the offset in the output stream at which the message ends,
+    /// to compare with [`Connection::written`].
     pub fn send(&mut self, message: &M) -> Result<u64, CloseReason> {
         let end = self.queue(message);
         self.write_queued()?;
         Ok(end)
     }
 
-    /// Puts a message in line, to be written together with others by [`Connection::write_queued`]. Returns the position at
-    /// which it ends.
+    /// Queues a message, to be written together with others by [`Connection::write_queued`]. Returns the offset in the
+    /// output stream at which it ends.
     pub fn queue(&mut self, message: &M) -> u64 {
         let before = self.output.len();
         message.encode(&mut self.output);
@@ -268,7 +280,7 @@
         self.queued
     }
 
-    /// Writes what can be written; an error where too much waits then.
+    /// Writes as much as possible. Fails if more than the maximum number of bytes still waits after that.
     pub fn write_queued(&mut self) -> Result<(), CloseReason> {
         self.flush()?;
         match self.output.len() {
@@ -277,8 +289,8 @@
         }
     }
 
-    /// Puts a message in line if its first byte can be written now, and takes it back otherwise. Returns as
-    /// [`Connection::send`] does; none where it was taken back. What has not begun to leave can still be called off.
+    /// Sends a message if its first byte can be written now; otherwise it is not queued and the result is `None`. Returns
+    /// the same offset as [`Connection::send`]. A message of which nothing has been written can still be withdrawn.
     pub fn try_start(&mut self, message: &M) -> Result<Option<u64>, CloseReason> {
         if self.blocked() {
             return Ok(None);
@@ -293,7 +305,7 @@
         Ok(None)
     }
 
-    /// Writes what can be written.
+    /// Writes as much of the output as possible.
     pub fn flush(&mut self) -> Result<(), CloseReason> {
         let mut done = 0;
         let end = loop {
@@ -316,7 +328,7 @@
         end
     }
 
-    /// Bytes put in line since the start.
+    /// Bytes queued for writing since the start.
     pub fn queued(&self) -> u64 {
         self.queued
     }
@@ -326,7 +338,7 @@
         self.written
     }
 
-    /// Whether bytes wait to be written.
+    /// Returns whether bytes wait to be written.
     pub fn blocked(&self) -> bool {
         !self.output.is_empty()
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's protocols, pure: the binary messages, one stream's bounded buffers over whatever reads and
-//! writes, and the resolver's records.
+//! The platform's protocols without I/O of their own: the binary messages, connections with bounded buffers over any
+//! stream, and the resolver's records.
 
 pub mod boundary;
 pub mod connection;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,5 +1,5 @@
-//! The resolver's records: the list of session servers, as the configuration gives it and as DNS answers hold
-//! it (RFC 1035, SRV, A, TXT and SOA). Pure.
+//! The list of session servers, read from the configuration or from the resolver's DNS answers (RFC 1035; SRV, A, TXT
+//! and SOA records). No I/O.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,40 +8,40 @@
 use hickory_proto::rr::{RData, Record};
 use serde::Deserialize;
 
-/// Whether a listed server takes new calls; one that is gone is not listed.
+/// Whether a listed server accepts new calls. A server that is gone is not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// In service.
     Ready,
-    /// Finishing its work; takes nothing new.
+    /// Finishing its open calls; accepts no new ones.
     Draining,
 }
 
-/// One server of the list.
+/// A session server in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// The pool's number.
+    /// Number of its pool.
     pub number: u32,
-    /// Whether it takes new calls.
+    /// Whether it accepts new calls.
     pub readiness: Readiness,
-    /// Unix seconds of a late start, or 0.
+    /// Start time in Unix seconds if the server started late, else 0.
     pub started: f64,
-    /// Its district, an index into the settings' list, if it is told and one of these.
+    /// Its district, an index into the list in the settings, if it is given and is in that list.
     pub district: Option<u16>,
 }
 
-/// The whole list at one position.
+/// The complete list of servers after a certain event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Number of the last event that it holds.
+    /// Number of the last event that it includes.
     pub position: u64,
-    /// The servers by id; one that is gone is not there.
+    /// The servers by id, without those that are gone.
     pub servers: BTreeMap<String, ListedServer>,
 }
 
-/// One event of the list as the configuration file gives it.
+/// One change of the list, as the settings file holds it.
 #[derive(Debug, Deserialize)]
 pub struct Update {
     pos: u64,
@@ -78,7 +78,7 @@
 }
 
 impl Snapshot {
-    /// The list after these events.
+    /// Builds the list from these events. Its position is at least `position`.
     pub fn replay(position: u64, updates: &[Update], districts: &[String]) -> Snapshot {
         let mut list = Snapshot::default();
         for update in updates {
@@ -105,7 +105,7 @@
         list
     }
 
-    /// The list in an answer; `None` if the answer does not hold all of it.
+    /// Reads the list from a DNS answer; `None` if the answer is incomplete or malformed.
     pub fn from_answer(answer: &Message, districts: &[String]) -> Option<Snapshot> {
         let records = || answer.answers.iter().chain(&answer.additionals);
         let serial = answer.authorities.iter().chain(&answer.answers).find_map(|r| match &r.data {
@@ -146,8 +146,8 @@
     }
 }
 
-/// The number of a district's name. A server of a district that the settings do not have is listed
-/// without one: it serves all the same.
+/// Index of a district in the settings. A server of a district that the settings do not name is listed without one and
+/// still used.
 fn district(districts: &[String], name: &str) -> Option<u16> {
     let at = districts.iter().position(|d| d.eq_ignore_ascii_case(name))?;
     u16::try_from(at).ok()
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,67 +1,67 @@
-//! The platform's binary protocol: pure encoding and decoding.
+//! Encoding and decoding of the platform's binary protocol. No I/O.
 //!
 //! ```text
-//! message   = length:2 type:1 call:8 parameters      length counts all that follows it
+//! message   = length:2 type:1 call:8 parameters      length counts the bytes after the length field
 //! parameter = code:1 length:2 value
 //! ```
 
 use std::fmt;
 
-/// Longest message, with its length field.
+/// Maximum length of a message, including its length field.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// Bytes of the length field.
-pub(crate) const LENGTH: usize = 2;
-/// Bytes of type and call.
-pub(crate) const HEAD: usize = 1 + 8;
-/// Bytes of a parameter's code and length.
-pub(crate) const PARAMETER_HEAD: usize = 1 + 2;
+/// Size of the length field.
+pub(crate) const LENGTH_BYTES: usize = 2;
+/// Size of the type and the call id.
+pub(crate) const HEADER_BYTES: usize = 1 + 8;
+/// Size of a parameter's code and length.
+pub(crate) const PARAMETER_HEADER_BYTES: usize = 1 + 2;
 
 /// Message types.
 pub mod kind {
     /// A set-up.
     pub const SET_UP: u8 = 1;
-    /// Progress; means nothing.
+    /// Progress; ignored.
     pub const PROGRESS: u8 = 6;
-    /// An answer: the call stands.
+    /// An answer: the call is established.
     pub const ANSWER: u8 = 9;
     /// A release, with a cause.
     pub const RELEASE: u8 = 12;
-    /// A release was heard.
+    /// Confirms that a release was received.
     pub const RELEASE_COMPLETE: u8 = 16;
-    /// The state of a group.
+    /// The state of a group of servers, with a load report.
     pub const STATE: u8 = 43;
-    /// A test.
+    /// A test of the connection.
     pub const TEST: u8 = 52;
-    /// Its result.
+    /// The result of a test.
     pub const TEST_RESULT: u8 = 53;
 }
 
 /// Parameter codes.
 pub mod code {
-    /// The class, named as in the settings.
+    /// Name of the class, as in the settings.
     pub const CLASS: u8 = 16;
-    /// How long the sender waits, in milliseconds.
+    /// How long the sender waits for an answer, in milliseconds.
     pub const WAIT: u8 = 19;
-    /// Marks a caller's further try; else absent.
+    /// Marks a further try of a caller; absent in the first one.
     pub const RETRY: u8 = 25;
-    /// The number called, in hex digits.
+    /// Number dialled, in hex digits.
     pub const NUMBER: u8 = 28;
-    /// The request's figures.
+    /// Attributes of the set-up for the gatekeeper's decision, such as the first choice.
     pub const ATTRIBUTES: u8 = 31;
-    /// For how long a caller is to stay away, in milliseconds.
+    /// How long a caller must wait before it tries again, in milliseconds.
     pub const RETRY_AFTER: u8 = 34;
-    /// Why a server turned a set-up back.
+    /// Why a server rejected a set-up.
     pub const REJECT_REASON: u8 = 37;
-    /// The wait at a server's full processor, in milliseconds.
+    /// Expected wait at a server whose processor is full, in milliseconds.
     pub const FULL_WAIT: u8 = 40;
     /// A load report.
     pub const REPORT: u8 = 43;
-    /// The cause, one byte.
+    /// The release cause, one byte.
     pub const CAUSE: u8 = 58;
-    /// The description.
+    /// Description of the session that an answer carries.
     pub const DESCRIPTION: u8 = 61;
 
-    /// All of them.
+    /// All parameter codes.
     pub const ALL: [u8; 11] = [
         CLASS,
         WAIT,
@@ -79,90 +79,94 @@
 
 /// Release causes.
 pub mod cause {
-    /// Normal end, or given up.
+    /// The call ended normally, or its set-up was given up.
     pub const NORMAL: u8 = 16;
-    /// Full: it never ran.
+    /// The server is full; the set-up was not executed.
     pub const FULL: u8 = 34;
-    /// Failed, or cut.
+    /// The set-up failed, or the call was cut.
     pub const TEMPORARY_FAILURE: u8 = 41;
-    /// Refused: trying again is harmless.
+    /// The set-up was refused; trying again is harmless.
     pub const CONGESTION: u8 = 42;
-    /// A field is missing.
+    /// A parameter is missing.
     pub const MISSING_PARAMETER: u8 = 96;
-    /// A field makes no sense.
+    /// A parameter has an invalid value.
     pub const INVALID_PARAMETER: u8 = 100;
-    /// It never left.
+    /// The set-up was never sent on.
     pub const NEVER_SENT: u8 = 102;
 }
 
-/// Why bytes are no message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Longer than a message may be.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`]; its length in bytes.
     TooLong(usize),
-    /// Too short for its type and call.
+    /// The message is too short for its type and call id; its length in bytes.
     TooShort(usize),
-    /// A parameter runs past the message's end.
-    CutParameter,
+    /// A parameter extends past the end of the message.
+    TruncatedParameter,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::TooLong(n) => write!(f, "a message of {n} bytes is too long"),
-            DecodeError::TooShort(n) => write!(f, "a message of {n} bytes has no room for its call"),
-            DecodeError::CutParameter => write!(f, "a parameter runs past the end of its message"),
+            DecodeError::TooLong(n) => {
+                write!(f, "a message of {n} bytes is too long: at most {MAX_MESSAGE_BYTES} are allowed")
+            }
+            DecodeError::TooShort(n) => {
+                write!(f, "a message of {n} bytes is too short for its type and call id")
+            }
+            DecodeError::TruncatedParameter => write!(f, "a parameter extends past the end of its message"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// One message.
+/// A message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type, see [`kind`]; others are skipped by who reads them.
+    /// Message type, see [`kind`]. Decoding accepts other types too.
     pub kind: u8,
-    /// The call's 64-bit id.
+    /// 64-bit id of the call.
     pub call: u64,
     parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
-    /// A message without parameters.
+    /// Creates a message without parameters.
     pub fn new(kind: u8, call: u64) -> Self {
         Message { kind, call, parameters: Vec::new() }
     }
 
-    /// The message with one more parameter.
+    /// Adds a parameter.
     pub fn with(mut self, code: u8, value: impl Into<Vec<u8>>) -> Self {
         self.parameters.push((code, value.into()));
         self
     }
 
-    /// The message with a cause.
+    /// Adds the parameter with the release cause.
     pub fn with_cause(self, cause: u8) -> Self {
         self.with(code::CAUSE, [cause])
     }
 
-    /// A parameter's value; the first counts where one comes twice.
+    /// Value of a parameter; the first one if it occurs more than once.
     pub fn bytes(&self, code: u8) -> Option<&[u8]> {
         self.parameters.iter().find(|p| p.0 == code).map(|p| &p.1[..])
     }
 
-    /// Whether any parameter comes twice; then nobody can tell which one was meant.
+    /// Returns whether any parameter occurs more than once, so that it is ambiguous which value was meant.
     pub fn has_duplicate_parameters(&self) -> bool {
         let mut codes: Vec<u8> = self.parameters.iter().map(|p| p.0).collect();
         codes.sort_unstable();
         codes.windows(2).any(|pair| pair[0] == pair[1])
     }
 
-    /// A parameter's value as text.
+    /// Value of a parameter as text; `None` if it is missing or not UTF-8.
     pub fn text(&self, code: u8) -> Option<&str> {
         std::str::from_utf8(self.bytes(code)?).ok()
     }
 
-    /// The cause, if there is one.
+    /// The release cause; `None` if it is missing or not one byte.
     pub fn cause(&self) -> Option<u8> {
         match self.bytes(code::CAUSE)? {
             [cause] => Some(*cause),
@@ -170,49 +174,49 @@
         }
     }
 
-    /// The first whole message in `data` and its length in bytes; `None` if it has not all arrived.
+    /// Decodes the message at the start of `data` and returns it with its length in bytes, or `None` if it is incomplete.
     pub fn decode(data: &[u8]) -> Result<Option<(Message, usize)>, DecodeError> {
-        let Some(length) = data.first_chunk::<LENGTH>() else { return Ok(None) };
+        let Some(length) = data.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = usize::from(u16::from_be_bytes(*length));
-        let whole = LENGTH + length;
-        // Said before the rest arrives, so that no buffer grows past one message.
+        let whole = LENGTH_BYTES + length;
+        // Checked before the rest arrives, so that no buffer grows past the length of one message.
         if whole > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong(whole));
         }
-        let Some(body) = data.get(LENGTH..whole) else { return Ok(None) };
-        let Some((head, mut rest)) = body.split_first_chunk::<HEAD>() else {
+        let Some(body) = data.get(LENGTH_BYTES..whole) else { return Ok(None) };
+        let Some((head, mut rest)) = body.split_first_chunk::<HEADER_BYTES>() else {
             return Err(DecodeError::TooShort(whole));
         };
         let [kind, id @ ..] = *head;
         let mut message = Message::new(kind, u64::from_be_bytes(id));
         while let [code, high, low, values @ ..] = rest {
             let length = usize::from(u16::from_be_bytes([*high, *low]));
-            let (value, after) = values.split_at_checked(length).ok_or(DecodeError::CutParameter)?;
+            let (value, after) = values.split_at_checked(length).ok_or(DecodeError::TruncatedParameter)?;
             message.parameters.push((*code, value.to_vec()));
             rest = after;
         }
         match rest {
             [] => Ok(Some((message, whole))),
-            _ => Err(DecodeError::CutParameter),
+            _ => Err(DecodeError::TruncatedParameter),
         }
     }
 
-    /// Appends the message's bytes. A parameter for which there is no room is left out: only one that
-    /// was itself near a message's length can be, and an answer without it still ends the call.
+    /// Appends the encoded message to `out`. A parameter that would exceed the maximum length is left out. This can only
+    /// happen to one that is nearly as long as a message, and an answer without it still ends the call.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let start = out.len();
-        out.extend([0; LENGTH]);
+        out.extend([0; LENGTH_BYTES]);
         out.push(self.kind);
         out.extend(self.call.to_be_bytes());
         for (code, value) in &self.parameters {
-            if out.len() - start + PARAMETER_HEAD + value.len() <= MAX_MESSAGE_BYTES {
+            if out.len() - start + PARAMETER_HEADER_BYTES + value.len() <= MAX_MESSAGE_BYTES {
                 out.push(*code);
                 out.extend((value.len() as u16).to_be_bytes());
                 out.extend(value);
             }
         }
-        let length = (out.len() - start - LENGTH) as u16;
-        out[start..start + LENGTH].copy_from_slice(&length.to_be_bytes());
+        let length = (out.len() - start - LENGTH_BYTES) as u16;
+        out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
     }
 }
 
@@ -223,7 +227,7 @@
 
     proptest! {
         #[test]
-        fn what_is_encoded_is_decoded(
+        fn an_encoded_message_is_decoded_to_the_same_message(
             kind: u8, call: u64, parameters in prop::collection::vec((any::<u8>(), prop::collection::vec(any::<u8>(), 0..40)), 0..9),
             cut in 0usize..50,
         ) {
@@ -237,7 +241,7 @@
 
         /// Guards against a panic on bytes from the network.
         #[test]
-        fn any_bytes_are_a_message_part_of_one_or_unreadable(data in prop::collection::vec(any::<u8>(), 0..200)) {
+        fn any_bytes_are_a_message_part_of_one_or_an_error(data in prop::collection::vec(any::<u8>(), 0..200)) {
             if let Ok(Some((_, used))) = Message::decode(&data) {
                 prop_assert!(used <= data.len());
             }
@@ -245,13 +249,16 @@
     }
 
     #[test]
-    fn broken_lengths_are_unreadable() {
+    fn a_message_with_an_invalid_length_is_a_decode_error() {
         assert_eq!(Message::decode(&[0x40, 0]), Err(DecodeError::TooLong(MAX_MESSAGE_BYTES + 2)));
         assert_eq!(Message::decode(&[0, 3, 1, 2, 3]), Err(DecodeError::TooShort(5)));
         assert_eq!(
             Message::decode(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 16, 0, 9]),
-            Err(DecodeError::CutParameter)
+            Err(DecodeError::TruncatedParameter)
+        );
+        assert_eq!(
+            Message::decode(&[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 16]),
+            Err(DecodeError::TruncatedParameter)
         );
-        assert_eq!(Message::decode(&[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 16]), Err(DecodeError::CutParameter));
     }
 }
