--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,19 +1,19 @@
-//! Which directives there are, and what each may say.
+//! Checks the directives of a configuration file and their arguments.
 
 use crate::problem::{Location, Problem};
 use crate::syntax::{Directive, Token};
 use crate::{crossings, fleet};
 use crate::{Conf, Names};
 
-/// How alike a word must be to one that is known for it to be named.
+/// Minimum similarity (Jaro-Winkler, 0 to 1) of an unknown name to a known one for the known one to be suggested.
 const MIN_SIMILARITY: f64 = 0.8;
 
-/// Notes a mistake.
-pub(crate) fn wrong(location: &Location, what: impl Into<String>, problems: &mut Vec<Problem>) {
+/// Records a problem.
+pub(crate) fn report(location: &Location, what: impl Into<String>, problems: &mut Vec<Problem>) {
     problems.push(Problem { location: location.clone(), description: what.into() });
 }
 
-/// What was expected: the word that was likely meant, or all that there are.
+/// Describes what was expected instead of `word`: the similar known name, or all known names.
 pub(crate) fn expected(word: &str, known: &[&str]) -> String {
     let alike = known.iter().map(|k| (strsim::jaro_winkler(word, k), *k));
     match alike.filter(|a| a.0 >= MIN_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0)) {
@@ -23,8 +23,8 @@
     }
 }
 
-/// Whether a word is one of these; else a mistake.
-pub(crate) fn one_of(
+/// Returns whether a token is one of the known names; otherwise records a problem. Any name passes if `known` is `None`.
+pub(crate) fn check_known(
     word: &Token,
     what: &str,
     known: Option<&[String]>,
@@ -35,20 +35,20 @@
     let found = known.contains(&word.text.as_str());
     if !found {
         let text = format!("unknown {what} {:?}, {}", word.text, expected(&word.text, &known));
-        wrong(&word.location, text, problems);
+        report(&word.location, text, problems);
     }
     found
 }
 
-/// Notes a directive that is not known.
-pub(crate) fn unknown(line: &Directive, known: &[&str], problems: &mut Vec<Problem>) {
+/// Records a problem for an unknown directive.
+pub(crate) fn report_unknown(line: &Directive, known: &[&str], problems: &mut Vec<Problem>) {
     let name = &line.name;
     let text = format!("unknown directive {:?}, {}", name.text, expected(&name.text, known));
-    wrong(&name.location, text, problems);
+    report(&name.location, text, problems);
 }
 
-/// Notes a directive that comes twice where one is meant; returns whether it is the first.
-pub(crate) fn once(
+/// Records a problem if a directive that may occur once occurs again; returns whether it is the first one.
+pub(crate) fn check_once(
     seen: &mut Vec<(String, Location)>,
     line: &Directive,
     problems: &mut Vec<Problem>,
@@ -56,38 +56,38 @@
     let name = &line.name;
     if let Some((_, first)) = seen.iter().find(|s| s.0 == name.text) {
         let text = format!("a second {:?}, expected one; the first is at {first}", name.text);
-        wrong(&name.location, text, problems);
+        report(&name.location, text, problems);
         return false;
     }
     seen.push((name.text.clone(), name.location.clone()));
     true
 }
 
-/// Notes a block where none belongs, or none where one does.
-pub(crate) fn block(line: &Directive, wanted: bool, problems: &mut Vec<Problem>) {
+/// Records a problem for a block that is not allowed, or that is missing.
+pub(crate) fn check_block(line: &Directive, wanted: bool, problems: &mut Vec<Problem>) {
     match (&line.block, wanted) {
         (Some(_), false) => {
             let text = format!("{:?} takes no block, expected the end of the line", line.name.text);
-            wrong(&line.name.location, text, problems);
+            report(&line.name.location, text, problems);
         }
         (None, true) => {
             let text = format!("{:?} without its block, expected `{{`", line.name.text);
-            wrong(&line.name.location, text, problems);
+            report(&line.name.location, text, problems);
         }
         _ => {}
     }
 }
 
-/// Notes too few or too many words.
-pub(crate) fn words(line: &Directive, form: &str, sound: bool, problems: &mut Vec<Problem>) -> bool {
-    if !sound {
-        wrong(&line.name.location, format!("not the words of this directive, expected: {form}"), problems);
+/// Records a problem if the arguments of a directive are not `valid`; `form` shows the expected ones. Returns `valid`.
+pub(crate) fn check_args(line: &Directive, form: &str, valid: bool, problems: &mut Vec<Problem>) -> bool {
+    if !valid {
+        report(&line.name.location, format!("invalid arguments, expected: {form}"), problems);
     }
-    sound
+    valid
 }
 
-/// The names that count: the platform's, else those that the file declares.
-fn names(lines: &[Directive], platform: &Names) -> Names {
+/// The names to check against: those of the platform, or else those that the file declares.
+fn effective_names(lines: &[Directive], platform: &Names) -> Names {
     let declared = |name: &str| {
         let found = lines.iter().find(|l| l.name.text == name)?;
         Some(found.args.iter().map(|a| a.text.clone()).collect())
@@ -98,39 +98,39 @@
     }
 }
 
-/// Checks a whole file.
-pub(crate) fn conf(lines: &[Directive], platform: &Names, problems: &mut Vec<Problem>) -> Conf {
+/// Checks the directives of a whole file and returns the configuration.
+pub(crate) fn check_file(lines: &[Directive], platform: &Names, problems: &mut Vec<Problem>) -> Conf {
     const KNOWN: &[&str] = &["classes", "control", "crossings", "districts", "fleet", "include"];
-    let names = names(lines, platform);
+    let names = effective_names(lines, platform);
     let (mut conf, mut seen) = (Conf::default(), Vec::new());
     for line in lines {
         match line.name.text.as_str() {
             "classes" | "districts" => {
-                once(&mut seen, line, problems);
-                block(line, false, problems);
-                words(line, &format!("{} NAME...", line.name.text), !line.args.is_empty(), problems);
+                check_once(&mut seen, line, problems);
+                check_block(line, false, problems);
+                check_args(line, &format!("{} NAME...", line.name.text), !line.args.is_empty(), problems);
             }
             "control" => {
-                once(&mut seen, line, problems);
-                block(line, false, problems);
-                if words(line, "control PATH", line.args.len() == 1, problems) {
+                check_once(&mut seen, line, problems);
+                check_block(line, false, problems);
+                if check_args(line, "control PATH", line.args.len() == 1, problems) {
                     conf.control = Some(line.args[0].text.clone().into());
                 }
             }
             "crossings" => {
-                once(&mut seen, line, problems);
-                block(line, true, problems);
-                words(line, "crossings {", line.args.is_empty(), problems);
+                check_once(&mut seen, line, problems);
+                check_block(line, true, problems);
+                check_args(line, "crossings {", line.args.is_empty(), problems);
                 let inside = line.block.as_deref().unwrap_or_default();
                 conf.crossings = Some(crossings::read(inside, &names, problems));
             }
             "fleet" => {
-                once(&mut seen, line, problems);
-                block(line, true, problems);
-                words(line, "fleet {", line.args.is_empty(), problems);
+                check_once(&mut seen, line, problems);
+                check_block(line, true, problems);
+                check_args(line, "fleet {", line.args.is_empty(), problems);
                 conf.fleet = Some(fleet::read(line, &names, problems));
             }
-            _ => unknown(line, KNOWN, problems),
+            _ => report_unknown(line, KNOWN, problems),
         }
     }
     conf
--- a/crates/config/src/crossings.rs
+++ b/crates/config/src/crossings.rs
@@ -1,74 +1,76 @@
-//! The block `crossings`.
+//! Reads the block `crossings`: the budgets for set-ups to other districts, and the settings around them.
 
 use hollypaddle_crossing::{Amount, BendSettings, ClassInfo, District, Rate, Rule, Scope, Settings, Share};
 
-use crate::check::{block, once, one_of, unknown, words, wrong};
+use crate::check::{check_args, check_block, check_known, check_once, report, report_unknown};
 use crate::problem::{Location, Problem};
 use crate::syntax::{Directive, Token};
-use crate::values::{count, percent, rate, take, window};
+use crate::values::{count, parse_arg, percent, rate, window};
 use crate::Names;
 
-/// Most budgets: each is asked on every crossing.
+/// Maximum number of budgets; every crossing is checked against each of them.
 const MAX_BUDGETS: usize = 256;
-/// Defaults.
+/// Default overdraft of a budget, in set-ups.
 const DEFAULT_OVERDRAFT: f64 = 20.0;
+/// Default floor of a budget, as a ratio of its limit.
 const DEFAULT_FLOOR_RATIO: f64 = 0.25;
 
-/// A budget, its scope by names.
+/// A budget whose scope is given by names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetConf {
-    /// From which district to which.
+    /// District of origin and of destination; `None` covers all pairs.
     pub pair: Option<(String, String)>,
-    /// Of which class.
+    /// The class; `None` covers all classes.
     pub class: Option<String>,
-    /// The limits; its scope is not filled in.
+    /// The limits. The rule's own scope is left at its default.
     pub rule: Rule,
 }
 
-/// What the block says.
+/// Contents of the block `crossings`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Crossings {
-    /// The own district, where the platform's is not to be taken.
+    /// District of this gatekeeper, if it overrides the one from the platform.
     pub own: Option<String>,
-    /// The urgent classes.
+    /// Names of the urgent classes.
     pub urgent: Vec<String>,
     /// When bending starts and ends.
     pub bend: BendSettings,
-    /// Parts of the fleet's figures that gatekeepers take, by name.
+    /// Fractions of the fleet's limits that certain gatekeepers get, by gatekeeper name.
     pub share_of: Vec<(String, f64)>,
-    /// Seconds between two log events with the account.
+    /// Interval between two log events with the crossing counts, in seconds; `None` logs none.
     pub log_every: Option<f64>,
     /// The budgets.
     pub budgets: Vec<BudgetConf>,
 }
 
-/// What the platform tells that the block builds on.
+/// Data from the platform that the block refers to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Platform {
     /// This gatekeeper's name.
     pub name: String,
-    /// The districts.
+    /// Names of the districts.
     pub districts: Vec<String>,
-    /// The own district, an index into them.
+    /// District of this gatekeeper, an index into `districts`.
     pub own: Option<usize>,
-    /// The classes and their wanted times, in seconds.
+    /// Names of the classes with their goal times in seconds.
     pub classes: Vec<(String, f64)>,
-    /// How many gatekeepers share the servers.
+    /// Number of gatekeepers that share the servers.
     pub gatekeepers: u32,
 }
 
 impl Crossings {
-    /// This gatekeeper's part of a fleet's figure: its own share, or an even one of what others leave.
+    /// Fraction of a fleet limit that this gatekeeper gets: its configured share, or an even part of what the configured
+    /// shares leave.
     fn part(&self, name: &str, gatekeepers: u32) -> f64 {
         if let Some((_, part)) = self.share_of.iter().find(|s| s.0 == name) {
             return *part;
         }
-        let told: f64 = self.share_of.iter().map(|s| s.1).sum();
+        let configured: f64 = self.share_of.iter().map(|s| s.1).sum();
         let others = f64::from(gatekeepers) - self.share_of.len() as f64;
-        (1.0 - told).max(0.0) / others.max(1.0)
+        (1.0 - configured).max(0.0) / others.max(1.0)
     }
 
-    /// Names of districts and classes that the block uses and the platform does not have.
+    /// Names of districts and classes that the block uses but the platform does not have.
     pub fn missing(&self, platform: &Platform) -> Vec<String> {
         let districts = self.budgets.iter().filter_map(|b| b.pair.as_ref()).flat_map(|(a, b)| [a, b]);
         let districts = districts.chain(&self.own).filter(|d| !platform.districts.contains(d));
@@ -77,8 +79,8 @@
         districts.chain(classes).cloned().collect()
     }
 
-    /// The settings of the gate, with all names resolved. A rule of a district or class that the platform
-    /// does not have covers nothing and is left out; checks refuse such a file before.
+    /// Resolves all names and returns the settings of the crossing gate. A rule for a district or class that the platform
+    /// does not have covers nothing and is left out; the checks reject such a file before.
     pub fn settings(&self, platform: &Platform) -> Settings {
         let district = |name: &String| {
             let at = platform.districts.iter().position(|d| d == name)?;
@@ -96,7 +98,7 @@
             };
             Some(Rule { scope: Scope { pair, class }, ..budget.rule })
         });
-        let told = platform.own.map(|own| District(own as u16));
+        let platform_district = platform.own.map(|own| District(own as u16));
         let info = |(name, goal_time): &(String, f64)| ClassInfo {
             name: name.clone(),
             goal_time: *goal_time,
@@ -104,7 +106,7 @@
         };
         Settings {
             districts: platform.districts.clone(),
-            own: self.own.as_ref().and_then(district).or(told).unwrap_or(District::UNKNOWN),
+            own: self.own.as_ref().and_then(district).or(platform_district).unwrap_or(District::UNKNOWN),
             classes: platform.classes.iter().map(info).collect(),
             part: self.part(&platform.name, platform.gatekeepers),
             bend: self.bend,
@@ -131,37 +133,37 @@
     for line in lines {
         let name = line.name.text.as_str();
         if !matches!(name, "budget") {
-            block(line, false, problems);
+            check_block(line, false, problems);
         }
         match name {
             "own" => {
-                once(&mut seen, line, problems);
-                if words(line, "own DISTRICT", line.args.len() == 1, problems) {
-                    one_of(&line.args[0], "district", districts, problems);
+                check_once(&mut seen, line, problems);
+                if check_args(line, "own DISTRICT", line.args.len() == 1, problems) {
+                    check_known(&line.args[0], "district", districts, problems);
                     conf.own = Some(line.args[0].text.clone());
                 }
             }
             "urgent" => {
-                once(&mut seen, line, problems);
-                words(line, "urgent CLASS...", !line.args.is_empty(), problems);
+                check_once(&mut seen, line, problems);
+                check_args(line, "urgent CLASS...", !line.args.is_empty(), problems);
                 for word in &line.args {
-                    one_of(word, "class", classes, problems);
+                    check_known(word, "class", classes, problems);
                     conf.urgent.push(word.text.clone());
                 }
             }
             "log-every" => {
-                once(&mut seen, line, problems);
-                if words(line, "log-every TIME", line.args.len() == 1, problems) {
-                    conf.log_every = take(&line.args[0], window, problems);
+                check_once(&mut seen, line, problems);
+                if check_args(line, "log-every TIME", line.args.len() == 1, problems) {
+                    conf.log_every = parse_arg(&line.args[0], window, problems);
                 }
             }
             "bend" => {
-                once(&mut seen, line, problems);
+                check_once(&mut seen, line, problems);
                 conf.bend = bend(line, problems);
             }
             "share-of" => share_of(line, &mut conf, problems),
             "budget" => {
-                block(line, true, problems);
+                check_block(line, true, problems);
                 if line.block.is_none() {
                     continue;
                 }
@@ -169,38 +171,38 @@
                 let same = |b: &&(BudgetConf, Location)| b.0.pair == budget.pair && b.0.class == budget.class;
                 if let Some((_, first)) = scopes.iter().find(same) {
                     let text = format!("a second budget of one scope, expected one; the first is at {first}");
-                    wrong(&line.name.location, text, problems);
+                    report(&line.name.location, text, problems);
                 }
                 scopes.push((budget.clone(), line.name.location.clone()));
                 conf.budgets.push(budget);
                 if conf.budgets.len() == MAX_BUDGETS + 1 {
                     let text = format!("too many budgets, expected at most {MAX_BUDGETS}");
-                    wrong(&line.name.location, text, problems);
+                    report(&line.name.location, text, problems);
                 }
             }
-            _ => unknown(line, KNOWN, problems),
+            _ => report_unknown(line, KNOWN, problems),
         }
     }
     conf
 }
 
 fn share_of(line: &Directive, conf: &mut Crossings, problems: Problems) {
-    if !words(line, "share-of GATEKEEPER SHARE", line.args.len() == 2, problems) {
+    if !check_args(line, "share-of GATEKEEPER SHARE", line.args.len() == 2, problems) {
         return;
     }
-    let (name, part) = (&line.args[0], take(&line.args[1], percent, problems));
+    let (name, part) = (&line.args[0], parse_arg(&line.args[1], percent, problems));
     if conf.share_of.iter().any(|s| s.0 == name.text) {
-        wrong(&name.location, format!("a second share of {:?}, expected one", name.text), problems);
+        report(&name.location, format!("a second share of {:?}, expected one", name.text), problems);
     }
     conf.share_of.push((name.text.clone(), part.unwrap_or(0.0)));
     let sum: f64 = conf.share_of.iter().map(|s| s.1).sum();
     if sum > 1.0 + 1e-9 {
         let text = format!("the shares add up to {:.0}%, expected at most 100%", sum * 100.0);
-        wrong(&line.args[1].location, text, problems);
+        report(&line.args[1].location, text, problems);
     }
 }
 
-/// Pairs of a word and its value, as `start 10% end 2%`; each word once.
+/// Reads pairs of a keyword and its value, such as `start 10% end 2%`; each keyword may occur once.
 fn pairs<'l>(
     line: &'l Directive,
     form: &str,
@@ -208,13 +210,13 @@
     problems: Problems,
 ) -> Vec<(&'l str, &'l Token)> {
     let mut found: Vec<(&str, &Token)> = Vec::new();
-    if !words(line, form, line.args.len().is_multiple_of(2) && !line.args.is_empty(), problems) {
+    if !check_args(line, form, line.args.len().is_multiple_of(2) && !line.args.is_empty(), problems) {
         return found;
     }
     for pair in line.args.chunks(2) {
         let name = pair[0].text.as_str();
         if !known.contains(&name) || found.iter().any(|f| f.0 == name) {
-            wrong(&pair[0].location, format!("{name:?} makes no sense here, expected: {form}"), problems);
+            report(&pair[0].location, format!("{name:?} is not valid here, expected: {form}"), problems);
         } else {
             found.push((name, &pair[1]));
         }
@@ -227,22 +229,22 @@
     let form = "bend [start SHARE] [end SHARE] [window TIME]";
     for (name, value) in pairs(line, form, &["start", "end", "window"], problems) {
         match name {
-            "start" => bend.start = take(value, percent, problems).unwrap_or(bend.start),
-            "end" => bend.end = take(value, percent, problems).unwrap_or(bend.end),
-            _ => bend.window = take(value, window, problems).unwrap_or(bend.window),
+            "start" => bend.start = parse_arg(value, percent, problems).unwrap_or(bend.start),
+            "end" => bend.end = parse_arg(value, percent, problems).unwrap_or(bend.end),
+            _ => bend.window = parse_arg(value, window, problems).unwrap_or(bend.window),
         }
     }
     if bend.end >= bend.start {
         let text = "bending ends at or above its start, expected a lower end, so that it does not flap";
-        wrong(&line.name.location, text, problems);
+        report(&line.name.location, text, problems);
     }
     bend
 }
 
-/// A scope by its names: the pair and the class.
+/// The names of a scope: the pair of districts and the class.
 type ScopeNames = (Option<(String, String)>, Option<String>);
 
-/// The scope: `all`, or `from A to B`, `class C`, or both.
+/// Reads the scope of a budget: `all`, or `from A to B`, `class C`, or both.
 fn scope(line: &Directive, names: &Names, problems: Problems) -> Option<ScopeNames> {
     const FORM: &str = "budget all {, or budget [from DISTRICT to DISTRICT] [class CLASS] {";
     let text: Vec<&str> = line.args.iter().map(|a| a.text.as_str()).collect();
@@ -253,27 +255,27 @@
         ["from", _, "to", _, "class", _] => (Some((1, 3)), Some(5)),
         ["class", _, "from", _, "to", _] => (Some((3, 5)), Some(1)),
         _ => {
-            words(line, FORM, false, problems);
+            check_args(line, FORM, false, problems);
             return None;
         }
     };
     let args = &line.args;
     let district = |at: usize, problems: Problems| {
-        one_of(&args[at], "district", names.districts.as_deref(), problems);
+        check_known(&args[at], "district", names.districts.as_deref(), problems);
         args[at].text.clone()
     };
     let pair = pair.map(|(from, to)| (district(from, problems), district(to, problems)));
     if let Some((from, to)) = &pair {
         if from == to {
-            wrong(
+            report(
                 &line.name.location,
-                format!("from {from} to {to} crosses nothing, expected two"),
+                format!("from {from} to {to} does not cross districts, expected two different ones"),
                 problems,
             );
         }
     }
     if let Some(at) = class {
-        one_of(&args[at], "class", names.classes.as_deref(), problems);
+        check_known(&args[at], "class", names.classes.as_deref(), problems);
     }
     Some((pair, class.map(|at| args[at].text.clone())))
 }
@@ -292,9 +294,9 @@
     };
     let (mut rule, mut seen) = (none, Vec::new());
     for inner in line.block.as_deref().unwrap_or_default() {
-        block(inner, false, problems);
+        check_block(inner, false, problems);
         let known = KNOWN.contains(&inner.name.text.as_str());
-        if known && !once(&mut seen, inner, problems) {
+        if known && !check_once(&mut seen, inner, problems) {
             continue;
         }
         let (fleet, args): (bool, Vec<&Token>) = match inner.args.split_last() {
@@ -304,39 +306,39 @@
         let amount = |value| Amount { value, fleet };
         match (inner.name.text.as_str(), &args[..]) {
             ("rate", [per_s]) => {
-                rule.rate =
-                    take(per_s, rate, problems).map(|r| Rate { per_s: amount(r), burst: amount(r.max(1.0)) });
+                rule.rate = parse_arg(per_s, rate, problems)
+                    .map(|r| Rate { per_s: amount(r), burst: amount(r.max(1.0)) });
             }
             ("rate", [per_s, word, burst]) if word.text == "burst" => {
                 let burst_at = burst;
-                let (per_s, burst) = (take(per_s, rate, problems), take(burst, count, problems));
+                let (per_s, burst) = (parse_arg(per_s, rate, problems), parse_arg(burst, count, problems));
                 if burst == Some(0.0) {
-                    wrong(&burst_at.location, "a burst of 0 lets nothing go, expected 1 or more", problems);
+                    report(&burst_at.location, "a burst of 0 admits nothing, expected 1 or more", problems);
                 }
                 rule.rate = per_s.zip(burst).map(|(r, b)| Rate { per_s: amount(r), burst: amount(b) });
             }
             ("share", [part, over, time]) if over.text == "over" && !fleet => {
-                let (part, window) = (take(part, percent, problems), take(time, window, problems));
+                let (part, window) = (parse_arg(part, percent, problems), parse_arg(time, window, problems));
                 rule.share = part.zip(window).map(|(part, window)| Share { part, window });
             }
-            ("standing", [most]) => rule.standing = take(most, count, problems).map(amount),
+            ("standing", [most]) => rule.standing = parse_arg(most, count, problems).map(amount),
             ("overdraft", [most]) => {
-                rule.overdraft = take(most, count, problems).map_or(overdraft, amount);
+                rule.overdraft = parse_arg(most, count, problems).map_or(overdraft, amount);
             }
             ("floor", [part]) if !fleet => {
-                rule.floor = take(part, percent, problems).unwrap_or(DEFAULT_FLOOR_RATIO)
+                rule.floor = parse_arg(part, percent, problems).unwrap_or(DEFAULT_FLOOR_RATIO)
             }
-            ("rate", _) => drop(words(inner, "rate RATE [burst COUNT] [fleet]", false, problems)),
-            ("share", _) => drop(words(inner, "share SHARE over TIME", false, problems)),
-            ("standing", _) => drop(words(inner, "standing COUNT [fleet]", false, problems)),
-            ("overdraft", _) => drop(words(inner, "overdraft COUNT [fleet]", false, problems)),
-            ("floor", _) => drop(words(inner, "floor SHARE", false, problems)),
-            _ => unknown(inner, KNOWN, problems),
+            ("rate", _) => drop(check_args(inner, "rate RATE [burst COUNT] [fleet]", false, problems)),
+            ("share", _) => drop(check_args(inner, "share SHARE over TIME", false, problems)),
+            ("standing", _) => drop(check_args(inner, "standing COUNT [fleet]", false, problems)),
+            ("overdraft", _) => drop(check_args(inner, "overdraft COUNT [fleet]", false, problems)),
+            ("floor", _) => drop(check_args(inner, "floor SHARE", false, problems)),
+            _ => report_unknown(inner, KNOWN, problems),
         }
     }
     if !seen.iter().any(|(name, _)| matches!(name.as_str(), "rate" | "share" | "standing")) {
         let text = "a budget without a limit, expected rate, share or standing";
-        wrong(&line.name.location, text, problems);
+        report(&line.name.location, text, problems);
     }
     let (pair, class) = scope?;
     Some(BudgetConf { pair, class, rule })
--- a/crates/config/src/entries.rs
+++ b/crates/config/src/entries.rs
@@ -1,46 +1,46 @@
-//! The settings of a whole fleet, in entries: one a directive of a block that belongs to all gatekeepers alike.
+//! Splits the settings of a fleet into entries, one per directive of a block that all gatekeepers share.
 //!
-//! The file has the grammar of the own configuration, of which it may hold such blocks only. An entry's text is the
-//! directive written anew from its words, with what it includes: a gatekeeper that takes it needs no other file, and
-//! another indent or comment is no change.
+//! The file has the grammar of the own configuration file but may only hold such blocks. The text of an entry is the
+//! directive written again from its tokens, with what it includes. Therefore a gatekeeper that applies it needs no other
+//! file, and a different indent or comment is not a change.
 
 use std::path::Path;
 
-use crate::check::{self, wrong};
+use crate::check::{self, report};
 use crate::problem::{in_order, Location, Problem};
 use crate::syntax::{self, Directive, Token};
 use crate::{Conf, Names};
 
-/// The blocks that belong to a fleet as a whole.
+/// Blocks that belong to the fleet as a whole.
 const FLEET_BLOCKS: &[&str] = &["crossings"];
-/// What of them each gatekeeper says for itself.
+/// Block and name of the directives in them that each gatekeeper sets for itself.
 const PER_GATEKEEPER: &[(&str, &str)] = &[("crossings", "own")];
 
-/// An own configuration file as it was read, without the fleet's entries.
+/// The own configuration file as it was read, without the entries of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct OwnFile {
     lines: Vec<Directive>,
 }
 
 impl OwnFile {
-    /// Reads a file with all that it includes, and checks it as it stands.
+    /// Reads a file with everything it includes and checks it. Returns all problems if there are any.
     pub fn read(path: &Path, names: &Names) -> Result<OwnFile, Vec<Problem>> {
         let mut problems = Vec::new();
         let lines = syntax::read(path, &mut problems);
-        check::conf(&lines, names, &mut problems);
+        check::check_file(&lines, names, &mut problems);
         match problems.is_empty() {
             true => Ok(OwnFile { lines }),
             false => Err(in_order(problems)),
         }
     }
 
-    /// Checks the file with the fleet's entries merged into its blocks, as if it were one. A mistake in an entry
-    /// has the place `fleet settings ENTRY:LINE:COLUMN`.
+    /// Merges the fleet's entries into the blocks of the file and checks the result as one file. A problem in an entry has
+    /// the location `fleet settings ENTRY:LINE:COLUMN`.
     pub fn with(&self, entries: &[(String, String)], names: &Names) -> Result<Conf, Vec<Problem>> {
         let mut problems = Vec::new();
         let mut lines = self.lines.clone();
         for (name, text) in entries {
-            let Some((block, line)) = entry(name, text, &mut problems) else { continue };
+            let Some((block, line)) = read_entry(name, text, &mut problems) else { continue };
             let inner = match lines.iter_mut().find(|l| l.name.text == block) {
                 Some(found) => found.block.get_or_insert_default(),
                 None => {
@@ -51,7 +51,7 @@
             };
             inner.push(line);
         }
-        let conf = check::conf(&lines, names, &mut problems);
+        let conf = check::check_file(&lines, names, &mut problems);
         match problems.is_empty() {
             true => Ok(conf),
             false => Err(in_order(problems)),
@@ -59,15 +59,15 @@
     }
 }
 
-/// The one directive of an entry, and the block to which it belongs.
-fn entry(name: &str, text: &str, problems: &mut Vec<Problem>) -> Option<(String, Directive)> {
+/// Reads the directive of an entry and returns it with the block to which it belongs.
+fn read_entry(name: &str, text: &str, problems: &mut Vec<Problem>) -> Option<(String, Directive)> {
     let file = format!("fleet settings {name}");
     let location = Location { file: file.as_str().into(), line: 1, column: 1 };
     let Some(block) =
         FLEET_BLOCKS.iter().find(|b| name.strip_prefix(**b).is_some_and(|rest| rest.starts_with('/')))
     else {
-        let text = format!("the fleet does not set this, expected an entry of {}", FLEET_BLOCKS.join(", "));
-        wrong(&location, text, problems);
+        let text = format!("a fleet entry cannot set this, expected an entry of {}", FLEET_BLOCKS.join(", "));
+        report(&location, text, problems);
         return None;
     };
     let before = problems.len();
@@ -76,39 +76,43 @@
         return None;
     }
     let (Some(line), true) = (lines.pop(), lines.is_empty()) else {
-        wrong(&location, "not one directive, expected one an entry", problems);
+        report(&location, "not one directive, expected exactly one per entry", problems);
         return None;
     };
-    own_only(block, &line, problems);
-    no_include(&line, problems);
-    if problems.len() == before && key(block, &line) != name {
+    reject_per_gatekeeper(block, &line, problems);
+    reject_include(&line, problems);
+    if problems.len() == before && entry_name(block, &line) != name {
         let text = format!("the text of another entry, expected that of {name:?}");
-        wrong(&location, text, problems);
+        report(&location, text, problems);
     }
     (problems.len() == before).then(|| (block.to_string(), line))
 }
 
-/// Notes a directive that each gatekeeper says for itself.
-fn own_only(block: &str, line: &Directive, problems: &mut Vec<Problem>) {
+/// Records a problem for a directive that each gatekeeper sets for itself.
+fn reject_per_gatekeeper(block: &str, line: &Directive, problems: &mut Vec<Problem>) {
     if PER_GATEKEEPER.contains(&(block, &line.name.text)) {
         let text = format!(
             "{:?} belongs to one gatekeeper, expected it in that one's own configuration",
             line.name.text
         );
-        wrong(&line.name.location, text, problems);
+        report(&line.name.location, text, problems);
     }
 }
 
-/// Notes an `include`: an entry names no files of the gatekeeper that takes it.
-fn no_include(line: &Directive, problems: &mut Vec<Problem>) {
+/// Records a problem for an `include`: an entry must not refer to files of the gatekeeper that applies it.
+fn reject_include(line: &Directive, problems: &mut Vec<Problem>) {
     if line.name.text == "include" {
-        wrong(&line.name.location, "an entry includes no file, expected the lines themselves", problems);
+        report(
+            &line.name.location,
+            "an entry must not include files, expected the lines themselves",
+            problems,
+        );
     }
-    line.block.iter().flatten().for_each(|inner| no_include(inner, problems));
+    line.block.iter().flatten().for_each(|inner| reject_include(inner, problems));
 }
 
-/// The name of a directive's entry: what may come more than once has its words in it.
-fn key(block: &str, line: &Directive) -> String {
+/// Name of a directive's entry. If the directive may occur more than once, its arguments are part of the name.
+fn entry_name(block: &str, line: &Directive) -> String {
     let words: &[Token] = match line.name.text.as_str() {
         "budget" => &line.args,
         "share-of" => line.args.get(..1).unwrap_or_default(),
@@ -117,8 +121,8 @@
     words.iter().fold(format!("{block}/{}", line.name.text), |name, word| name + " " + &word.text)
 }
 
-/// Splits a file with the fleet's settings into entries, by name, in the order of the file. Names of districts and
-/// classes are not checked here: each gatekeeper holds them against its own.
+/// Splits a file with the fleet's settings into entries of name and text, in the order of the file. Names of districts and
+/// classes are not checked here: each gatekeeper checks them against its own. Returns all problems if there are any.
 pub fn entries(path: &Path) -> Result<Vec<(String, String)>, Vec<Problem>> {
     let mut problems = Vec::new();
     let lines = syntax::read(path, &mut problems);
@@ -127,18 +131,18 @@
         let block = line.name.text.as_str();
         if !FLEET_BLOCKS.contains(&block) {
             let text = format!(
-                "{block:?} is no part of a fleet's settings, expected one of: {}",
+                "{block:?} is not part of a fleet's settings, expected one of: {}",
                 FLEET_BLOCKS.join(", ")
             );
-            wrong(&line.name.location, text, &mut problems);
+            report(&line.name.location, text, &mut problems);
             continue;
         }
         for inner in line.block.iter().flatten() {
-            own_only(block, inner, &mut problems);
-            all.push((key(block, inner), inner.to_string()));
+            reject_per_gatekeeper(block, inner, &mut problems);
+            all.push((entry_name(block, inner), inner.to_string()));
         }
     }
-    check::conf(&lines, &Names::default(), &mut problems);
+    check::check_file(&lines, &Names::default(), &mut problems);
     match problems.is_empty() {
         true => Ok(all),
         false => Err(in_order(problems)),
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The block `fleet`.
+//! Reads the block `fleet`: the members or the tier of relays, and the settings of the links between them.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,40 +7,41 @@
 use hollypaddle_membership::MemberId;
 use hollypaddle_replica::Settings;
 
-use crate::check::{block, once, one_of, unknown, words, wrong};
+use crate::check::{check_args, check_block, check_known, check_once, report, report_unknown};
 use crate::problem::Problem;
 use crate::syntax::{Directive, Token};
-use crate::values::{bytes_rate, count, duration, leaf_rate, percent, take};
+use crate::values::{bytes_rate, count, duration, leaf_rate, parse_arg, percent};
 use crate::Names;
 
-/// Most members: each has a link to each other.
+/// Maximum number of members; each has a link to every other one.
 pub const MAX_MEMBERS: usize = 64;
 
-/// Most relays: each has a link to each other.
+/// Maximum number of relays; each has a link to every other one.
 pub const MAX_RELAYS: usize = 16;
 
-/// Most leaves that a relay may be told to take: each costs it a descriptor and a buffer.
+/// Highest value for the maximum number of leaves of a relay; each leaf costs the relay a descriptor and a buffer.
 pub const MAX_LEAVES: usize = 4096;
 
-/// Longest name of a relay, zone, region or service, in bytes: each is said on links.
+/// Maximum length of the name of a relay, zone, region or service, in bytes; these names are sent on links.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Leaves that a relay takes, and bytes a second that it says to each, by default.
+/// Default for the maximum number of leaves of a relay.
 const DEFAULT_MAX_LEAVES: usize = 400;
+/// Default byte rate from a relay to one leaf, in bytes per second.
 const DEFAULT_LEAF_RATE_BYTES_PER_S: f64 = 5.0 * 1024.0;
 
-/// A member as the file names it.
+/// A member as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberConf {
     /// Its name, the `PROXY_NAME` of its gatekeeper.
     pub name: String,
-    /// Where it takes links from others.
+    /// Address on which it accepts links from other members.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its district.
     pub district: Option<String>,
 }
 
-/// Where a relay or a leaf stands.
+/// Zone and region of a relay or a leaf.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Locality {
     /// Its zone.
@@ -49,71 +50,71 @@
     pub region: Option<String>,
 }
 
-/// A relay as the file names it.
+/// A relay as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayConf {
     /// Its name, the `PROXY_NAME` of its process.
     pub name: String,
-    /// Where it takes links from leaves and from other relays.
+    /// Address on which it accepts links from leaves and other relays.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its zone and region.
     pub locality: Locality,
 }
 
-/// A tier of relays, where the block has `relay` lines.
+/// A tier of relays, configured by `relay` lines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tier {
     /// All relays.
     pub relays: Vec<RelayConf>,
-    /// Where this process stands; at a relay its own line counts.
+    /// Zone and region of this process. For a relay, those in its `relay` line apply instead.
     pub locality: Locality,
-    /// The service whose calls this gatekeeper carries, which tells what it needs to hear.
+    /// The service whose calls this gatekeeper handles; it determines which updates the gatekeeper receives.
     pub service: Option<String>,
-    /// The relay at which changes of the fleet's settings enter.
+    /// Name of the relay that introduces changes of the fleet's settings.
     pub writer: String,
-    /// The file with the fleet's settings. Only the writer reads it.
+    /// File with the fleet's settings. Only the writer reads it.
     pub settings: Option<PathBuf>,
-    /// Most leaves that a relay takes.
+    /// Maximum number of leaves that a relay accepts.
     pub max_leaves: usize,
-    /// Bytes a second that a relay says to one leaf.
+    /// Maximum byte rate from a relay to one leaf, in bytes per second.
     pub leaf_rate_bytes_per_s: f64,
 }
 
 impl Tier {
-    /// The relay of a name.
+    /// Returns the relay with a name.
     pub fn relay(&self, name: &str) -> Option<&RelayConf> {
         self.relays.iter().find(|relay| relay.name == name)
     }
 }
 
-/// What the block says.
+/// Contents of the block `fleet`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The own name, where the platform's is not to be taken.
+    /// Name of this gatekeeper, if it overrides the one from the platform.
     pub name: Option<String>,
-    /// Where links are taken, where that is not the own member's address.
+    /// Address on which links are accepted, if it differs from the own member's address.
     pub listen: Option<SocketAddr>,
-    /// All members, the own one among them.
+    /// All members, including the own one.
     pub members: Vec<MemberConf>,
-    /// Most that this member lends of its part of a budget that is the fleet's, 0 to 0.9.
+    /// Maximum ratio of its part of a fleet budget that this member lends, 0 to 0.9.
     pub lend_ratio: f64,
-    /// Times and bounds.
+    /// Timeouts and limits.
     pub settings: Settings,
-    /// The tier of relays; then there are no members.
+    /// The tier of relays. If there is one, there are no members.
     pub tier: Option<Tier>,
 }
 
-/// What is lent of a part by default.
+/// Default maximum ratio of its part of a fleet budget that a member lends.
 const DEFAULT_LEND_RATIO: f64 = 0.75;
 
 impl Fleet {
-    /// The own member, by the name of the block or else the platform's.
+    /// The own member, found by [`Fleet::own_name`].
     pub fn own_member(&self, platform: &str) -> Option<&MemberConf> {
         let name = self.own_name(platform);
         self.members.iter().find(|m| m.name == name)
     }
 
-    /// The own name: the block's, or else the platform's.
+    /// The own name: the one in the block, or else the platform's.
     pub fn own_name<'f>(&'f self, platform: &'f str) -> &'f str {
         self.name.as_deref().unwrap_or(platform)
     }
@@ -156,110 +157,115 @@
     let mut seen = Vec::new();
     let mut named = None;
     for inner in line.block.as_deref().unwrap_or_default() {
-        block(inner, false, problems);
+        check_block(inner, false, problems);
         let name = inner.name.text.as_str();
-        if KNOWN.contains(&name) && !matches!(name, "member" | "relay") && !once(&mut seen, inner, problems) {
+        if KNOWN.contains(&name)
+            && !matches!(name, "member" | "relay")
+            && !check_once(&mut seen, inner, problems)
+        {
             continue;
         }
         let args = &inner.args[..];
         let s = &mut fleet.settings;
         match (name, args) {
-            ("member", _) => member(inner, names, &mut fleet.members, problems),
+            ("member", _) => read_member(inner, names, &mut fleet.members, problems),
             _ if TierLines::KNOWN.contains(&name) => tier.read(inner, names, problems),
             ("name", [own]) => {
                 fleet.name = Some(own.text.clone());
                 named = Some(own);
             }
-            ("listen", [address]) => fleet.listen = take(address, socket, problems),
-            ("suspect", [time]) => set(&mut s.membership.suspect_after_s, take(time, duration, problems)),
-            ("gone", [time]) => set(&mut s.membership.gone_after_s, take(time, duration, problems)),
-            ("digest", [time]) => set(&mut s.digest_interval, take(time, duration, problems)),
-            ("lists-late", [time]) => set(&mut s.max_list_delay, take(time, duration, problems)),
-            ("forget", [time]) => set(&mut s.forget_after, take(time, duration, problems)),
+            ("listen", [address]) => fleet.listen = parse_arg(address, parse_address, problems),
+            ("suspect", [time]) => {
+                update(&mut s.membership.suspect_after_s, parse_arg(time, duration, problems))
+            }
+            ("gone", [time]) => update(&mut s.membership.gone_after_s, parse_arg(time, duration, problems)),
+            ("digest", [time]) => update(&mut s.digest_interval, parse_arg(time, duration, problems)),
+            ("lists-late", [time]) => update(&mut s.max_list_delay, parse_arg(time, duration, problems)),
+            ("forget", [time]) => update(&mut s.forget_after, parse_arg(time, duration, problems)),
             ("catch-up", [word, time]) if word.text == "within" => {
-                set(&mut s.catch_up_timeout, take(time, duration, problems));
+                update(&mut s.catch_up_timeout, parse_arg(time, duration, problems));
             }
             ("catch-up", [word, time, second, rate]) if word.text == "within" && second.text == "rate" => {
-                set(&mut s.catch_up_timeout, take(time, duration, problems));
-                set(&mut s.catch_up.bytes_per_s, take(rate, bytes_rate, problems));
+                update(&mut s.catch_up_timeout, parse_arg(time, duration, problems));
+                update(&mut s.catch_up.bytes_per_s, parse_arg(rate, bytes_rate, problems));
             }
             ("records", [most]) => {
-                let most = take(most, count, problems).unwrap_or(s.catch_up.max_records as f64);
+                let most = parse_arg(most, count, problems).unwrap_or(s.catch_up.max_records as f64);
                 if most < 1.0 {
-                    wrong(&inner.name.location, "no records at all, expected 1 or more", problems);
+                    report(&inner.name.location, "0 records, expected 1 or more", problems);
                 }
                 s.catch_up.max_records = most as usize;
             }
             ("lend", [part]) => {
-                fleet.lend_ratio = take(part, percent, problems).unwrap_or(DEFAULT_LEND_RATIO);
+                fleet.lend_ratio = parse_arg(part, percent, problems).unwrap_or(DEFAULT_LEND_RATIO);
                 if fleet.lend_ratio > MAX_LENT_RATIO {
                     let text = format!(
                         "{:.0}% of the own part is too much, expected at most {:.0}%",
                         100.0 * fleet.lend_ratio,
                         100.0 * MAX_LENT_RATIO
                     );
-                    wrong(&part.location, text, problems);
+                    report(&part.location, text, problems);
                 }
             }
-            ("lend", _) => drop(words(inner, "lend SHARE", false, problems)),
-            ("name", _) => drop(words(inner, "name MEMBER", false, problems)),
-            ("listen", _) => drop(words(inner, "listen ADDRESS:PORT", false, problems)),
-            ("catch-up", _) => drop(words(inner, "catch-up within TIME [rate BYTES]", false, problems)),
-            ("records", _) => drop(words(inner, "records COUNT", false, problems)),
+            ("lend", _) => drop(check_args(inner, "lend SHARE", false, problems)),
+            ("name", _) => drop(check_args(inner, "name MEMBER", false, problems)),
+            ("listen", _) => drop(check_args(inner, "listen ADDRESS:PORT", false, problems)),
+            ("catch-up", _) => drop(check_args(inner, "catch-up within TIME [rate BYTES]", false, problems)),
+            ("records", _) => drop(check_args(inner, "records COUNT", false, problems)),
             ("suspect" | "gone" | "digest" | "forget" | "lists-late", _) => {
-                words(inner, &format!("{name} TIME"), false, problems);
+                check_args(inner, &format!("{name} TIME"), false, problems);
             }
-            _ => unknown(inner, KNOWN, problems),
+            _ => report_unknown(inner, KNOWN, problems),
         }
     }
     let location = &line.name.location;
-    let members = lines(line, "member").next();
+    let members = directives_named(line, "member").next();
     fleet.tier = tier.finish(members, problems);
     if fleet.tier.is_some() {
-        finish_name(named, problems);
+        check_name(named, problems);
     } else if fleet.members.len() < 2 {
         let text = "a fleet of fewer than two members, expected `member NAME ADDRESS:PORT` for each";
-        wrong(location, text, problems);
+        report(location, text, problems);
     }
     if fleet.members.len() > MAX_MEMBERS {
-        wrong(location, format!("too many members, expected at most {MAX_MEMBERS}"), problems);
+        report(location, format!("too many members, expected at most {MAX_MEMBERS}"), problems);
     }
     let member = |own: &&Token| fleet.members.iter().any(|m| m.name == own.text);
     if let Some(own) = named.filter(|own| fleet.tier.is_none() && !member(own)) {
-        let text = format!("{:?} is no member, expected one of the block", own.text);
-        wrong(&own.location, text, problems);
+        let text = format!("{:?} is not a member, expected one of the block", own.text);
+        report(&own.location, text, problems);
     }
     let s = &fleet.settings;
     if s.membership.gone_after_s < 2.0 * s.membership.suspect_after_s {
         let text =
             "a member is gone before its silence is suspect, expected `gone` of twice `suspect` or more";
-        wrong(location, text, problems);
+        report(location, text, problems);
     }
     if s.forget_after < 2.0 * s.membership.gone_after_s {
         let text =
             "what a member held is forgotten before it is gone, expected `forget` of twice `gone` or more";
-        wrong(location, text, problems);
+        report(location, text, problems);
     }
     fleet
 }
 
-/// The lines of a block with a name.
-fn lines<'l>(line: &'l Directive, name: &'static str) -> impl Iterator<Item = &'l Directive> {
+/// The directives of a block that have a certain name.
+fn directives_named<'l>(line: &'l Directive, name: &'static str) -> impl Iterator<Item = &'l Directive> {
     line.block.iter().flatten().filter(move |inner| inner.name.text == name)
 }
 
-fn finish_name(named: Option<&Token>, problems: &mut Vec<Problem>) {
+fn check_name(named: Option<&Token>, problems: &mut Vec<Problem>) {
     if let Some(named) = named {
-        take(named, short, problems);
+        parse_arg(named, parse_name, problems);
     }
 }
 
-/// What the lines of a tier say, before they are checked against each other.
+/// Contents of the lines of a tier, before they are checked against each other.
 #[derive(Default)]
 struct TierLines<'l> {
     relays: Vec<RelayConf>,
     first: Option<&'l Token>,
-    /// Lines that mean something only where there are relays.
+    /// Directives that are only valid together with relays.
     others: Vec<&'l Token>,
     locality: Locality,
     service: Option<String>,
@@ -270,7 +276,7 @@
 }
 
 impl<'l> TierLines<'l> {
-    /// The directives that it reads.
+    /// The directives that belong to a tier.
     const KNOWN: &'static [&'static str] =
         &["leaf-rate", "leaves", "region", "relay", "service", "settings", "writer", "zone"];
 
@@ -278,57 +284,58 @@
         let name = line.name.text.as_str();
         if name == "relay" {
             self.first.get_or_insert(&line.name);
-            return relay(line, names, &mut self.relays, problems);
+            return read_relay(line, names, &mut self.relays, problems);
         }
         self.others.push(&line.name);
         match (name, &line.args[..]) {
-            ("zone", [word]) => self.locality.zone = zone(word, names, problems),
-            ("region", [word]) => self.locality.region = take(word, short, problems),
-            ("service", [word]) => self.service = take(word, short, problems),
+            ("zone", [word]) => self.locality.zone = parse_zone(word, names, problems),
+            ("region", [word]) => self.locality.region = parse_arg(word, parse_name, problems),
+            ("service", [word]) => self.service = parse_arg(word, parse_name, problems),
             ("writer", [word]) => self.writer = Some(word),
             ("settings", [word]) => {
-                // Beside the file in which it stands, as with `include`.
+                // Relative to the file that names it, as with `include`.
                 let folder = Path::new(&*word.location.file).parent().unwrap_or(Path::new(""));
                 self.settings = Some(folder.join(&word.text));
             }
             ("leaves", [word]) => {
-                self.leaves = take(word, count, problems);
+                self.leaves = parse_arg(word, count, problems);
                 if self.leaves.is_some_and(|leaves| !(1.0..=MAX_LEAVES as f64).contains(&leaves)) {
-                    let text = format!("{} leaves make no sense here, expected 1 to {MAX_LEAVES}", word.text);
-                    wrong(&word.location, text, problems);
+                    let text = format!("{} leaves are not valid here, expected 1 to {MAX_LEAVES}", word.text);
+                    report(&word.location, text, problems);
                 }
             }
-            ("leaf-rate", [word]) => self.leaf_rate = take(word, leaf_rate, problems),
-            ("zone", _) => drop(words(line, "zone ZONE", false, problems)),
-            ("region", _) => drop(words(line, "region REGION", false, problems)),
-            ("service", _) => drop(words(line, "service NAME", false, problems)),
-            ("writer", _) => drop(words(line, "writer RELAY", false, problems)),
-            ("settings", _) => drop(words(line, "settings FILE", false, problems)),
-            ("leaves", _) => drop(words(line, "leaves COUNT", false, problems)),
-            _ => drop(words(line, "leaf-rate BYTES", false, problems)),
+            ("leaf-rate", [word]) => self.leaf_rate = parse_arg(word, leaf_rate, problems),
+            ("zone", _) => drop(check_args(line, "zone ZONE", false, problems)),
+            ("region", _) => drop(check_args(line, "region REGION", false, problems)),
+            ("service", _) => drop(check_args(line, "service NAME", false, problems)),
+            ("writer", _) => drop(check_args(line, "writer RELAY", false, problems)),
+            ("settings", _) => drop(check_args(line, "settings FILE", false, problems)),
+            ("leaves", _) => drop(check_args(line, "leaves COUNT", false, problems)),
+            _ => drop(check_args(line, "leaf-rate BYTES", false, problems)),
         }
     }
 
-    /// The tier, if the block has relays; `member` is its first member.
+    /// Checks the lines against each other and returns the tier if the block has relays. `member` is the first `member`
+    /// line of the block.
     fn finish(self, member: Option<&Directive>, problems: &mut Vec<Problem>) -> Option<Tier> {
         let Some(first) = self.first else {
             for word in self.others {
                 let text =
                     format!("{:?} without a relay, expected `relay NAME ADDRESS:PORT` lines", word.text);
-                wrong(&word.location, text, problems);
+                report(&word.location, text, problems);
             }
             return None;
         };
         if let Some(member) = member {
             let text = "`relay` and `member` lines in one block, expected relays for a tier or members alone";
-            wrong(&member.name.location, text, problems);
+            report(&member.name.location, text, problems);
         }
         if self.relays.len() > MAX_RELAYS {
-            wrong(&first.location, format!("too many relays, expected at most {MAX_RELAYS}"), problems);
+            report(&first.location, format!("too many relays, expected at most {MAX_RELAYS}"), problems);
         }
         if let Some(word) = self.writer.filter(|word| !self.relays.iter().any(|r| r.name == word.text)) {
-            let text = format!("{:?} is no relay, expected one of the block", word.text);
-            wrong(&word.location, text, problems);
+            let text = format!("{:?} is not a relay, expected one of the block", word.text);
+            report(&word.location, text, problems);
         }
         let writer = match (self.writer, self.relays.first()) {
             (Some(word), _) => word.text.clone(),
@@ -346,56 +353,63 @@
     }
 }
 
-fn relay(line: &Directive, names: &Names, relays: &mut Vec<RelayConf>, problems: &mut Vec<Problem>) {
+fn read_relay(line: &Directive, names: &Names, relays: &mut Vec<RelayConf>, problems: &mut Vec<Problem>) {
     const FORM: &str = "relay NAME ADDRESS:PORT [zone ZONE] [region REGION]";
     let (name, address, rest) = match &line.args[..] {
         [name, address, rest @ ..] if rest.len().is_multiple_of(2) => (name, address, rest),
         _ => {
-            words(line, FORM, false, problems);
+            check_args(line, FORM, false, problems);
             return;
         }
     };
     let mut locality = Locality::default();
     for pair in rest.chunks(2) {
         match pair[0].text.as_str() {
-            "zone" if locality.zone.is_none() => locality.zone = zone(&pair[1], names, problems),
-            "region" if locality.region.is_none() => locality.region = take(&pair[1], short, problems),
+            "zone" if locality.zone.is_none() => locality.zone = parse_zone(&pair[1], names, problems),
+            "region" if locality.region.is_none() => {
+                locality.region = parse_arg(&pair[1], parse_name, problems)
+            }
             other => {
-                let text = format!("{other:?} makes no sense here, expected: {FORM}");
-                wrong(&pair[0].location, text, problems);
+                let text = format!("{other:?} is not valid here, expected: {FORM}");
+                report(&pair[0].location, text, problems);
             }
         }
     }
-    let (name_read, address_read) = (take(name, short, problems), take(address, socket, problems));
-    let (Some(name_read), Some(address_read)) = (name_read, address_read) else { return };
-    if relays.iter().any(|r| r.name == name_read) {
-        wrong(&name.location, format!("a second relay {name_read:?}, expected one"), problems);
-    } else if relays.iter().any(|r| MemberId::of(&r.name) == MemberId::of(&name_read)) {
-        wrong(&name.location, format!("{name_read:?} is too like another name, expected another"), problems);
+    let (parsed_name, parsed_address) =
+        (parse_arg(name, parse_name, problems), parse_arg(address, parse_address, problems));
+    let (Some(parsed_name), Some(parsed_address)) = (parsed_name, parsed_address) else { return };
+    if relays.iter().any(|r| r.name == parsed_name) {
+        report(&name.location, format!("a second relay {parsed_name:?}, expected one"), problems);
+    } else if relays.iter().any(|r| MemberId::of(&r.name) == MemberId::of(&parsed_name)) {
+        report(
+            &name.location,
+            format!("{parsed_name:?} has the same internal id as another name, expected another"),
+            problems,
+        );
     }
-    if relays.iter().any(|r| r.address == address_read) {
-        wrong(&address.location, format!("a second relay at {address_read}, expected one"), problems);
+    if relays.iter().any(|r| r.address == parsed_address) {
+        report(&address.location, format!("a second relay at {parsed_address}, expected one"), problems);
     }
-    relays.push(RelayConf { name: name_read, address: address_read, locality });
+    relays.push(RelayConf { name: parsed_name, address: parsed_address, locality });
 }
 
-/// A zone. Where the platform has districts it is one of them.
-fn zone(word: &Token, names: &Names, problems: &mut Vec<Problem>) -> Option<String> {
+/// Parses a zone. If the platform has districts, it must be one of them.
+fn parse_zone(word: &Token, names: &Names, problems: &mut Vec<Problem>) -> Option<String> {
     let districts = names.districts.as_deref().filter(|districts| !districts.is_empty());
-    one_of(word, "zone", districts, problems);
-    take(word, short, problems)
+    check_known(word, "zone", districts, problems);
+    parse_arg(word, parse_name, problems)
 }
 
-fn short(text: &str) -> Result<String, &'static str> {
+fn parse_name(text: &str) -> Result<String, &'static str> {
     let fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
     fits.then(|| text.to_string()).ok_or("expected a name of 1 to 64 bytes")
 }
 
-fn set(value: &mut f64, read: Option<f64>) {
+fn update(value: &mut f64, read: Option<f64>) {
     *value = read.unwrap_or(*value);
 }
 
-fn socket(text: &str) -> Result<SocketAddr, &'static str> {
+fn parse_address(text: &str) -> Result<SocketAddr, &'static str> {
     const EXPECTED: &str = "expected an IPv4 address and port, as 10.0.0.4:7100";
     match text.parse() {
         Ok(SocketAddr::V4(address)) => Ok(address.into()),
@@ -403,32 +417,32 @@
     }
 }
 
-fn member(line: &Directive, names: &Names, members: &mut Vec<MemberConf>, problems: &mut Vec<Problem>) {
+fn read_member(line: &Directive, names: &Names, members: &mut Vec<MemberConf>, problems: &mut Vec<Problem>) {
     const FORM: &str = "member NAME ADDRESS:PORT [district DISTRICT]";
     let (name, address, district) = match &line.args[..] {
         [name, address] => (name, address, None),
         [name, address, word, district] if word.text == "district" => (name, address, Some(district)),
         _ => {
-            words(line, FORM, false, problems);
+            check_args(line, FORM, false, problems);
             return;
         }
     };
     if let Some(district) = district {
-        one_of(district, "district", names.districts.as_deref(), problems);
+        check_known(district, "district", names.districts.as_deref(), problems);
     }
-    let Some(address_read) = take(address, socket, problems) else { return };
+    let Some(parsed_address) = parse_arg(address, parse_address, problems) else { return };
     if members.iter().any(|m| m.name == name.text) {
-        wrong(&name.location, format!("a second member {:?}, expected one", name.text), problems);
+        report(&name.location, format!("a second member {:?}, expected one", name.text), problems);
     } else if members.iter().any(|m| MemberId::of(&m.name) == MemberId::of(&name.text)) {
-        wrong(
+        report(
             &name.location,
-            format!("{:?} is too like another name, expected another", name.text),
+            format!("{:?} has the same internal id as another name, expected another", name.text),
             problems,
         );
     }
-    if members.iter().any(|m| m.address == address_read) {
-        wrong(&address.location, format!("a second member at {address_read}, expected one"), problems);
+    if members.iter().any(|m| m.address == parsed_address) {
+        report(&address.location, format!("a second member at {parsed_address}, expected one"), problems);
     }
     let district = district.map(|d| d.text.clone());
-    members.push(MemberConf { name: name.text.clone(), address: address_read, district });
+    members.push(MemberConf { name: name.text.clone(), address: parsed_address, district });
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a file, and where.
+//! Problems in a configuration file, with their locations.
 
 use std::fmt;
 use std::rc::Rc;
 
-/// A place in a file; lines and columns (in characters) count from 1.
+/// A location in a file. Lines and columns count from 1, columns in characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
-    /// The file, as it was named.
+    /// The file, by the path under which it was opened.
     pub file: Rc<str>,
-    /// The line.
+    /// Line number.
     pub line: usize,
-    /// The column.
+    /// Column number.
     pub column: usize,
 }
 
@@ -20,10 +20,10 @@
     }
 }
 
-/// One mistake: `FILE:LINE:COLUMN: what is wrong, what was expected`.
+/// A problem, displayed as `FILE:LINE:COLUMN: what is wrong, what was expected`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// Where.
+    /// Where it is.
     pub location: Location,
     /// What is wrong, and what was expected.
     pub description: String,
@@ -37,7 +37,7 @@
 
 impl std::error::Error for Problem {}
 
-/// Sorted by location, within each file in the order of its lines; files in the order of their first mistake.
+/// Sorts problems by file, line and column and removes duplicates. Files come in the order of their first problem.
 pub(crate) fn in_order(mut problems: Vec<Problem>) -> Vec<Problem> {
     let mut files: Vec<Rc<str>> = Vec::new();
     for problem in &problems {
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,4 +1,4 @@
-//! Lines, words and blocks; files and what they include.
+//! Parses files into directives and blocks, and expands `include`.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,12 +8,14 @@
 
 use crate::problem::{Location, Problem};
 
-/// Longest file, most files, deepest nesting of blocks and of files. Guards against a device, a pattern that
-/// takes in a whole disk, and a stack that runs out.
+/// Maximum size of a file. Guards against reading a device without end.
 const MAX_FILE_BYTES: u64 = 1 << 20;
+/// Maximum number of files. Guards against a pattern that matches a whole disk.
 const MAX_FILES: usize = 256;
+/// Maximum nesting depth of blocks, and of included files. Guards against a stack overflow.
 const MAX_DEPTH: usize = 16;
 
+/// Kind of a token, as the lexer finds it.
 #[derive(Logos, Clone, Copy, Debug, PartialEq)]
 #[logos(skip r"[ \t\r]+")]
 #[logos(skip(r"#[^\n]*", allow_greedy = true))]
@@ -24,20 +26,20 @@
     Open,
     #[token("}")]
     Close,
-    // Bare characters, escapes and quoted stretches in any mix, as a shell has them; a `#` inside a word
-    // begins no comment.
+    // Any mix of bare characters, escapes and quoted parts, as in a shell; a `#` inside it does not begin a
+    // comment.
     #[regex(r##"([^\s{}"'#\\]|\\[^\n]|"([^"\\]|\\[^\n])*"|'[^']*')([^\s{}"'\\]|\\[^\n]|"([^"\\]|\\[^\n])*"|'[^']*')*"##)]
     Text,
 }
 
-/// A word and where it stands.
+/// A name or an argument with its location, without quotes and escapes.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Token {
     pub text: String,
     pub location: Location,
 }
 
-/// A line: its name, its arguments, and its block where it has one.
+/// A directive: its name, its arguments, and its block if it has one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Directive {
     pub name: Token,
@@ -45,20 +47,20 @@
     pub block: Option<Vec<Directive>>,
 }
 
-/// Reads a file and all that it includes.
+/// Reads a file and everything it includes.
 pub(crate) fn read(path: &Path, problems: &mut Vec<Problem>) -> Vec<Directive> {
     let mut reader = Reader { open: Vec::new(), files: 0, problems };
     let name: Rc<str> = path.display().to_string().into();
     reader.file(path, &Location { file: name, line: 1, column: 1 })
 }
 
-/// Reads a text that is no file. An `include` in it stays a line.
+/// Parses a text that does not come from a file. An `include` in it is kept as a directive.
 pub(crate) fn parse(name: &str, text: &str, problems: &mut Vec<Problem>) -> Vec<Directive> {
     Parser::new(name.into(), text, problems).lines()
 }
 
 impl fmt::Display for Directive {
-    /// As it may be read again, a word of its own for each word.
+    /// Writes the directive so that parsing it again yields the same tokens.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.write(f, 0)
     }
@@ -78,7 +80,7 @@
     }
 }
 
-/// A word in quotes where it needs them.
+/// Quotes a token if it needs quotes.
 fn quoted(text: &str) -> String {
     let plain = |c: char| c.is_alphanumeric() || "-_./:%+=,@".contains(c);
     if !text.is_empty() && text.chars().all(plain) {
@@ -96,8 +98,9 @@
 }
 
 struct Reader<'p> {
-    /// Files that are being read, from the outermost.
+    /// Files that are being read, outermost first.
     open: Vec<PathBuf>,
+    /// Number of files read so far.
     files: usize,
     problems: &'p mut Vec<Problem>,
 }
@@ -107,7 +110,7 @@
         self.problems.push(Problem { location: location.clone(), description: what.into() });
     }
 
-    /// Reads one file; `from` is where it was asked for.
+    /// Reads one file; `from` is the location that includes it.
     fn file(&mut self, path: &Path, from: &Location) -> Vec<Directive> {
         let real = match std::fs::canonicalize(path) {
             Ok(real) => real,
@@ -134,7 +137,7 @@
                 return Vec::new();
             }
             None => {
-                let what = format!("{} is no file of at most {MAX_FILE_BYTES} bytes", path.display());
+                let what = format!("{} is not a file of at most {MAX_FILE_BYTES} bytes", path.display());
                 self.problem(from, what);
                 return Vec::new();
             }
@@ -143,9 +146,9 @@
         let text = match std::str::from_utf8(&bytes) {
             Ok(text) => text,
             Err(error) => {
-                let sound = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
-                let location = location(&name, &sound, sound.len());
-                self.problem(&location, "a byte that is no UTF-8, expected text");
+                let valid = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
+                let location = location(&name, &valid, valid.len());
+                self.problem(&location, "invalid UTF-8, expected text");
                 return Vec::new();
             }
         };
@@ -156,7 +159,7 @@
         read
     }
 
-    /// Puts included files in the place of their lines.
+    /// Replaces each `include` by the directives of the included files.
     fn expand(&mut self, lines: Vec<Directive>, path: &Path) -> Vec<Directive> {
         let mut all = Vec::new();
         for mut line in lines {
@@ -175,15 +178,15 @@
                     Err(error) => {
                         self.problem(
                             &pattern.location,
-                            format!("{:?} is no pattern: {}", pattern.text, error.msg),
+                            format!("{:?} is not a valid pattern: {}", pattern.text, error.msg),
                         );
                         continue;
                     }
                 };
-                // A pattern may match nothing; a plain name is meant to be there.
+                // A pattern may match nothing; a plain name must exist.
                 let plain = !pattern.text.contains(['*', '?', '[']);
                 if found.is_empty() && plain {
-                    self.problem(&pattern.location, format!("{} is not there", whole.display()));
+                    self.problem(&pattern.location, format!("{} does not exist", whole.display()));
                 }
                 for file in found {
                     all.extend(self.file(&file, &pattern.location));
@@ -194,7 +197,7 @@
     }
 }
 
-/// The place of a byte offset.
+/// Converts a byte offset to a location.
 fn location(file: &Rc<str>, text: &str, at: usize) -> Location {
     let before = &text[..at];
     let start = before.rfind('\n').map_or(0, |n| n + 1);
@@ -227,7 +230,7 @@
 
     fn lines(mut self) -> Vec<Directive> {
         let mut all = self.block(0);
-        // What is left begins with a brace that closes nothing.
+        // The rest begins with a closing brace that has no block.
         while let Some((_, span)) = self.tokens.get(self.at).cloned() {
             self.problem(span.start, "`}` closes no block, expected a directive");
             self.at += 1;
@@ -236,7 +239,7 @@
         all
     }
 
-    /// Lines up to a closing brace, which stays, or the end.
+    /// Parses directives up to a closing brace, which is not consumed, or up to the end.
     fn block(&mut self, depth: usize) -> Vec<Directive> {
         let mut lines = Vec::new();
         while let Some((token, span)) = self.tokens.get(self.at).cloned() {
@@ -244,7 +247,7 @@
                 Ok(TokenKind::Newline) => self.at += 1,
                 Ok(TokenKind::Close) => break,
                 Ok(TokenKind::Open) => {
-                    self.problem(span.start, "`{` opens a block of nothing, expected a directive before it");
+                    self.problem(span.start, "`{` without a directive, expected one before it");
                     self.at += 1;
                 }
                 Ok(TokenKind::Text) | Err(()) => lines.extend(self.line(depth)),
@@ -253,7 +256,7 @@
         lines
     }
 
-    /// One line, and its block where it opens one.
+    /// Parses one directive, and its block if it opens one.
     fn line(&mut self, depth: usize) -> Option<Directive> {
         let mut words = Vec::new();
         let (mut opened, mut broken) = (None, false);
@@ -267,10 +270,10 @@
                 }
                 Ok(TokenKind::Text) => {
                     let location = self.location(span.start);
-                    // One word by the lexer's rule; the library takes its quotes and escapes away.
+                    // One token according to the lexer; the library removes its quotes and escapes.
                     match shlex::split(&self.text[span.clone()]).as_deref() {
                         Some([text]) => words.push(Token { text: text.clone(), location }),
-                        _ => self.problem(span.start, "quotes that make no word"),
+                        _ => self.problem(span.start, "quotes that do not form one token"),
                     }
                 }
                 Err(()) => {
@@ -279,7 +282,7 @@
                         span.start,
                         "a quote or an escape without its end, expected a closing quote",
                     );
-                    // What follows an open quote cannot be told; the next line can.
+                    // What follows an open quote cannot be parsed; parsing goes on with the next line.
                     while self.tokens.get(self.at).is_some_and(|t| t.0 != Ok(TokenKind::Newline)) {
                         self.at += 1;
                     }
@@ -289,7 +292,7 @@
             self.at += 1;
         }
         let block = opened.map(|at| self.body(at, depth));
-        // A line of which a part is not known would only bring mistakes that are none.
+        // Checking a directive with an unknown part would only report problems that are not real.
         if broken {
             return None;
         }
@@ -301,7 +304,7 @@
     fn body(&mut self, opened: usize, depth: usize) -> Vec<Directive> {
         match self.tokens.get(self.at).cloned() {
             None | Some((Ok(TokenKind::Newline | TokenKind::Close), _)) => {}
-            Some((_, span)) => self.problem(span.start, "words after `{`, expected the end of the line"),
+            Some((_, span)) => self.problem(span.start, "text after `{`, expected the end of the line"),
         }
         if depth >= MAX_DEPTH {
             self.problem(opened, format!("blocks nested too deep, expected at most {MAX_DEPTH}"));
@@ -315,7 +318,7 @@
         }
         match self.tokens.get(self.at).cloned() {
             None | Some((Ok(TokenKind::Newline | TokenKind::Close), _)) => {}
-            Some((_, span)) => self.problem(span.start, "words after `}`, expected the end of the line"),
+            Some((_, span)) => self.problem(span.start, "text after `}`, expected the end of the line"),
         }
         lines
     }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Whole files, good and bad: what they mean, and that each mistake is told with its place.
+//! Reads complete configuration files, valid and invalid: what they mean, and that each problem is reported with its location.
 
 use std::path::Path;
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// Writes a file into a folder of its own, reads it, and returns the mistakes without the folder's name.
+/// Writes the files into a temporary folder, reads the first one, and returns the problems without the folder's name.
 fn read(files: &[(&str, &[u8])], names: &Names) -> Result<Conf, Vec<String>> {
     let folder = tempfile::tempdir().unwrap();
     for (name, text) in files {
@@ -27,7 +27,7 @@
     load(&path, names).map_err(|all| all.iter().map(|p| p.to_string().replace(&prefix, "")).collect())
 }
 
-fn wrong(text: &str) -> Vec<String> {
+fn problems_of(text: &str) -> Vec<String> {
     read(&[("f", text.as_bytes())], &names()).expect_err(text)
 }
 
@@ -57,7 +57,7 @@
 "#;
 
 #[test]
-fn a_good_file_means_what_it_says() {
+fn a_valid_file_yields_the_settings_it_names_and_everything_else_is_off() {
     let more = b"budget from downtown to riverside class valve-set {\n standing 3\n}\n";
     let conf = read(&[("f", GOOD.as_bytes()), ("more/a.conf", more)], &names()).unwrap();
     assert_eq!(conf.control.as_deref(), Some(Path::new("/run/holly paddle.sock")));
@@ -88,47 +88,50 @@
     let meter = settings.rules[1];
     assert_eq!((meter.rate.unwrap().per_s.value, meter.rate.unwrap().burst.value), (0.5, 1.0));
     platform.name = "n1".into();
-    assert!((crossings.settings(&platform).part - 0.2).abs() < 1e-9, "an even part of what n3 leaves");
+    assert!(
+        (crossings.settings(&platform).part - 0.2).abs() < 1e-9,
+        "an even part of what the share of n3 leaves"
+    );
     let off = read(&[("f", b"")], &names()).unwrap();
-    assert_eq!(off, Conf::default(), "what is not named is off");
+    assert_eq!(off, Conf::default(), "what the file does not set is off");
 }
 
 #[test]
-fn every_mistake_is_told_in_one_run_with_its_place() {
-    let told = wrong(
+fn all_problems_are_reported_in_one_run_with_their_locations() {
+    let reported = problems_of(
         "crosings {\n}\ncrossings {\n  urgent valv-set\n  budget class valve-set {\n    rate -1/s\n  }\n}\ncontrol\n",
     );
     assert_eq!(
-        told,
+        reported,
         [
             "f:1:1: unknown directive \"crosings\", did you mean \"crossings\"?",
             "f:4:10: unknown class \"valv-set\", did you mean \"valve-set\"?",
-            "f:6:10: \"-1/s\" makes no sense here, expected a rate above 0 and up to 1000000/s, as 5/s or 30/min",
-            "f:9:1: not the words of this directive, expected: control PATH",
+            "f:6:10: \"-1/s\" is not valid here, expected a rate above 0 and up to 1000000/s, as 5/s or 30/min",
+            "f:9:1: invalid arguments, expected: control PATH",
         ]
     );
 }
 
-/// Each bad file has exactly this one mistake.
+/// Each invalid file has exactly this one problem.
 #[test]
-fn each_kind_of_mistake_has_its_own_words() {
+fn each_kind_of_problem_is_reported_with_its_own_text() {
     let budget = |inner: &str| format!("crossings {{\n budget all {{\n  {inner}\n }}\n}}\n");
     let block = |inner: &str| format!("crossings {{\n {inner}\n}}\n");
     let cases: Vec<(String, &str)> = vec![
-        (budget("rate 0/s"), "f:3:8: \"0/s\" makes no sense here, expected a rate above 0"),
-        (budget("rate 1e400/s"), "f:3:8: \"1e400/s\" makes no sense"),
-        (budget("rate nan/s"), "f:3:8: \"nan/s\" makes no sense"),
-        (budget("rate 5/fortnight"), "f:3:8: \"5/fortnight\" makes no sense"),
-        (budget("rate 5"), "f:3:8: \"5\" makes no sense"),
-        (budget("rate 5/s burst 0"), "f:3:18: a burst of 0 lets nothing go"),
-        (budget("rate 5/s burts 3"), "f:3:3: not the words of this directive, expected: rate RATE"),
+        (budget("rate 0/s"), "f:3:8: \"0/s\" is not valid here, expected a rate above 0"),
+        (budget("rate 1e400/s"), "f:3:8: \"1e400/s\" is not valid here"),
+        (budget("rate nan/s"), "f:3:8: \"nan/s\" is not valid here"),
+        (budget("rate 5/fortnight"), "f:3:8: \"5/fortnight\" is not valid here"),
+        (budget("rate 5"), "f:3:8: \"5\" is not valid here"),
+        (budget("rate 5/s burst 0"), "f:3:18: a burst of 0 admits nothing"),
+        (budget("rate 5/s burts 3"), "f:3:3: invalid arguments, expected: rate RATE"),
         (
             budget("share 101% over 10s"),
-            "f:3:9: \"101%\" makes no sense here, expected a share from 0% to 100%",
+            "f:3:9: \"101%\" is not valid here, expected a share from 0% to 100%",
         ),
-        (budget("share 10% over 10parsecs"), "f:3:18: \"10parsecs\" makes no sense here, expected a time"),
-        (budget("share 10% over 99h"), "f:3:18: \"99h\" makes no sense"),
-        (budget("standing -3"), "f:3:12: \"-3\" makes no sense here, expected a whole number"),
+        (budget("share 10% over 10parsecs"), "f:3:18: \"10parsecs\" is not valid here, expected a time"),
+        (budget("share 10% over 99h"), "f:3:18: \"99h\" is not valid here"),
+        (budget("standing -3"), "f:3:12: \"-3\" is not valid here, expected a whole number"),
         (
             budget("standing 3\n  standing 4"),
             "f:4:3: a second \"standing\", expected one; the first is at f:3:3",
@@ -136,13 +139,13 @@
         (budget("standing 3 {\n }"), "f:3:3: \"standing\" takes no block"),
         (budget("overdraft 3"), "f:2:2: a budget without a limit"),
         (budget("stading 3\n  rate 1/s"), "f:3:3: unknown directive \"stading\", did you mean \"standing\"?"),
-        (block("budget {\n  rate 1/s\n }"), "f:2:2: not the words of this directive, expected: budget all"),
+        (block("budget {\n  rate 1/s\n }"), "f:2:2: invalid arguments, expected: budget all"),
         (block("budget all"), "f:2:2: \"budget\" without its block"),
         (block("own dwntown"), "f:2:6: unknown district \"dwntown\", did you mean \"downtown\"?"),
         (block("own xyz"), "f:2:6: unknown district \"xyz\", expected one of: downtown, medical-center"),
         (
             block("budget from downtown to downtown {\n  rate 1/s\n }"),
-            "f:2:2: from downtown to downtown crosses nothing",
+            "f:2:2: from downtown to downtown does not cross districts",
         ),
         (
             block("budget class valve-set {\n  rate 1/s\n }\n budget class valve-set {\n  rate 2/s\n }"),
@@ -150,34 +153,34 @@
         ),
         (block("share-of n1 60%\n share-of n2 50%"), "f:3:14: the shares add up to 110%"),
         (block("bend start 5% end 5%"), "f:2:2: bending ends at or above its start"),
-        (block("bend begin 5%"), "f:2:7: \"begin\" makes no sense here"),
+        (block("bend begin 5%"), "f:2:7: \"begin\" is not valid here"),
         ("crossings {\n".into(), "f:1:11: the block is not closed, expected `}`"),
         ("}\n".into(), "f:1:1: `}` closes no block"),
-        ("{\n}\n".into(), "f:1:1: `{` opens a block of nothing"),
+        ("{\n}\n".into(), "f:1:1: `{` without a directive"),
         ("control \"abc\n".into(), "f:1:9: a quote or an escape without its end"),
-        ("crossings { own downtown\n}\n".into(), "f:1:13: words after `{`"),
-        ("include nowhere.conf\n".into(), "f:1:9: nowhere.conf is not there"),
-        ("include [\n".into(), "f:1:9: \"[\" is no pattern"),
+        ("crossings { own downtown\n}\n".into(), "f:1:13: text after `{`"),
+        ("include nowhere.conf\n".into(), "f:1:9: nowhere.conf does not exist"),
+        ("include [\n".into(), "f:1:9: \"[\" is not a valid pattern"),
     ];
     for (text, expected) in cases {
-        let told = wrong(&text);
-        assert!(told[0].starts_with(expected), "{text}\n{told:?}\n{expected}");
-        // A brace out of place leaves its fellow alone too.
+        let reported = problems_of(&text);
+        assert!(reported[0].starts_with(expected), "{text}\n{reported:?}\n{expected}");
+        // A misplaced brace leaves the matching brace misplaced too.
         let braces = text.starts_with('{') || text.starts_with("crossings { own");
-        assert!(told.len() == 1 || braces, "{text}\n{told:?}");
+        assert!(reported.len() == 1 || braces, "{text}\n{reported:?}");
     }
 }
 
-/// Guards against endless reading, and against mistakes in an included file told of the wrong one.
+/// Guards against endless reading, and against problems in an included file that are reported for another file.
 #[test]
-fn includes_are_bounded_and_their_mistakes_have_their_own_place() {
-    let told = read(&[("f", b"include f\n")], &names()).unwrap_err();
-    assert_eq!(told, ["f:1:9: f includes itself, expected another file"]);
-    let told = read(&[("f", b"include a\n"), ("a", b"\ninclude f\nwhat 1\n")], &names()).unwrap_err();
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told[0].starts_with("a:2:9: f includes itself") && told[1].starts_with("a:3:1: unknown"));
-    let told = read(&[("f", b"include d\n"), ("d/x", b"")], &names()).unwrap_err();
-    assert!(told[0].contains("is no file"), "{told:?}");
+fn includes_are_bounded_and_their_problems_have_the_location_in_the_included_file() {
+    let reported = read(&[("f", b"include f\n")], &names()).unwrap_err();
+    assert_eq!(reported, ["f:1:9: f includes itself, expected another file"]);
+    let reported = read(&[("f", b"include a\n"), ("a", b"\ninclude f\nwhat 1\n")], &names()).unwrap_err();
+    assert_eq!(reported.len(), 2, "{reported:?}");
+    assert!(reported[0].starts_with("a:2:9: f includes itself") && reported[1].starts_with("a:3:1: unknown"));
+    let reported = read(&[("f", b"include d\n"), ("d/x", b"")], &names()).unwrap_err();
+    assert!(reported[0].contains("is not a file"), "{reported:?}");
     let missing = load(Path::new("/nowhere/at/all"), &names()).unwrap_err();
     assert!(missing[0].to_string().starts_with("/nowhere/at/all:1:1: /nowhere/at/all cannot be read"));
     let chain: Vec<(String, Vec<u8>)> =
@@ -187,43 +190,43 @@
 }
 
 #[test]
-fn budgets_and_nesting_are_bounded() {
+fn too_many_budgets_and_too_deep_blocks_are_reported() {
     let many = "budget all {\nrate 1/s\n}\n".repeat(257);
-    assert!(wrong(&format!("crossings {{\n{many}}}\n")).iter().any(|t| t.contains("too many budgets")));
+    assert!(problems_of(&format!("crossings {{\n{many}}}\n")).iter().any(|t| t.contains("too many budgets")));
     let deep = "crossings {\n".repeat(40);
-    assert!(wrong(&deep).iter().any(|t| t.contains("nested too deep")));
+    assert!(problems_of(&deep).iter().any(|t| t.contains("nested too deep")));
 }
 
 #[test]
-fn what_is_no_text_is_told_with_its_place() {
-    let told = read(&[("f", b"control /x\n# \xc3\xa4 \xff\n")], &names()).unwrap_err();
-    assert_eq!(told, ["f:2:5: a byte that is no UTF-8, expected text"]);
+fn invalid_utf_8_is_reported_with_its_location() {
+    let reported = read(&[("f", b"control /x\n# \xc3\xa4 \xff\n")], &names()).unwrap_err();
+    assert_eq!(reported, ["f:2:5: invalid UTF-8, expected text"]);
     // Columns count characters.
-    assert!(wrong("# \u{e4}\n\"\u{e4}\u{f6}\" x\n")[0].starts_with("f:2:1: unknown directive"));
+    assert!(problems_of("# \u{e4}\n\"\u{e4}\u{f6}\" x\n")[0].starts_with("f:2:1: unknown directive"));
 }
 
 #[test]
-fn without_the_platform_the_declared_names_count() {
+fn declared_names_are_used_only_if_the_platform_has_none() {
     let text = b"districts north south\nclasses a\ncrossings {\n budget from north to suth class b {\n  standing 1\n }\n}\n";
-    let told = read(&[("f", text)], &Names::default()).unwrap_err();
+    let reported = read(&[("f", text)], &Names::default()).unwrap_err();
     assert_eq!(
-        told,
+        reported,
         [
             "f:4:23: unknown district \"suth\", did you mean \"south\"?",
             "f:4:34: unknown class \"b\", expected one of: a"
         ]
     );
-    let told = read(&[("f", &text[..])], &names()).unwrap_err();
+    let reported = read(&[("f", &text[..])], &names()).unwrap_err();
     assert!(
-        told.iter().any(|t| t.contains("unknown district \"north\"")),
-        "the platform's names win: {told:?}"
+        reported.iter().any(|t| t.contains("unknown district \"north\"")),
+        "the platform's names take precedence: {reported:?}"
     );
 }
 
 proptest! {
     /// Guards against a panic or an endless read on any file.
     #[test]
-    fn no_text_panics(words in prop::collection::vec(prop::sample::select(vec![
+    fn reading_any_mix_of_keywords_does_not_panic(words in prop::collection::vec(prop::sample::select(vec![
         "crossings", "budget", "all", "class", "valve-set", "from", "to", "downtown", "{", "}", "\n", "rate",
         "5/s", "burst", "3", "share", "10%", "over", "10s", "standing", "fleet", "\"", "'", "\\", "#", "include",
         "*", "bend", "start", "end", "floor", "\u{e4}", "\t", "1e400",
@@ -233,14 +236,14 @@
     }
 
     #[test]
-    fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn reading_any_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = read(&[("f", &bytes)], &names());
     }
 }
 
-/// A fleet with every directive, and every mistake of another told in one run.
+/// Reads a fleet with every directive, and reports every problem of another one in one run.
 #[test]
-fn a_fleet_is_read_and_each_mistake_is_told_with_its_place() {
+fn a_fleet_block_is_read_and_each_of_its_problems_is_reported_with_its_line() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("fleet.conf");
     let read = |text: &str| {
@@ -261,7 +264,11 @@
         (0.5, 3.0, 300.0, 1.0)
     );
     assert_eq!(fleet.lend_ratio, 0.4);
-    assert_eq!(fleet.own_member("platform").map(|m| m.name.as_str()), Some("a"), "the block's name wins");
+    assert_eq!(
+        fleet.own_member("platform").map(|m| m.name.as_str()),
+        Some("a"),
+        "the name in the block overrides the platform's"
+    );
     assert_eq!(fleet.listen.map(|l| l.to_string()), Some("0.0.0.0:7100".into()));
     assert_eq!(fleet.members[0].district.as_deref(), Some("east"));
 
@@ -269,7 +276,7 @@
                 10.0.0.1:7100\n member c [::1]:7100\n member d\n name z\n suspect 2s\n gone 1s\n forget soon\n records \
                 0\n catch-up rate 1MiB/s\n catch-up within 1s\n listens 1.2.3.4:5\n lend 95%\n}\n";
     let problems = read(text).unwrap_err();
-    let told: Vec<(usize, &str)> =
+    let reported: Vec<(usize, &str)> =
         problems.iter().map(|p| (p.location.line, p.description.as_str())).collect();
     for (line, what) in [
         (3, "unknown district \"north\""),
@@ -278,7 +285,7 @@
         (5, "a second member at 10.0.0.1:7100"),
         (6, "expected an IPv4 address and port"),
         (7, "member NAME ADDRESS:PORT"),
-        (8, "\"z\" is no member"),
+        (8, "\"z\" is not a member"),
         (2, "a member is gone before its silence is suspect"),
         (11, "expected a time from 10ms to 1h"),
         (12, "expected 1 or more"),
@@ -287,8 +294,8 @@
         (15, "did you mean \"listen\"?"),
     ] {
         assert!(
-            told.iter().any(|t| t.0 == line && t.1.contains(what)),
-            "line {line}: {what:?} not in {told:?}"
+            reported.iter().any(|t| t.0 == line && t.1.contains(what)),
+            "line {line}: {what:?} not in {reported:?}"
         );
     }
     let few = read("fleet {\n member a 10.0.0.1:7100\n}\n").unwrap_err();
