--- a/crates/service/src/classes.rs
+++ b/crates/service/src/classes.rs
@@ -1,46 +1,47 @@
-//! The table of classes across reloads. The decision module and the sockets know a call's class by its
-//! number, so a number is never given to another class: a class that stays keeps its number, a new one or
-//! one whose settings changed gets the next, and a dropped one keeps its number but takes no new calls.
-//! Open calls so keep the rules they came with.
+//! Numbers the classes of calls, across reloads of the settings.
+//!
+//! The decision module and the sockets identify the class of a call by its number, so a number is never reused for another
+//! class: an unchanged class keeps its number, a new class or one with changed settings gets the next number, and a dropped
+//! class keeps its number but accepts no new calls. Thus open calls keep the settings with which they started.
 
-/// Numbers at most; a reload that would need more is turned down.
+/// Maximum number of class numbers per process; a reload that would need more is rejected.
 pub const MAX_CLASS_NUMBERS: usize = 256;
 
-/// One number of the table.
+/// A numbered class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassEntry<T> {
-    /// The class's name.
+    /// Name of the class.
     pub name: String,
     /// Its settings.
     pub settings: T,
-    /// Whether new calls may take it.
+    /// Whether it accepts new calls.
     pub open: bool,
 }
 
-/// Classes by number.
+/// The classes by number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassTable<T> {
     entries: Vec<ClassEntry<T>>,
 }
 
-/// A reload that would need more numbers than [`MAX_CLASS_NUMBERS`].
+/// Error of a reload that would need more numbers than [`MAX_CLASS_NUMBERS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableFull;
 
 impl std::fmt::Display for TableFull {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "more than {MAX_CLASS_NUMBERS} classes since the start; restart to take these settings")
+        write!(f, "more than {MAX_CLASS_NUMBERS} classes since the start; restart to apply these settings")
     }
 }
 
 impl<T: Clone + PartialEq> ClassTable<T> {
-    /// The classes of the start, numbered in their order.
+    /// Numbers the classes at the start of the process, in their order.
     pub fn new(classes: impl IntoIterator<Item = (String, T)>) -> Self {
         let entries = classes.into_iter().map(|(name, settings)| ClassEntry { name, settings, open: true });
         ClassTable { entries: entries.collect() }
     }
 
-    /// The table with the classes of new settings; this one is left as it is where they do not fit.
+    /// Returns a table with the classes of new settings. Fails if they need too many numbers; this table is not changed.
     pub fn with_classes(
         &self,
         classes: impl IntoIterator<Item = (String, T)>,
@@ -60,17 +61,17 @@
         Ok(ClassTable { entries })
     }
 
-    /// All numbers, the dropped ones too.
+    /// All classes by number, including dropped ones.
     pub fn entries(&self) -> &[ClassEntry<T>] {
         &self.entries
     }
 
-    /// The number that new calls of a name take.
+    /// Number for new calls of the class with that name, if it accepts any.
     pub fn open(&self, name: &[u8]) -> Option<usize> {
         self.entries.iter().rposition(|e| e.open && e.name.as_bytes() == name)
     }
 
-    /// Names that new calls may take, and those no longer taken, as a word for the log.
+    /// How many numbers were added and how many were dropped since `before`, as one label for the log.
     pub fn changes(&self, before: &ClassTable<T>) -> String {
         let added = self.entries.len() - before.entries.len();
         let dropped = before.entries.iter().zip(&self.entries).filter(|(b, a)| b.open && !a.open).count();
@@ -87,10 +88,10 @@
     }
 
     #[test]
-    fn numbers_are_kept_and_never_given_twice() {
+    fn unchanged_classes_keep_their_numbers_and_no_number_is_reused_for_other_settings() {
         let start = ClassTable::new(table(&[("meter-read", 1), ("valve-set", 2)]));
         assert_eq!(start.open(b"valve-set"), Some(1));
-        // valve-set changes its effect, meter-read is dropped, valve-set-r2 comes.
+        // valve-set changes its settings, meter-read is dropped, valve-set-r2 is added.
         let next = start.with_classes(table(&[("valve-set", 3), ("valve-set-r2", 4)])).unwrap();
         assert_eq!(next.open(b"meter-read"), None, "dropped: no new calls");
         assert_eq!(next.open(b"valve-set"), Some(2), "changed: a new number");
@@ -99,14 +100,14 @@
         assert_eq!(next.entries()[0].settings, 1);
         assert_eq!(next.entries()[1].settings, 2);
         assert_eq!(next.changes(&start), "classes-2-new-2-dropped");
-        // Back to the first settings: the old numbers open again.
+        // Back to the first settings: the old numbers accept calls again.
         let back = next.with_classes(table(&[("meter-read", 1), ("valve-set", 2)])).unwrap();
         assert_eq!(back.entries().len(), 4);
         assert_eq!((back.open(b"meter-read"), back.open(b"valve-set")), (Some(0), Some(1)));
     }
 
     #[test]
-    fn a_table_that_would_grow_past_its_bound_is_refused_and_the_old_stays() {
+    fn settings_that_need_too_many_numbers_are_rejected_and_the_table_stays_unchanged() {
         let mut table = ClassTable::new([("c".to_string(), 0)]);
         for n in 1..MAX_CLASS_NUMBERS {
             table = table.with_classes([("c".to_string(), n)]).unwrap();
--- a/crates/service/src/descriptors.rs
+++ b/crates/service/src/descriptors.rs
@@ -1,37 +1,39 @@
-//! The budget of descriptors: what callers may hold beside the connections to servers, however many are listed. Guards against
-//! callers that fill the descriptors: the servers, the resolver at a reload and the control address would find none left.
+//! Divides the file descriptors between callers and session servers.
+//!
+//! Guards against callers that use up all descriptors, so that none are left for the servers, the resolver at a reload and the
+//! control address.
 
-/// Part of the descriptors that callers' connections may take at most; the usual ones hold a third by themselves.
+/// Maximum ratio of the descriptors for callers' connections; usual callers need a third.
 const MAX_CALLERS_RATIO: f64 = 0.7;
-/// Part that is left to callers before a server gets a further connection.
+/// Minimum ratio that must remain for callers before a server gets a further connection.
 const MIN_CALLERS_RATIO: f64 = 0.4;
-/// Connections to one server at most: it tells its state on no more than four.
+/// Maximum number of connections to one server, which reports its state on at most four.
 const MAX_CONNECTIONS_PER_SERVER: usize = 3;
-/// What a gatekeeper holds beside connections: the standard streams, the poller's three, the listener, the resolver's and
-/// at a reload its successor's, the files that are read then, and a few to spare.
+/// Number of descriptors that a gatekeeper needs besides connections: the standard streams, three of the poller, the listener,
+/// the resolver's and at a reload the new resolver's, the files that are read then, and a few spare ones.
 pub const FIXED_DESCRIPTORS: usize = 16;
 
-/// Descriptors that a gatekeeper may hold, and how many of them belong to neither callers nor servers.
+/// The descriptors that a gatekeeper may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// All.
+    /// Number of all descriptors.
     pub total: usize,
-    /// Those of neither.
+    /// Number of those that are for neither callers nor servers.
     pub fixed: usize,
 }
 
-/// How they are divided.
+/// How many connections callers and servers may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allocation {
-    /// Connections that callers may hold.
+    /// Maximum number of callers' connections in all.
     pub callers: usize,
-    /// Connections that each server may have.
+    /// Maximum number of connections to each server.
     pub per_server: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides them with so many servers listed. Each gets one connection; where there are too few descriptors even for
-    /// that, callers keep one.
+    /// Divides the descriptors for a list of `servers` servers. Each server gets at least one connection; callers keep at
+    /// least one even if there are too few descriptors for that.
     pub fn allocate(&self, servers: usize) -> Allocation {
         let part = |share: f64| (self.total as f64 * share) as usize;
         let left = |each: usize| self.total.saturating_sub(self.fixed + each * servers);
@@ -42,7 +44,7 @@
         Allocation { callers: left(per_server).min(part(MAX_CALLERS_RATIO)).max(1), per_server }
     }
 
-    /// Whether they suffice for a connection to each of so many servers and for as many callers as hold a third.
+    /// Returns whether the descriptors suffice for one connection to each server and a third of the total for callers.
     pub fn is_sufficient(&self, servers: usize) -> bool {
         self.total >= self.fixed + servers + self.total / 3
     }
--- a/crates/service/src/drain.rs
+++ b/crates/service/src/drain.rs
@@ -1,92 +1,97 @@
-//! Which client connections a drained gatekeeper closes, and what it keeps the others for.
+//! Decides which client connections a draining gatekeeper closes, and why it keeps the others.
 
 use std::fmt;
 
 #[cfg(test)]
 mod tests;
 
-/// A connection that waits for nothing is closed after it was quiet for so long, in seconds. The front sends new
-/// connections for 0.2 s after a no and clients use open ones for a while: a request that is on its way when the
-/// connection closes would be lost.
+/// Time without traffic after which a connection that waits for nothing is closed, in seconds. The load balancer sends new
+/// connections for 0.2 s after the gatekeeper reports that it is not ready, and clients use open ones for a while: a request
+/// that is on its way when the connection closes would be lost.
 pub const QUIET_CLOSE_AFTER_S: f64 = 0.25;
-/// One that connected and said nothing is closed after so long, in seconds.
+/// Time after which a connection that was never sent anything is closed, in seconds.
 pub const UNUSED_CLOSE_AFTER_S: f64 = 0.5;
-/// So long after the drain began, in seconds, a connection that waits for nothing is closed however busy it was, and so is one
-/// with standing calls that had a request in the last [`BUSY_WINDOW_S`], as others can take the ends of those.
+/// Time after the start of the drain, in seconds, from which a connection that waits for nothing is closed even if it is busy.
+/// So is one with standing calls and a set-up in the last [`BUSY_WINDOW_S`], as other connections can deliver the ends of
+/// those calls.
 pub const BUSY_CLOSE_AFTER_S: f64 = 1.5;
+/// A connection with standing calls is busy if it had a set-up in this last time, in seconds.
 const BUSY_WINDOW_S: f64 = 0.5;
-/// So long after the drain began, in seconds, no connection may be held idle, or with a request of the last [`IN_USE_WINDOW_S`].
+/// Deadline of a drain, in seconds after its start: from then on no connection may be held that is idle or had a set-up in the
+/// last [`IN_USE_WINDOW_S`].
 pub const DEADLINE_S: f64 = 4.0;
-/// A connection is in use with a request of this last time, in seconds.
+/// A connection is in use if it had a set-up in this last time, in seconds.
 pub const IN_USE_WINDOW_S: f64 = 2.0;
-/// Set-ups are refused from so long after the drain began on, in seconds: those that come later are in use at the term.
+/// Time after the start of the drain, in seconds, from which set-ups are refused: the connection of a later set-up would be in
+/// use at the deadline.
 pub const REFUSE_AFTER_S: f64 = DEADLINE_S - IN_USE_WINDOW_S;
-/// Whatever must not be held at the term is closed so long after the drain began, in seconds: early enough for a process that
-/// turns late or is paused.
+/// Time after the start of the drain, in seconds, at which everything is closed that must not be held at the deadline. It is
+/// early enough for a process whose event loop is late or that is paused.
 pub const FINAL_CLOSE_AFTER_S: f64 = 3.5;
-/// So long after the drain began, in seconds, bytes that wait to be written keep a connection no more: it is closed, and the
-/// peer has until [`DROP_AFTER_S`] to read them.
+/// Time after the start of the drain, in seconds, from which bytes that wait to be written no longer keep a connection open: it
+/// is closed, and the peer has until [`DROP_AFTER_S`] to read them.
 const UNWRITTEN_CLOSE_AFTER_S: f64 = 2.5;
-/// Closed connections to which bytes still wait to be written are dropped so long after the drain began, in seconds: their
-/// peers have not seen the close.
+/// Time after the start of the drain, in seconds, at which closed connections with bytes that still wait to be written are
+/// dropped: their peers have not seen the close.
 pub const DROP_AFTER_S: f64 = 3.8;
-/// So long after the drain began, in seconds, the term is past: the last connection on which ends of calls can be told stays.
+/// Time after the start of the drain, in seconds, from which the deadline has passed: the last connection that can deliver ends
+/// of calls is kept.
 const PAST_DEADLINE_S: f64 = DEADLINE_S + 0.2;
 
-/// What a client connection is like at the moment.
+/// Current state of a client connection. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionState {
-    /// When it connected.
+    /// When it was opened.
     pub since: f64,
-    /// When it last said or was told something.
+    /// When a message was last received or sent on it.
     pub last_used_at: f64,
-    /// When its last set-up came.
+    /// When its last set-up was received.
     pub last_set_up_at: Option<f64>,
-    /// Whether it was ever told anything.
+    /// Whether anything was ever sent to the caller.
     pub sent_anything: bool,
-    /// A set-up came after something was told of a call: its caller reads what it is sent.
+    /// Whether a set-up was received after a reply was sent, which shows that the caller reads what it is sent.
     pub set_up_after_reply: bool,
-    /// Calls of it that wait for their final answer.
+    /// Number of its calls that wait for their final answer.
     pub open: usize,
-    /// Calls of it that stand: their end is to reach the caller, and a drained gatekeeper takes no new
-    /// connection on which it could.
+    /// Number of its standing calls. Their ends must reach the caller, and a draining gatekeeper accepts no new
+    /// connection on which they could.
     pub standing: usize,
-    /// Bytes wait to be written to it.
+    /// Whether bytes wait to be written to it.
     pub writing: bool,
-    /// A part of a message has come.
+    /// Whether a part of a message has been received.
     pub reading: bool,
-    /// It is the one that stays for the ends of calls, see [`end_delivery_rank`].
+    /// Whether it is the one kept to deliver the ends of other connections' calls, see [`end_delivery_rank`].
     pub delivers_other_ends: bool,
 }
 
-/// What becomes of a connection.
+/// What to do with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is closed.
+    /// Close it.
     Close,
-    /// Its set-ups get their final answer now, and it is closed then.
+    /// Send the final answers to its set-ups now, then close it.
     AnswerSetUps,
-    /// It is the last on which ends of calls can be told whose own connection does not stay, and must go: those calls are cut
-    /// and sent_anything, and it is closed then.
+    /// It is the last connection that can deliver the ends of calls whose own connection is not kept, and it must be closed: cut
+    /// those calls, send their ends on it, then close it.
     CutCalls,
-    /// It stays.
+    /// Keep it.
     Keep(KeepReason),
 }
 
-/// Why a connection stays.
+/// Why a connection is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepReason {
     /// A set-up waits for its answer.
     OpenSetUp,
-    /// A call that came on it stands.
+    /// It has a standing call.
     StandingCall,
-    /// The ends of calls whose own connection is gone or goes.
+    /// It must deliver the ends of calls whose own connection is closed or will be.
     OtherCallEnds,
     /// Bytes wait to be written.
     Writing,
-    /// The rest of a message is on its way.
+    /// A message has been received only in part.
     Reading,
-    /// It was used a moment ago.
+    /// It was used recently.
     RecentUse,
 }
 
@@ -103,17 +108,17 @@
     }
 }
 
-/// Whether set-ups are refused at a gatekeeper that is drained since then.
+/// Returns whether a gatekeeper that has been draining since `drained_since` refuses set-ups.
 pub fn refuses_set_ups(now: f64, drained_since: f64) -> bool {
     now - drained_since >= REFUSE_AFTER_S
 }
 
-/// Decides on a connection of a gatekeeper that is drained since then.
+/// Decides what to do with a connection of a gatekeeper that has been draining since `drained_since`.
 pub fn decide(now: f64, drained_since: f64, c: &ConnectionState) -> Decision {
     let age = now - drained_since;
-    let in_use_at_term = asked_late(drained_since, c.last_set_up_at);
+    let is_in_use = in_use_at_deadline(drained_since, c.last_set_up_at);
     if c.open > 0 {
-        return match in_use_at_term && age >= FINAL_CLOSE_AFTER_S {
+        return match is_in_use && age >= FINAL_CLOSE_AFTER_S {
             true => Decision::AnswerSetUps,
             false => Decision::Keep(KeepReason::OpenSetUp),
         };
@@ -140,15 +145,15 @@
     Decision::Keep(KeepReason::RecentUse)
 }
 
-/// Whether a connection stays, as things are, for the calls that stand, which came on it.
+/// Returns whether a connection may be kept for its standing calls.
 pub fn may_remain(now: f64, drained_since: f64, c: &ConnectionState) -> bool {
-    let firm = now - drained_since >= BUSY_CLOSE_AFTER_S;
-    let busy = firm && c.last_set_up_at.is_some_and(|at| now - at < BUSY_WINDOW_S);
-    c.standing > 0 && !busy && !asked_late(drained_since, c.last_set_up_at)
+    let past_busy_close = now - drained_since >= BUSY_CLOSE_AFTER_S;
+    let busy = past_busy_close && c.last_set_up_at.is_some_and(|at| now - at < BUSY_WINDOW_S);
+    c.standing > 0 && !busy && !in_use_at_deadline(drained_since, c.last_set_up_at)
 }
 
-/// How fit a connection is to be the one that stays for the ends of calls whose own does not, the fittest being the greatest:
-/// its caller reads, it may stay beyond the term, and it was used longest ago.
+/// Ranks a connection for delivering the ends of calls whose own connection is not kept; the greatest rank is the best. Preferred
+/// are connections whose caller reads, then those that may be kept beyond the deadline, then those with the oldest last set-up.
 pub fn end_delivery_rank(now: f64, drained_since: f64, c: &ConnectionState) -> (bool, bool, f64) {
     (
         c.set_up_after_reply && !c.writing,
@@ -157,12 +162,12 @@
     )
 }
 
-/// Whether a connection is in use at the term by its last request.
-fn asked_late(drained_since: f64, last_set_up_at: Option<f64>) -> bool {
+/// Returns whether a connection is in use at the deadline because of its last set-up.
+fn in_use_at_deadline(drained_since: f64, last_set_up_at: Option<f64>) -> bool {
     last_set_up_at.is_some_and(|at| refuses_set_ups(at, drained_since))
 }
 
-/// Whether nothing was said on a connection for a while. What was said before the drain began counts as said at its start.
+/// Returns whether a connection has had no traffic for a while. Traffic before the drain counts as traffic at its start.
 fn is_quiet(now: f64, drained_since: f64, c: &ConnectionState) -> bool {
     let quiet_for = |at: f64| now - at.max(drained_since);
     match c.sent_anything {
--- a/crates/service/src/figures.rs
+++ b/crates/service/src/figures.rs
@@ -1,8 +1,9 @@
-//! The figures: counts of what became of the requests, and gauges read when asked. One model, which the
-//! control address gives as JSON and which later fronts (an SNMP agent) read too.
+//! Collects the figures of a gatekeeper: counters of the outcomes of requests, and gauges read on demand.
 //!
-//! Counts start at 0 in each process. A class that the settings drop keeps its counts, as they are still
-//! true of the time before, and a class that comes back goes on from them.
+//! The control address reports them as JSON; other interfaces (such as an SNMP agent) may use the same model later.
+//!
+//! Counters start at 0 in each process. A class that the settings drop keeps its counters, as they remain correct for the
+//! time before, and a class that is added again continues them.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +12,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Classes counted at most; a name beyond them is counted under [`OTHER_CLASS`]. Bounds the map against settings
-/// that bring new names at every reload.
+/// Maximum number of classes with counters of their own; further names are counted under [`OTHER_CLASS`]. Bounds the map
+/// if settings bring new names at every reload.
 pub const MAX_CLASSES: usize = 256;
-/// Where the requests of classes beyond the bound are counted.
+/// Name under which the requests of all further classes are counted.
 pub const OTHER_CLASS: &str = "other";
 
-/// What became of a request: its final answer.
+/// Outcome of a request, by its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
@@ -28,34 +29,34 @@
     Aborted,
 }
 
-/// What is read at the moment it is asked.
+/// Values read at the time of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Gauges {
-    /// Requests taken that have not ended.
+    /// Accepted requests that have not ended.
     pub outstanding: u64,
     /// Session servers in the list.
     pub discovered: u64,
-    /// Listed session servers that are avoided now.
+    /// Listed session servers that are currently avoided.
     pub ejected: u64,
-    /// Answers of the resolver that could not be taken, since the start.
+    /// Answers of the resolver that could not be used, since the start.
     pub unusable_lists: u64,
-    /// Ends of calls that were sent again on another connection, as they were not read on theirs, since the start.
+    /// Ends of calls that were sent again on another connection because they were not read on their own, since the start.
     pub ends_redelivered: u64,
-    /// Ends of calls on connections that were reset of which nothing tells whether they were read, since the start.
+    /// Ends of calls on connections that were reset, for which it is unknown whether they were read, since the start.
     pub ends_unconfirmed: u64,
-    /// Connections of clients that were closed in drains, since the start.
+    /// Client connections closed by drains, since the start.
     pub drain_closed: u64,
-    /// Set-ups that were refused as they came late in a drain, since the start.
+    /// Set-ups refused because they arrived late in a drain, since the start.
     pub drain_refused: u64,
-    /// Set-ups that got their final answer in drains before a server gave one, since the start.
+    /// Set-ups that got their final answer in a drain before a server answered, since the start.
     pub drain_answered: u64,
-    /// Calls that stood and were cut in drains, since the start.
+    /// Standing calls cut by drains, since the start.
     pub drain_cut: u64,
 }
 
-/// What is told of the fleet, where there is one: gauges of members, records and calls adopted now, and counts.
+/// Figures of the fleet, if there is one: gauges of members, records and calls adopted now; the rest are counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-#[expect(missing_docs, reason = "the names are those of the page")]
+#[expect(missing_docs, reason = "the documentation of the figures explains these names")]
 pub struct FleetFigures {
     pub members_alive: u64,
     pub members_suspected: u64,
@@ -71,7 +72,7 @@
     pub bytes_said: u64,
 }
 
-/// The figures as told: per class, and the rest.
+/// The figures as reported, by class and in total.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
     /// Requests served, by class.
@@ -80,16 +81,16 @@
     pub declined: BTreeMap<String, u64>,
     /// Requests failed, by class.
     pub aborted: BTreeMap<String, u64>,
-    /// Attempts written whole to session servers.
+    /// Attempts written completely to session servers.
     pub forwards: u64,
-    /// What is read at the moment.
+    /// Values read at the time of the report.
     #[serde(flatten)]
     pub gauges: Gauges,
-    /// Files taken at SIGHUP.
+    /// Files applied at SIGHUP.
     pub sighup_applied: u64,
-    /// Files turned down at SIGHUP.
+    /// Files rejected at SIGHUP.
     pub sighup_rejected: u64,
-    /// Of the fleet, where the own configuration names one.
+    /// Figures of the fleet, if the own configuration names one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetFigures>,
 }
@@ -101,7 +102,7 @@
     aborted: u64,
 }
 
-/// The counts of this process.
+/// The counters of this process.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     classes: BTreeMap<String, Counts>,
@@ -111,14 +112,14 @@
 }
 
 impl Figures {
-    /// Counts from 0, with the classes named so far shown at 0.
+    /// Creates counters at 0 for these classes.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Self {
         let mut figures = Figures::default();
         figures.add_classes(classes);
         figures
     }
 
-    /// Shows classes of new settings at 0 from now on.
+    /// Adds counters at 0 for the classes of new settings that have none yet.
     pub fn add_classes<'a>(&mut self, classes: impl IntoIterator<Item = &'a str>) {
         for class in classes {
             self.counts(class);
@@ -133,7 +134,7 @@
         self.classes.entry(name.to_string()).or_default()
     }
 
-    /// A request of a class has its final answer.
+    /// Counts the final answer to a request of a class.
     pub fn answered(&mut self, class: &str, outcome: Outcome) {
         let counts = self.counts(class);
         let count = match outcome {
@@ -144,20 +145,20 @@
         *count += 1;
     }
 
-    /// An attempt was written whole to a session server.
+    /// Counts an attempt that was written completely to a session server.
     pub fn forwarded(&mut self) {
         self.forwards += 1;
     }
 
-    /// A file read at SIGHUP was taken, or turned down.
-    pub fn reloaded(&mut self, taken: bool) {
-        match taken {
+    /// Counts a file read at SIGHUP that was applied or rejected.
+    pub fn reloaded(&mut self, applied: bool) {
+        match applied {
             true => self.sighup_applied += 1,
             false => self.sighup_rejected += 1,
         }
     }
 
-    /// The figures with the gauges of the moment.
+    /// Builds a report from the counters and the current gauges.
     pub fn report(&self, gauges: Gauges) -> Report {
         let by = |pick: fn(&Counts) -> u64| self.classes.iter().map(|(k, c)| (k.clone(), pick(c))).collect();
         Report {
--- a/crates/service/src/figures/tests.rs
+++ b/crates/service/src/figures/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_report_has_every_figure_the_front_reads() {
+fn the_report_holds_every_counter_and_gauge_under_its_name() {
     let mut figures = Figures::new(["valve-set", "meter-read"]);
     figures.answered("valve-set", Outcome::Succeeded);
     figures.answered("valve-set", Outcome::Succeeded);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn names_beyond_the_bound_are_counted_together() {
+fn classes_beyond_the_maximum_are_counted_together() {
     let mut figures = Figures::default();
     for n in 0..MAX_CLASSES + 10 {
         figures.answered(&format!("c{n}"), Outcome::Succeeded);
--- a/crates/service/src/http.rs
+++ b/crates/service/src/http.rs
@@ -1,41 +1,43 @@
-//! The calls of the control address: a head read with httparse, what it asks for or what is wrong with it,
-//! and the answer's bytes. One call a connection, so every answer ends its connection.
+//! Parses the HTTP requests to the control address and formats the responses.
+//!
+//! The head of a request is parsed with httparse. There is one request per connection, so every response closes its
+//! connection.
 
-/// A head may have so many bytes and headers; beyond them it is refused with 431.
+/// Maximum size of a request's head; a larger one is refused with status 431.
 pub const MAX_HEAD_BYTES: usize = 8192;
-/// Headers at most.
+/// Maximum number of headers; a request with more is refused with status 431.
 pub const MAX_HEADERS: usize = 32;
 
-/// What may be asked.
+/// An endpoint of the control address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// `GET /_ready`: whether it takes clients.
+    /// `GET /_ready`: whether the gatekeeper accepts clients.
     Ready,
     /// `GET /_vars`: the figures.
     Vars,
     /// `POST /_lameduck/on`: drain.
     LameduckOn,
-    /// `POST /_lameduck/off`: take clients again.
+    /// `POST /_lameduck/off`: accept clients again.
     LameduckOff,
 }
 
-/// A refusal: its status and a short reason.
+/// A refused request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The HTTP status.
     pub status: u16,
-    /// A few words.
+    /// A short reason for the client.
     pub reason: &'static str,
 }
 
-/// What the bytes so far come to.
+/// Result of parsing the bytes received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParsedRequest {
-    /// The head is not whole yet.
+    /// The head is incomplete.
     Partial,
-    /// A call.
+    /// A valid request for an endpoint.
     Endpoint(Endpoint),
-    /// Something wrong, to be answered so.
+    /// An invalid request, to be answered with this refusal.
     Refused(Refusal),
 }
 
@@ -43,7 +45,7 @@
     ParsedRequest::Refused(Refusal { status, reason })
 }
 
-/// Reads what a connection sent so far.
+/// Parses the bytes that a connection received so far.
 pub fn parse(bytes: &[u8]) -> ParsedRequest {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -72,7 +74,7 @@
         "/_lameduck/off" => ("POST", Endpoint::LameduckOff),
         _ => return refused(404, "no such call"),
     };
-    // HEAD is refused too: its answer would have to leave the body out.
+    // HEAD is refused too: its response would have to omit the body.
     if method != want {
         return match want {
             "GET" => refused(405, "use GET"),
@@ -90,7 +92,7 @@
     ParsedRequest::Endpoint(call)
 }
 
-/// An answer's bytes, with the end of the connection announced.
+/// Formats a response, which announces the close of the connection.
 pub fn response(status: u16, content_type: &str, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
@@ -110,7 +112,7 @@
     .into_bytes()
 }
 
-/// A refusal's bytes.
+/// Formats the response for a refused request.
 pub fn refusal_response(refusal: Refusal) -> Vec<u8> {
     response(refusal.status, "text/plain", &format!("{}\n", refusal.reason))
 }
@@ -127,7 +129,7 @@
     }
 
     #[test]
-    fn each_call_is_read_from_its_head() {
+    fn each_endpoint_is_parsed_from_its_request() {
         assert_eq!(
             parse(b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"),
             ParsedRequest::Endpoint(Endpoint::Ready)
@@ -143,7 +145,7 @@
     }
 
     #[test]
-    fn a_head_in_pieces_is_partial_until_whole() {
+    fn a_head_received_in_parts_is_partial_until_it_is_complete() {
         let whole = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n";
         for cut in 0..whole.len() {
             assert_eq!(parse(&whole[..cut]), ParsedRequest::Partial, "cut at {cut}");
@@ -151,7 +153,7 @@
     }
 
     #[test]
-    fn bad_input_gets_its_status() {
+    fn an_invalid_request_is_refused_with_the_matching_status() {
         assert_eq!(status(b"GET /nothing HTTP/1.1\r\n\r\n"), Some(404));
         assert_eq!(status(b"POST /_ready HTTP/1.1\r\n\r\n"), Some(405));
         assert_eq!(status(b"GET /_lameduck/on HTTP/1.1\r\n\r\n"), Some(405));
@@ -167,7 +169,7 @@
     }
 
     #[test]
-    fn an_answer_says_its_length_and_the_end_of_the_connection() {
+    fn a_response_has_its_length_and_closes_the_connection() {
         let text = String::from_utf8(response(200, "application/json", "{}")).unwrap();
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n"));
         assert!(text.contains("Content-Length: 2\r\n"));
--- a/crates/service/src/lib.rs
+++ b/crates/service/src/lib.rs
@@ -1,6 +1,7 @@
-//! What it takes to be in service: whether the gatekeeper takes clients (readiness, lameduck), what it
-//! reports (the figures), and what the control address is asked. No I/O, no clock, no threads: the time
-//! is an argument, and the program carries out what is decided here.
+//! Decides what a gatekeeper needs to be in service: whether it accepts clients (readiness, lameduck), how a drain closes
+//! connections, which figures it reports, and what requests to the control address ask for.
+//!
+//! There is no I/O, clock or thread here: the time is an argument, and the program carries out the decisions.
 
 pub mod classes;
 pub mod descriptors;
--- a/crates/service/src/lifecycle.rs
+++ b/crates/service/src/lifecycle.rs
@@ -1,70 +1,70 @@
-//! Readiness and lameduck: whether the gatekeeper takes clients.
+//! Tracks readiness and lameduck, which decide whether the gatekeeper accepts clients.
 
 #[cfg(test)]
 mod tests;
 
-/// So long after a drain began, in seconds, the clients' listener still takes connections: the front sends new ones
-/// for 0.2 s after its no, and a few more may be on their way.
+/// How long the clients' listener still accepts connections after the start of a drain, in seconds: the load balancer sends
+/// new ones for 0.2 s after the gatekeeper reports that it is not ready, and a few more may be on their way.
 pub const ACCEPT_AFTER_DRAIN_START_S: f64 = 0.5;
 
-/// Where the gatekeeper stands.
+/// Phase of the gatekeeper's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// Lameduck: it serves what comes but says that it is not ready, and lets its clients go.
+    /// Lameduck: it still serves requests but reports that it is not ready, and closes its clients' connections.
     Lameduck,
-    /// SIGTERM: it finishes what it holds and ends.
+    /// After SIGTERM: it finishes its open work and exits.
     Stopping,
 }
 
-/// Readiness and lameduck.
+/// The current phase and its start.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     phase: Phase,
-    /// Since when it is in its phase.
+    /// Start of the current phase, in seconds.
     since: f64,
-    /// How often lameduck was turned on and off, for the log and the figures.
+    /// Number of times that lameduck was turned on or off, for the log and the figures.
     pub changes: u64,
 }
 
 impl Lifecycle {
-    /// Serving from now on.
+    /// Starts in the phase `Serving`.
     pub fn new(now: f64) -> Self {
         Lifecycle { phase: Phase::Serving, since: now, changes: 0 }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Since when.
+    /// Start of the current phase, in seconds.
     pub fn since(&self) -> f64 {
         self.since
     }
 
-    /// Since when it is drained, if it is.
+    /// Start of the drain in seconds, if the gatekeeper is in lameduck.
     pub fn drained_since(&self) -> Option<f64> {
         (self.phase == Phase::Lameduck).then_some(self.since)
     }
 
-    /// Whether the front may send it clients.
+    /// Returns whether the load balancer may send it clients.
     pub fn ready(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Lameduck on; returns whether that changed anything. Twice is once.
+    /// Turns lameduck on; returns whether that changed the phase. Turning it on again changes nothing.
     pub fn lameduck_on(&mut self, now: f64) -> bool {
         self.transition(now, Phase::Serving, Phase::Lameduck)
     }
 
-    /// Lameduck off; returns whether that changed anything. Off while not on changes nothing.
+    /// Turns lameduck off; returns whether that changed the phase. Turning it off while it is not on changes nothing.
     pub fn lameduck_off(&mut self, now: f64) -> bool {
         self.transition(now, Phase::Lameduck, Phase::Serving)
     }
 
-    /// SIGTERM: from any phase, and for good.
+    /// Handles SIGTERM: enters `Stopping` from any phase, for good. Returns whether that changed the phase.
     pub fn stop(&mut self, now: f64) -> bool {
         let changed = self.phase != Phase::Stopping;
         if changed {
@@ -81,9 +81,9 @@
         changed
     }
 
-    /// Whether the clients' listener is to take connections now. While drained, it stops a little after
-    /// the drain began: a listener that takes connections tells the front that it takes work. Stopping is
-    /// seen to by the program's own end.
+    /// Returns whether the clients' listener accepts connections now. During a drain it stops
+    /// [`ACCEPT_AFTER_DRAIN_START_S`] after the start, because a listener that accepts connections signals to the load
+    /// balancer that the gatekeeper accepts work. In `Stopping`, the program closes the listener itself when it exits.
     pub fn accepts_connections(&self, now: f64) -> bool {
         match self.phase {
             Phase::Serving | Phase::Stopping => true,
