--- a/crates/config/src/crossings.rs
+++ b/crates/config/src/crossings.rs
@@ -1,6 +1,8 @@
 //! Reads the block `crossings`: the budgets for set-ups to other districts, and the settings around them.
 
-use hollypaddle_crossing::{Amount, BendSettings, ClassInfo, District, Rate, Rule, Scope, Settings, Share};
+use hollypaddle_crossing::{
+    Amount, ClassInfo, District, OverdraftSettings, Rate, RatioLimit, Rule, Scope, Settings,
+};
 
 use crate::check::{check_args, check_block, check_known, check_once, report, report_unknown};
 use crate::problem::{Location, Problem};
@@ -34,7 +36,7 @@
     /// Names of the urgent classes.
     pub urgent: Vec<String>,
     /// When bending starts and ends.
-    pub bend: BendSettings,
+    pub bend: OverdraftSettings,
     /// Fractions of the fleet's limits that certain gatekeepers get, by gatekeeper name.
     pub share_of: Vec<(String, f64)>,
     /// Interval between two log events with the crossing counts, in seconds; `None` logs none.
@@ -101,15 +103,20 @@
         let platform_district = platform.own.map(|own| District(own as u16));
         let info = |(name, goal_time): &(String, f64)| ClassInfo {
             name: name.clone(),
-            goal_time: *goal_time,
+            goal_time_s: *goal_time,
             urgent: self.urgent.contains(name),
         };
         Settings {
             districts: platform.districts.clone(),
-            own: self.own.as_ref().and_then(district).or(platform_district).unwrap_or(District::UNKNOWN),
+            own_district: self
+                .own
+                .as_ref()
+                .and_then(district)
+                .or(platform_district)
+                .unwrap_or(District::UNKNOWN),
             classes: platform.classes.iter().map(info).collect(),
-            part: self.part(&platform.name, platform.gatekeepers),
-            bend: self.bend,
+            fleet_share: self.part(&platform.name, platform.gatekeepers),
+            overdraft: self.bend,
             rules: rules.collect(),
         }
     }
@@ -124,7 +131,7 @@
     let mut conf = Crossings {
         own: None,
         urgent: Vec::new(),
-        bend: BendSettings::default(),
+        bend: OverdraftSettings::default(),
         share_of: Vec::new(),
         log_every: None,
         budgets: Vec::new(),
@@ -224,17 +231,17 @@
     found
 }
 
-fn bend(line: &Directive, problems: Problems) -> BendSettings {
-    let mut bend = BendSettings::default();
+fn bend(line: &Directive, problems: Problems) -> OverdraftSettings {
+    let mut bend = OverdraftSettings::default();
     let form = "bend [start SHARE] [end SHARE] [window TIME]";
     for (name, value) in pairs(line, form, &["start", "end", "window"], problems) {
         match name {
-            "start" => bend.start = parse_arg(value, percent, problems).unwrap_or(bend.start),
-            "end" => bend.end = parse_arg(value, percent, problems).unwrap_or(bend.end),
-            _ => bend.window = parse_arg(value, window, problems).unwrap_or(bend.window),
+            "start" => bend.start_ratio = parse_arg(value, percent, problems).unwrap_or(bend.start_ratio),
+            "end" => bend.end_ratio = parse_arg(value, percent, problems).unwrap_or(bend.end_ratio),
+            _ => bend.window_s = parse_arg(value, window, problems).unwrap_or(bend.window_s),
         }
     }
-    if bend.end >= bend.start {
+    if bend.end_ratio >= bend.start_ratio {
         let text = "bending ends at or above its start, expected a lower end, so that it does not flap";
         report(&line.name.location, text, problems);
     }
@@ -283,11 +290,11 @@
 fn budget(line: &Directive, names: &Names, problems: Problems) -> Option<BudgetConf> {
     const KNOWN: &[&str] = &["floor", "include", "overdraft", "rate", "share", "standing"];
     let scope = scope(line, names, problems);
-    let overdraft = Amount { value: DEFAULT_OVERDRAFT, fleet: false };
+    let overdraft = Amount { value: DEFAULT_OVERDRAFT, whole_fleet: false };
     let none = Rule {
         scope: Scope::default(),
         rate: None,
-        share: None,
+        ratio: None,
         standing: None,
         overdraft,
         floor: DEFAULT_FLOOR_RATIO,
@@ -303,7 +310,7 @@
             Some((last, rest)) if last.text == "fleet" => (true, rest.iter().collect()),
             _ => (false, inner.args.iter().collect()),
         };
-        let amount = |value| Amount { value, fleet };
+        let amount = |value| Amount { value, whole_fleet: fleet };
         match (inner.name.text.as_str(), &args[..]) {
             ("rate", [per_s]) => {
                 rule.rate = parse_arg(per_s, rate, problems)
@@ -319,7 +326,8 @@
             }
             ("share", [part, over, time]) if over.text == "over" && !fleet => {
                 let (part, window) = (parse_arg(part, percent, problems), parse_arg(time, window, problems));
-                rule.share = part.zip(window).map(|(part, window)| Share { part, window });
+                rule.ratio =
+                    part.zip(window).map(|(part, window)| RatioLimit { max_ratio: part, window_s: window });
             }
             ("standing", [most]) => rule.standing = parse_arg(most, count, problems).map(amount),
             ("overdraft", [most]) => {
