--- a/crates/service/src/descriptors.rs
+++ b/crates/service/src/descriptors.rs
@@ -1,47 +1,51 @@
-//! The budget of descriptors: what callers may hold beside the connections to servers, however many are listed. Guards against
-//! callers that fill the descriptors: the servers, the resolver at a reload and the control address would find none left.
+//! Divides the file descriptors between callers and session servers.
+//!
+//! Guards against callers that use up all descriptors, so that none are left for the servers, the resolver at a reload and the
+//! control address.
 
-/// Part of the descriptors that callers' connections may take at most; the usual ones hold a third by themselves.
-const CALLERS_MOST: f64 = 0.7;
-/// Part that is left to callers before a server gets a further connection.
-const CALLERS_LEAST: f64 = 0.4;
-/// Connections to one server at most: it tells its state on no more than four.
-const EACH_SERVER: usize = 3;
-/// What a gatekeeper holds beside connections: the standard streams, the poller's three, the listener, the resolver's and
-/// at a reload its successor's, the files that are read then, and a few to spare.
-pub const FIXED: usize = 16;
+/// Maximum ratio of the descriptors for callers' connections; usual callers need a third.
+const MAX_CALLERS_RATIO: f64 = 0.7;
+/// Minimum ratio that must remain for callers before a server gets a further connection.
+const MIN_CALLERS_RATIO: f64 = 0.4;
+/// Maximum number of connections to one server, which reports its state on at most four.
+const MAX_CONNECTIONS_PER_SERVER: usize = 3;
+/// Number of descriptors that a gatekeeper needs besides connections: the standard streams, three of the poller, the listener,
+/// the resolver's and at a reload the new resolver's, the files that are read then, and a few spare ones.
+pub const FIXED_DESCRIPTORS: usize = 16;
 
-/// Descriptors that a gatekeeper may hold, and how many of them belong to neither callers nor servers.
+/// The descriptors that a gatekeeper may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Descriptors {
-    /// All.
-    pub all: usize,
-    /// Those of neither.
+pub struct DescriptorBudget {
+    /// Number of all descriptors.
+    pub total: usize,
+    /// Number of those that are for neither callers nor servers.
     pub fixed: usize,
 }
 
-/// How they are divided.
+/// How many connections callers and servers may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Divided {
-    /// Connections that callers may hold.
+pub struct Allocation {
+    /// Maximum number of callers' connections in all.
     pub callers: usize,
-    /// Connections that each server may have.
-    pub each_server: usize,
+    /// Maximum number of connections to each server.
+    pub per_server: usize,
 }
 
-impl Descriptors {
-    /// Divides them with so many servers listed. Each gets one connection; where there are too few descriptors even for
-    /// that, callers keep one.
-    pub fn divided(&self, servers: usize) -> Divided {
-        let part = |share: f64| (self.all as f64 * share) as usize;
-        let left = |each: usize| self.all.saturating_sub(self.fixed + each * servers);
-        let each_server =
-            (2..=EACH_SERVER).rev().find(|each| left(*each) >= part(CALLERS_LEAST)).unwrap_or(1);
-        Divided { callers: left(each_server).min(part(CALLERS_MOST)).max(1), each_server }
+impl DescriptorBudget {
+    /// Divides the descriptors for a list of `servers` servers. Each server gets at least one connection; callers keep at
+    /// least one even if there are too few descriptors for that.
+    pub fn allocate(&self, servers: usize) -> Allocation {
+        let part = |share: f64| (self.total as f64 * share) as usize;
+        let left = |each: usize| self.total.saturating_sub(self.fixed + each * servers);
+        let per_server = (2..=MAX_CONNECTIONS_PER_SERVER)
+            .rev()
+            .find(|each| left(*each) >= part(MIN_CALLERS_RATIO))
+            .unwrap_or(1);
+        Allocation { callers: left(per_server).min(part(MAX_CALLERS_RATIO)).max(1), per_server }
     }
 
-    /// Whether they suffice for a connection to each of so many servers and for as many callers as hold a third.
-    pub fn suffice(&self, servers: usize) -> bool {
-        self.all >= self.fixed + servers + self.all / 3
+    /// Returns whether the descriptors suffice for one connection to each server and a third of the total for callers.
+    pub fn is_sufficient(&self, servers: usize) -> bool {
+        self.total >= self.fixed + servers + self.total / 3
     }
 }
