--- a/crates/cores/src/supervisor.rs
+++ b/crates/cores/src/supervisor.rs
@@ -1,159 +1,167 @@
-//! When a worker is started, started again, left out, or stopped.
+//! Decides when a worker is started, restarted, left out or stopped.
 //!
-//! A worker that dies is replaced after a pause that doubles with each death in a row and has some jitter, so that
-//! workers that die of one cause do not come back in step. One that dies again and again is left out and
-//! reported: a worker that cannot live costs the others its calls each time it takes some.
+//! A worker that dies is replaced after a pause that doubles with each consecutive death. The pause has jitter,
+//! so that workers that die of one cause do not restart at the same time. A worker that keeps dying is left out
+//! and reported: each time it takes calls and dies, the other workers lose those calls.
 
 use crate::Worker;
 
-/// The figures of it.
+/// The limits and pauses for restarts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Patience {
-    /// The first pause before a replacement, and the longest, in seconds.
-    pub first: f64,
-    /// The longest.
-    pub most: f64,
-    /// A worker that served for so long has not died in a row, in seconds.
-    pub proven: f64,
-    /// Deaths in a row after which it is left out.
-    pub deaths: u32,
-    /// A worker that serves and has said nothing for so long is ended, in seconds.
-    pub silent: f64,
+pub struct RestartPolicy {
+    /// The pause before the first replacement, in seconds.
+    pub first_pause_s: f64,
+    /// The longest pause before a replacement, in seconds.
+    pub max_pause_s: f64,
+    /// A worker that has served for this long is stable: its next death counts as the first one, in seconds.
+    pub stable_after_s: f64,
+    /// The number of consecutive deaths after which a worker is left out.
+    pub max_consecutive_deaths: u32,
+    /// A serving worker that has sent nothing for this long is killed, in seconds.
+    pub silence_limit_s: f64,
 }
 
-impl Default for Patience {
+impl Default for RestartPolicy {
     fn default() -> Self {
-        Patience { first: 0.1, most: 10.0, proven: 30.0, deaths: 6, silent: 1.0 }
+        RestartPolicy {
+            first_pause_s: 0.1,
+            max_pause_s: 10.0,
+            stable_after_s: 30.0,
+            max_consecutive_deaths: 6,
+            silence_limit_s: 1.0,
+        }
     }
 }
 
-/// What a seat's worker does.
+/// The state of the worker in a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// Its process runs and has not said that it serves.
+    /// The process runs and has not yet reported that it serves.
     Starting,
-    /// It serves, since then.
+    /// The worker has served since this time, in seconds.
     Serving(f64),
-    /// It died and is to be started then.
-    Resting(f64),
-    /// It died too often.
+    /// The worker died and is restarted at this time, in seconds.
+    BackingOff(f64),
+    /// The worker died too often and is not restarted.
     LeftOut,
-    /// It has ended as it was told to.
+    /// The worker has ended during a stop.
     Stopped,
 }
 
-/// What is to be done.
+/// What the caller of the supervisor has to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
-    /// Start a process for the seat.
+pub enum Action {
+    /// Start a process for this slot.
     Start(Worker),
-    /// A serving worker is lost: its ids are to be fenced and given to others.
+    /// A serving worker is lost: fence its call ids and assign them to other workers.
     Lost(Worker),
-    /// A worker serves: it is to be given its ids.
-    Serves(Worker),
-    /// A worker is left out; staff on call should know.
+    /// A worker serves: assign call ids to it.
+    Serving(Worker),
+    /// A worker is left out: alert the staff on call.
     LeftOut(Worker),
-    /// A worker has been silent for too long: its process is to be killed. Its end is then told as any other.
+    /// A worker has been silent for too long: kill its process. Its exit is then reported like any other.
     Kill(Worker),
 }
 
-struct Seat {
+struct Slot {
     state: State,
     deaths: u32,
-    /// When its worker last said anything.
-    heard: f64,
+    /// When the worker last sent a message, in seconds.
+    last_message_at: f64,
 }
 
-/// All seats.
+/// Keeps the state of the workers in all slots.
 pub struct Supervisor {
-    patience: Patience,
-    seats: Vec<Seat>,
+    policy: RestartPolicy,
+    slots: Vec<Slot>,
     stopping: bool,
 }
 
 impl Supervisor {
-    /// So many seats, all to be started.
-    pub fn new(seats: u16, patience: Patience, now: f64) -> Supervisor {
-        let seat = |_| Seat { state: State::Resting(now), deaths: 0, heard: now };
-        Supervisor { patience, seats: (0..seats).map(seat).collect(), stopping: false }
+    /// Creates a supervisor of `slots` slots; [`tick`](Self::tick) starts the workers.
+    pub fn new(slots: u16, policy: RestartPolicy, now: f64) -> Supervisor {
+        let slot = |_| Slot { state: State::BackingOff(now), deaths: 0, last_message_at: now };
+        Supervisor { policy, slots: (0..slots).map(slot).collect(), stopping: false }
     }
 
-    /// What a seat's worker does.
+    /// Returns the state of a worker, or `None` if the slot does not exist.
     pub fn state(&self, worker: Worker) -> Option<State> {
-        self.seats.get(usize::from(worker.0)).map(|seat| seat.state)
+        self.slots.get(usize::from(worker.0)).map(|slot| slot.state)
     }
 
-    /// Whether nothing is left to wait for after a stop.
-    pub fn over(&self) -> bool {
-        let over = |seat: &Seat| matches!(seat.state, State::Stopped | State::LeftOut | State::Resting(_));
-        self.stopping && self.seats.iter().all(over)
+    /// Whether a stop was requested and no process is left to wait for.
+    pub fn is_finished(&self) -> bool {
+        let over = |slot: &Slot| matches!(slot.state, State::Stopped | State::LeftOut | State::BackingOff(_));
+        self.stopping && self.slots.iter().all(over)
     }
 
-    /// Nothing is started any more.
+    /// Begins a stop: no worker is started from now on.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// A worker said something.
-    pub fn heard(&mut self, now: f64, worker: Worker) {
-        if let Some(seat) = self.seats.get_mut(usize::from(worker.0)) {
-            seat.heard = seat.heard.max(now);
+    /// Records that a worker sent a message.
+    pub fn record_message(&mut self, now: f64, worker: Worker) {
+        if let Some(slot) = self.slots.get_mut(usize::from(worker.0)) {
+            slot.last_message_at = slot.last_message_at.max(now);
         }
     }
 
-    /// Starts what is due, and ends what is silent, also during a stop. Called now and then.
-    pub fn tick(&mut self, now: f64) -> Vec<Act> {
-        let mut acts = Vec::new();
-        for (at, seat) in self.seats.iter_mut().enumerate() {
-            if matches!(seat.state, State::Serving(_)) && now - seat.heard >= self.patience.silent {
-                // Asked for once; should the kill come to nothing, again as long after.
-                seat.heard = now;
-                acts.push(Act::Kill(Worker(at as u16)));
+    /// Starts workers that are due and kills silent ones, also during a stop. Call it periodically.
+    pub fn tick(&mut self, now: f64) -> Vec<Action> {
+        let mut actions = Vec::new();
+        for (at, slot) in self.slots.iter_mut().enumerate() {
+            if matches!(slot.state, State::Serving(_))
+                && now - slot.last_message_at >= self.policy.silence_limit_s
+            {
+                // The kill is requested once; if it has no effect, it is requested again after the same time.
+                slot.last_message_at = now;
+                actions.push(Action::Kill(Worker(at as u16)));
             }
-            if !self.stopping && matches!(seat.state, State::Resting(until) if until <= now) {
-                seat.state = State::Starting;
-                acts.push(Act::Start(Worker(at as u16)));
+            if !self.stopping && matches!(slot.state, State::BackingOff(until) if until <= now) {
+                slot.state = State::Starting;
+                actions.push(Action::Start(Worker(at as u16)));
             }
         }
-        acts
+        actions
     }
 
-    /// A worker says that it serves.
-    pub fn serves(&mut self, now: f64, worker: Worker) -> Vec<Act> {
-        match self.seats.get_mut(usize::from(worker.0)) {
-            Some(seat) if seat.state == State::Starting => {
-                (seat.state, seat.heard) = (State::Serving(now), now);
-                vec![Act::Serves(worker)]
+    /// Records that a worker reported that it serves.
+    pub fn record_serving(&mut self, now: f64, worker: Worker) -> Vec<Action> {
+        match self.slots.get_mut(usize::from(worker.0)) {
+            Some(slot) if slot.state == State::Starting => {
+                (slot.state, slot.last_message_at) = (State::Serving(now), now);
+                vec![Action::Serving(worker)]
             }
             _ => Vec::new(),
         }
     }
 
-    /// A worker's process has ended. `chance` between 0 and 1 spreads the pause.
-    pub fn ended(&mut self, now: f64, worker: Worker, chance: f64) -> Vec<Act> {
-        let (patience, stopping) = (self.patience, self.stopping);
-        let Some(seat) = self.seats.get_mut(usize::from(worker.0)) else { return Vec::new() };
-        let mut acts = Vec::new();
-        match seat.state {
-            State::Starting => seat.deaths = seat.deaths.saturating_add(1),
+    /// Records that the process of a worker has exited. `chance`, from 0 to 1, sets the jitter of the pause.
+    pub fn record_exit(&mut self, now: f64, worker: Worker, chance: f64) -> Vec<Action> {
+        let (policy, stopping) = (self.policy, self.stopping);
+        let Some(slot) = self.slots.get_mut(usize::from(worker.0)) else { return Vec::new() };
+        let mut actions = Vec::new();
+        match slot.state {
+            State::Starting => slot.deaths = slot.deaths.saturating_add(1),
             State::Serving(since) => {
-                let proven = now - since >= patience.proven;
-                seat.deaths = if proven { 1 } else { seat.deaths.saturating_add(1) };
-                acts.push(Act::Lost(worker));
+                let proven = now - since >= policy.stable_after_s;
+                slot.deaths = if proven { 1 } else { slot.deaths.saturating_add(1) };
+                actions.push(Action::Lost(worker));
             }
-            // No process of it was running.
-            State::Resting(_) | State::LeftOut | State::Stopped => return acts,
+            // The slot had no running process.
+            State::BackingOff(_) | State::LeftOut | State::Stopped => return actions,
         }
-        seat.state = if stopping {
+        slot.state = if stopping {
             State::Stopped
-        } else if seat.deaths >= patience.deaths {
-            acts.push(Act::LeftOut(worker));
+        } else if slot.deaths >= policy.max_consecutive_deaths {
+            actions.push(Action::LeftOut(worker));
             State::LeftOut
         } else {
-            let pause = patience.first * 2f64.powi(seat.deaths.saturating_sub(1).min(30) as i32);
+            let pause = policy.first_pause_s * 2f64.powi(slot.deaths.saturating_sub(1).min(30) as i32);
             let spread = 0.75 + 0.5 * chance.clamp(0.0, 1.0);
-            State::Resting(now + pause.min(patience.most) * spread)
+            State::BackingOff(now + pause.min(policy.max_pause_s) * spread)
         };
-        acts
+        actions
     }
 }
--- a/crates/cores/src/view.rs
+++ b/crates/cores/src/view.rs
@@ -1,110 +1,111 @@
-//! What one worker believes of the table, and what it may do with a set-up.
+//! Decides what one worker may do with a set-up, given the ownership tables that it received.
 //!
-//! Two workers must never have two attempts out for one call. Four things could bring that about, and each
-//! has its guard:
+//! Two workers must never have an attempt in flight for the same call. Four things could cause that, and each
+//! has its safeguard:
 //!
-//! 1. *Two tables at once.* A worker that was paused, or has not heard yet, goes by an old table while another
-//!    goes by the new one. A worker's belief is a lease: it counts for `lease` seconds from when the supervisor
-//!    sent it, and a new table takes effect that much after it was made. So when the new one begins, nobody goes
-//!    by the old one, whether the change was heard or not. The supervisor's clock and the workers' are one
-//!    machine's.
-//! 2. *A worker that died.* What it had sent may still be out. Its ids are fenced for the release time, from
-//!    the moment at which its end was known.
-//! 3. *An id that comes again after its owner changed.* The owner before may hold the call. Until all calls of
-//!    that time are over, the new owner asks the one before, which alone knows, and takes the call only when it
-//!    says that it has none.
-//! 4. *A worker that is paused past a call's time.* Nobody gives its calls up. The supervisor ends a worker that is
-//!    silent, and what it may hold counts for that much longer.
+//! 1. *Two tables in use at once.* A worker that was paused, or has not received an update, uses an old table
+//!    while another one uses the new table. The tables are therefore a lease: they are valid for `lease_s`
+//!    seconds from when the supervisor sent them, and a new table takes effect that long after it was made.
+//!    When the new table takes effect nobody uses the old one, whether the change was received or not. The
+//!    supervisor and the workers share the clock of one machine.
+//! 2. *A worker that died.* Its attempts may still be in flight. Its call ids are fenced for the release time,
+//!    from the moment at which its exit was known.
+//! 3. *A call id that returns after its owner changed.* The previous owner may hold the call. Until all calls
+//!    of that time are over the new owner asks the previous one, which alone knows, and accepts the call only
+//!    if the previous owner does not hold it.
+//! 4. *A worker that is paused past the time limit of a call.* Nobody gives its calls up. The supervisor kills
+//!    a silent worker, and the calls that it may hold count for that much longer.
 
 use std::collections::VecDeque;
 
-use crate::table::Table;
+use crate::table::OwnershipTable;
 use crate::Worker;
 
-/// Tables remembered at most. Where more changes come than that within the time that calls last, every worker
-/// may hold a call of before.
-const MOST_TABLES: usize = 16;
+/// The largest number of tables in the history. If more changes than this come within the lifetime of a call,
+/// every worker counts as a previous owner.
+const MAX_TABLES: usize = 16;
 
 /// What a worker may do with a set-up.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    /// It is its own: to be taken now.
-    Take,
-    /// It is another's: to be handed over.
+pub enum Decision {
+    /// This worker owns the call: accept it now.
+    Accept,
+    /// Another worker owns the call: forward the set-up to it.
     Forward(Worker),
-    /// It is its own, but this worker owned it before and may hold it: to be asked first. Ask the others that
-    /// [`View::before`] names too.
+    /// This worker owns the call, but the named worker owned it before and may hold it: ask that one first, and
+    /// all others that [`WorkerView::previous_owners`] returns.
     Ask(Worker),
-    /// It is its own, but nobody may send under that id before this time.
+    /// This worker owns the call, but nobody may send under its id before this time, in seconds.
     Wait(f64),
-    /// The belief is too old to act on, or nobody serves: to be refused.
+    /// The tables are too old to act on, or no worker serves: refuse the set-up.
     Refuse,
 }
 
-/// A table with the time from which it counts.
+/// A table with the time from which it is in effect.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dated {
+pub struct ScheduledTable {
     /// The table.
-    pub table: Table,
-    /// From when on it counts, in seconds.
-    pub from: f64,
-    /// Workers that died with this change; their ids are fenced until then.
+    pub table: OwnershipTable,
+    /// The time from which the table is in effect, in seconds.
+    pub effective_from: f64,
+    /// The worker that died with this change, and the time until which its call ids are fenced, in seconds.
     pub fenced: Option<(Worker, f64)>,
 }
 
-/// What the supervisor makes of a change.
+/// The durations that set when a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    /// How long a belief counts, in seconds.
-    pub lease: f64,
-    /// The release time: nothing is sent again within it of an attempt that may have run.
-    pub release: f64,
-    /// The longest that a call may be open.
-    pub longest: f64,
-    /// A worker that has said nothing for so long is ended by the supervisor. Until then it may be paused, and
-    /// hold its calls past their time, as nobody gives them up.
-    pub silent: f64,
+pub struct Timing {
+    /// How long received tables are valid, in seconds.
+    pub lease_s: f64,
+    /// The release time, in seconds: for this long after an attempt that may have run, nothing is sent again.
+    pub release_s: f64,
+    /// The longest time that a call may be open, in seconds.
+    pub max_call_s: f64,
+    /// The supervisor kills a worker that has sent nothing for this long, in seconds. Until then the worker may
+    /// be paused and hold its calls past their time limit, as nobody gives them up.
+    pub silence_limit_s: f64,
 }
 
-impl Times {
-    /// For how long a call may be held at most by a worker that took it.
-    fn held(&self) -> f64 {
-        self.longest + self.silent
+impl Timing {
+    /// The longest time that a worker may hold a call that it accepted.
+    fn max_hold_s(&self) -> f64 {
+        self.max_call_s + self.silence_limit_s
     }
 
-    /// A worker begins to serve, or ends in an orderly way and holds nothing any more. Nobody goes by the old
-    /// table any more when the new one begins.
-    pub fn change(&self, now: f64, table: Table) -> Dated {
-        Dated { table, from: now + self.lease, fenced: None }
+    /// Schedules a table in which a worker begins to serve, or has ended in an orderly way and holds no calls.
+    /// It takes effect when nobody can use the old table any more.
+    pub fn schedule_change(&self, now: f64, table: OwnershipTable) -> ScheduledTable {
+        ScheduledTable { table, effective_from: now + self.lease_s, fenced: None }
     }
 
-    /// A worker's process has ended, as its parent knows for sure. It goes by no table, so the new one need not
-    /// wait for it; the others' beliefs differ in that worker's ids alone, which are fenced for longer than a lease.
-    pub fn death(&self, now: f64, table: Table, worker: Worker) -> Dated {
-        let until = now + self.release.max(self.lease);
-        Dated { table, from: now, fenced: Some((worker, until)) }
+    /// Schedules a table without a worker whose process has ended, as its parent knows for certain. The dead
+    /// worker uses no table, so the new table takes effect at once. The views of the other workers differ only
+    /// in the ids of the dead one, and these are fenced for at least as long as a lease.
+    pub fn schedule_death(&self, now: f64, table: OwnershipTable, worker: Worker) -> ScheduledTable {
+        let until = now + self.release_s.max(self.lease_s);
+        ScheduledTable { table, effective_from: now, fenced: Some((worker, until)) }
     }
 }
 
-/// The tables that count, did lately, or are to come: what the supervisor tells. A worker needs all of it, as
-/// one that has just started, or was paused, must know who may hold a call from before.
+/// The tables that are in effect, recently were, or will be: what the supervisor sends. A worker needs all of
+/// them, because one that has just started, or was paused, must know which workers may hold a call from before.
 #[derive(Clone, Debug, PartialEq)]
-pub struct History {
-    times: Times,
-    /// The newest last.
-    tables: VecDeque<Dated>,
-    /// The end of the last table that was dropped before its calls were over.
-    cut: f64,
+pub struct TableHistory {
+    timing: Timing,
+    /// Oldest first.
+    tables: VecDeque<ScheduledTable>,
+    /// The end of the last table that was dropped before its calls were over, in seconds.
+    dropped_until: f64,
 }
 
-impl History {
-    /// Begins with a table.
-    pub fn new(first: Dated, times: Times) -> History {
-        History { times, tables: VecDeque::from([first]), cut: f64::NEG_INFINITY }
+impl TableHistory {
+    /// Creates a history with its first table.
+    pub fn new(first: ScheduledTable, timing: Timing) -> TableHistory {
+        TableHistory { timing, tables: VecDeque::from([first]), dropped_until: f64::NEG_INFINITY }
     }
 
-    /// The newest table.
-    pub fn newest(&self) -> Option<&Dated> {
+    /// Returns the newest table.
+    pub fn newest(&self) -> Option<&ScheduledTable> {
         self.tables.back()
     }
 
@@ -112,53 +113,59 @@
         self.newest().map_or(0, |dated| dated.table.version())
     }
 
-    /// A worker begins to serve, or ends in an orderly way. Nothing counts before what was made before it does.
-    pub fn change(&mut self, now: f64, worker: Worker, serves: bool) {
-        self.push(now, |table, at, times| times.change(at, table.with(worker, serves)));
+    /// Records that a worker begins to serve, or has ended in an orderly way. The change takes effect no
+    /// earlier than those recorded before it.
+    pub fn record_change(&mut self, now: f64, worker: Worker, serves: bool) {
+        self.push(now, |table, at, timing| timing.schedule_change(at, table.with_serving(worker, serves)));
     }
 
-    /// A worker's process has ended.
-    pub fn death(&mut self, now: f64, worker: Worker) {
-        self.push(now, |table, _, times| times.death(now, table.with(worker, false), worker));
+    /// Records that the process of a worker has ended.
+    pub fn record_death(&mut self, now: f64, worker: Worker) {
+        self.push(now, |table, _, timing| {
+            timing.schedule_death(now, table.with_serving(worker, false), worker)
+        });
     }
 
-    fn push(&mut self, now: f64, make: impl Fn(&Table, f64, &Times) -> Dated) {
+    fn push(&mut self, now: f64, make: impl Fn(&OwnershipTable, f64, &Timing) -> ScheduledTable) {
         let Some(newest) = self.tables.back() else { return };
-        let least = newest.from;
-        let mut dated = make(&newest.table, now.max(least), &self.times);
-        dated.from = dated.from.max(least);
+        let least = newest.effective_from;
+        let mut dated = make(&newest.table, now.max(least), &self.timing);
+        dated.effective_from = dated.effective_from.max(least);
         self.tables.push_back(dated);
-        // Tables of whose time no call can be open any more.
-        while self.tables.get(1).is_some_and(|next| next.from + self.times.held() <= now) {
+        // Drop tables from whose time no call can still be open.
+        while self.tables.get(1).is_some_and(|next| next.effective_from + self.timing.max_hold_s() <= now) {
             self.tables.pop_front();
         }
-        while self.tables.len() > MOST_TABLES {
+        while self.tables.len() > MAX_TABLES {
             self.tables.pop_front();
-            self.cut = self.tables.front().map_or(self.cut, |first| self.cut.max(first.from));
+            self.dropped_until = self
+                .tables
+                .front()
+                .map_or(self.dropped_until, |first| self.dropped_until.max(first.effective_from));
         }
     }
 }
 
-/// One worker's belief.
+/// The tables as one worker knows them.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct WorkerView {
     own: Worker,
-    times: Times,
-    history: Option<History>,
-    /// When the supervisor sent what was last heard.
+    timing: Timing,
+    history: Option<TableHistory>,
+    /// When the supervisor sent the tables that were last received, in seconds.
     sent_at: f64,
 }
 
-impl View {
-    /// A worker that has heard nothing: it may do nothing.
-    pub fn new(own: Worker, times: Times) -> View {
-        View { own, times, history: None, sent_at: f64::NEG_INFINITY }
+impl WorkerView {
+    /// Creates the view of a worker that has received no tables: it refuses all set-ups.
+    pub fn new(own: Worker, timing: Timing) -> WorkerView {
+        WorkerView { own, timing, history: None, sent_at: f64::NEG_INFINITY }
     }
 
-    /// The supervisor tells the tables, changed or not; `sent_at` is its own time. What is older than what is
-    /// held changes nothing.
-    pub fn told(&mut self, sent_at: f64, history: &History) {
-        let held = self.history.as_ref().map_or(0, History::version);
+    /// Receives the tables from the supervisor, changed or not. `sent_at` is the time at which the supervisor
+    /// sent them, in seconds. Tables older than the present ones change nothing.
+    pub fn receive(&mut self, sent_at: f64, history: &TableHistory) {
+        let held = self.history.as_ref().map_or(0, TableHistory::version);
         if history.version() > held {
             self.history = Some(history.clone());
         }
@@ -167,38 +174,39 @@
         }
     }
 
-    fn tables(&self) -> impl DoubleEndedIterator<Item = &Dated> + ExactSizeIterator {
-        static NONE: VecDeque<Dated> = VecDeque::new();
+    fn tables(&self) -> impl DoubleEndedIterator<Item = &ScheduledTable> + ExactSizeIterator {
+        static NONE: VecDeque<ScheduledTable> = VecDeque::new();
         self.history.as_ref().map_or(&NONE, |history| &history.tables).iter()
     }
 
-    /// Whether the belief is fresh enough to act on. It is to be asked again right before anything is sent:
-    /// a worker that was paused wakes in the middle of whatever it was doing.
-    pub fn fresh(&self, now: f64) -> bool {
-        now - self.sent_at < self.times.lease
+    /// Whether the tables are recent enough to act on. Check again right before each send: a paused worker may
+    /// resume in the middle of any operation.
+    pub fn is_fresh(&self, now: f64) -> bool {
+        now - self.sent_at < self.timing.lease_s
     }
 
-    /// The table that counts.
-    pub fn table(&self, now: f64) -> Option<&Table> {
-        self.tables().rev().find(|dated| dated.from <= now).map(|dated| &dated.table)
+    /// Returns the table that is in effect.
+    pub fn current_table(&self, now: f64) -> Option<&OwnershipTable> {
+        self.tables().rev().find(|dated| dated.effective_from <= now).map(|dated| &dated.table)
     }
 
-    /// The workers that may hold a call from before, other than this one: its owners in the tables that
-    /// counted while a call of now may have come, as far as they serve.
-    pub fn before(&self, now: f64, call: u64) -> Vec<Worker> {
+    /// Returns the other serving workers that may hold a call from before: the owners of the call in all tables
+    /// that were in effect while it may have arrived.
+    pub fn previous_owners(&self, now: f64, call: u64) -> Vec<Worker> {
         let mut before = Vec::new();
-        let Some(serving) = self.table(now) else { return before };
-        if self.history.as_ref().is_some_and(|history| history.cut + self.times.held() > now) {
-            before.extend(serving.workers().filter(|worker| *worker != self.own));
+        let Some(serving) = self.current_table(now) else { return before };
+        if self.history.as_ref().is_some_and(|history| history.dropped_until + self.timing.max_hold_s() > now)
+        {
+            before.extend(serving.serving_workers().filter(|worker| *worker != self.own));
             return before;
         }
         for (dated, next) in self.tables().zip(self.tables().skip(1)) {
-            // A table counted until the next began.
-            if dated.from > now || next.from + self.times.held() <= now {
+            // A table was in effect until the next one.
+            if dated.effective_from > now || next.effective_from + self.timing.max_hold_s() <= now {
                 continue;
             }
             if let Some(owner) = dated.table.owner(call) {
-                if owner != self.own && serving.serves(owner) && !before.contains(&owner) {
+                if owner != self.own && serving.is_serving(owner) && !before.contains(&owner) {
                     before.push(owner);
                 }
             }
@@ -206,15 +214,20 @@
         before
     }
 
-    /// Until when nobody may send under an id: a worker that died owned it, in any table that may have counted
-    /// for one of its calls.
-    fn fenced(&self, now: f64, call: u64) -> Option<f64> {
-        let cut = self.history.as_ref().is_some_and(|history| history.cut + self.times.held() > now);
+    /// Returns the time until which nobody may send under a call id, if the id is fenced: a worker that died
+    /// owned it in a table that may have been in effect for one of its calls.
+    fn fenced_until(&self, now: f64, call: u64) -> Option<f64> {
+        let cut = self
+            .history
+            .as_ref()
+            .is_some_and(|history| history.dropped_until + self.timing.max_hold_s() > now);
         let fences = self.tables().enumerate().filter_map(|(at, dated)| {
             let (dead, until) = dated.fenced?;
-            // A table counted until the next began, and a call that it gave may be open for the longest time.
-            let owned = |(before, next): (&Dated, &Dated)| {
-                next.from + self.times.held() > dated.from && before.table.owner(call) == Some(dead)
+            // A table was in effect until the next one, and a call accepted under it may be open for the
+            // longest time.
+            let owned = |(before, next): (&ScheduledTable, &ScheduledTable)| {
+                next.effective_from + self.timing.max_hold_s() > dated.effective_from
+                    && before.table.owner(call) == Some(dead)
             };
             let earlier = self.tables().take(at).zip(self.tables().skip(1));
             (now < until && (cut || earlier.into_iter().any(owned))).then_some(until)
@@ -222,21 +235,23 @@
         fences.max_by(f64::total_cmp)
     }
 
-    /// What may be done with a set-up that came here, from a caller or from another worker.
-    pub fn verdict(&self, now: f64, call: u64) -> Verdict {
-        if !self.fresh(now) {
-            return Verdict::Refuse;
+    /// Decides on a set-up that came from a caller or from another worker.
+    pub fn decide(&self, now: f64, call: u64) -> Decision {
+        if !self.is_fresh(now) {
+            return Decision::Refuse;
         }
-        let Some(owner) = self.table(now).and_then(|table| table.owner(call)) else { return Verdict::Refuse };
+        let Some(owner) = self.current_table(now).and_then(|table| table.owner(call)) else {
+            return Decision::Refuse;
+        };
         if owner != self.own {
-            return Verdict::Forward(owner);
+            return Decision::Forward(owner);
         }
-        if let Some(until) = self.fenced(now, call) {
-            return Verdict::Wait(until);
+        if let Some(until) = self.fenced_until(now, call) {
+            return Decision::Wait(until);
         }
-        match self.before(now, call).first() {
-            Some(before) => Verdict::Ask(*before),
-            None => Verdict::Take,
+        match self.previous_owners(now, call).first() {
+            Some(before) => Decision::Ask(*before),
+            None => Decision::Accept,
         }
     }
 }
--- a/crates/cores/tests/worlds.rs
+++ b/crates/cores/tests/worlds.rs
@@ -1,128 +1,139 @@
-//! Random worlds of workers that are told late, paused, killed and replaced, while set-ups of few ids come
-//! everywhere: no id is ever out at two workers, nor sent again before the release time.
+//! Plays random schedules of workers that receive updates late, are paused, killed and replaced, while set-ups
+//! with few call ids reach all of them. No call id may be in flight at two workers, or be sent again before the
+//! release time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollypaddle_cores::supervisor::{Act, Patience, State, Supervisor};
-use hollypaddle_cores::table::Table;
-use hollypaddle_cores::view::{History, Times, Verdict, View};
+use hollypaddle_cores::supervisor::{Action, RestartPolicy, State, Supervisor};
+use hollypaddle_cores::table::OwnershipTable;
+use hollypaddle_cores::view::{Decision, TableHistory, Timing, WorkerView};
 use hollypaddle_cores::Worker;
 use proptest::prelude::*;
 
-const SEATS: u16 = 3;
-const TIMES: Times = Times { lease: 0.1, release: 0.35, longest: 3.0, silent: 0.6 };
+const SLOTS: u16 = 3;
+const TIMING: Timing = Timing { lease_s: 0.1, release_s: 0.35, max_call_s: 3.0, silence_limit_s: 0.6 };
 
-struct Process {
-    view: View,
-    /// Paused until then: it hears and does nothing.
-    paused: f64,
-    /// News on their way: when they arrive, when they were sent.
-    news: Vec<(f64, f64, History)>,
-    /// Calls that it holds, with the time at which they are over.
-    held: BTreeMap<u64, f64>,
+struct WorkerProcess {
+    view: WorkerView,
+    /// Until then the process receives updates but does not act on them.
+    paused_until: f64,
+    /// Updates in transit: when they arrive, when they were sent, and the tables.
+    updates: Vec<(f64, f64, TableHistory)>,
+    /// The calls that the process holds, with the time at which each is over.
+    held_calls: BTreeMap<u64, f64>,
 }
 
 struct World {
     now: f64,
     supervisor: Supervisor,
-    processes: BTreeMap<Worker, Process>,
-    history: History,
-    /// When an attempt under an id last may have been out.
-    out_until: BTreeMap<u64, (Worker, f64)>,
+    processes: BTreeMap<Worker, WorkerProcess>,
+    history: TableHistory,
+    /// The last owner of each call id, and until when its attempt may be in flight.
+    in_flight_until: BTreeMap<u64, (Worker, f64)>,
     sent: usize,
 }
 
 impl World {
     fn new() -> World {
-        let history = History::new(TIMES.change(0.0, Table::new(SEATS)), TIMES);
+        let history = TableHistory::new(TIMING.schedule_change(0.0, OwnershipTable::new(SLOTS)), TIMING);
         let mut world = World {
             now: 1.0,
             supervisor: Supervisor::new(
-                SEATS,
-                Patience { deaths: 1000, silent: TIMES.silent, ..Patience::default() },
+                SLOTS,
+                RestartPolicy {
+                    max_consecutive_deaths: 1000,
+                    silence_limit_s: TIMING.silence_limit_s,
+                    ..RestartPolicy::default()
+                },
                 0.0,
             ),
             processes: BTreeMap::new(),
             history,
-            out_until: BTreeMap::new(),
+            in_flight_until: BTreeMap::new(),
             sent: 0,
         };
-        (0..20).for_each(|_| world.pass(0.05, 0.01));
+        (0..20).for_each(|_| world.advance(0.05, 0.01));
         world
     }
 
-    /// The supervisor tells all, on ways of different length.
-    fn tell(&mut self, delay: f64) {
+    /// Sends the tables to all workers, with a different delay to each.
+    fn broadcast(&mut self, delay: f64) {
         for (n, process) in self.processes.values_mut().enumerate() {
             let arrives = self.now + delay * (1.0 + n as f64);
-            process.news.push((arrives, self.now, self.history.clone()));
+            process.updates.push((arrives, self.now, self.history.clone()));
         }
     }
 
-    fn act(&mut self, acts: Vec<Act>, delay: f64) {
-        for act in acts {
-            match act {
-                Act::Start(worker) => {
-                    let (view, held) = (View::new(worker, TIMES), BTreeMap::new());
-                    self.processes.insert(worker, Process { view, paused: 0.0, news: Vec::new(), held });
-                    let acts = self.supervisor.serves(self.now, worker);
-                    self.act(acts, delay);
+    fn action(&mut self, actions: Vec<Action>, delay: f64) {
+        for action in actions {
+            match action {
+                Action::Start(worker) => {
+                    let (view, held_calls) = (WorkerView::new(worker, TIMING), BTreeMap::new());
+                    self.processes.insert(
+                        worker,
+                        WorkerProcess { view, paused_until: 0.0, updates: Vec::new(), held_calls },
+                    );
+                    let actions = self.supervisor.record_serving(self.now, worker);
+                    self.action(actions, delay);
                 }
-                Act::Serves(worker) => {
-                    self.history.change(self.now, worker, true);
-                    self.tell(delay);
+                Action::Serving(worker) => {
+                    self.history.record_change(self.now, worker, true);
+                    self.broadcast(delay);
                 }
-                Act::Lost(worker) => {
-                    self.history.death(self.now, worker);
-                    self.tell(delay);
+                Action::Lost(worker) => {
+                    self.history.record_death(self.now, worker);
+                    self.broadcast(delay);
                 }
-                Act::Kill(worker) => self.kill(worker, 0.5, delay),
-                Act::LeftOut(_) => {}
+                Action::Kill(worker) => self.kill(worker, 0.5, delay),
+                Action::LeftOut(_) => {}
             }
         }
     }
 
-    fn pass(&mut self, seconds: f64, delay: f64) {
+    fn advance(&mut self, seconds: f64, delay: f64) {
         self.now += seconds;
-        let acts = self.supervisor.tick(self.now);
-        self.act(acts, delay);
-        self.tell(delay);
+        let actions = self.supervisor.tick(self.now);
+        self.action(actions, delay);
+        self.broadcast(delay);
         let now = self.now;
-        for (worker, process) in self.processes.iter_mut().filter(|(_, p)| p.paused <= now) {
-            self.supervisor.heard(now, *worker);
-            let (arrived, rest): (Vec<_>, Vec<_>) = process.news.drain(..).partition(|n| n.0 <= now);
-            process.news = rest;
-            arrived.iter().for_each(|(_, sent, history)| process.view.told(*sent, history));
-            process.held.retain(|_, over| *over > now);
+        for (worker, process) in self.processes.iter_mut().filter(|(_, p)| p.paused_until <= now) {
+            self.supervisor.record_message(now, *worker);
+            let (arrived, rest): (Vec<_>, Vec<_>) = process.updates.drain(..).partition(|n| n.0 <= now);
+            process.updates = rest;
+            arrived.iter().for_each(|(_, sent, history)| process.view.receive(*sent, history));
+            process.held_calls.retain(|_, over| *over > now);
         }
     }
 
-    /// A set-up comes to a worker; it goes where it is told to.
+    /// Offers a set-up to a worker and follows the decisions of the workers.
     fn offer(&mut self, worker: Worker, call: u64) {
         let mut at = worker;
         for _ in 0..4 {
-            let Some(process) = self.processes.get(&at).filter(|p| p.paused <= self.now) else { return };
-            match process.view.verdict(self.now, call) {
-                Verdict::Forward(to) => at = to,
-                Verdict::Take => return self.send(at, call),
-                Verdict::Ask(_) => {
-                    // All that may hold it must be there to say that they do not; one that is paused says nothing.
-                    let before = process.view.before(self.now, call);
+            let Some(process) = self.processes.get(&at).filter(|p| p.paused_until <= self.now) else {
+                return;
+            };
+            match process.view.decide(self.now, call) {
+                Decision::Forward(to) => at = to,
+                Decision::Accept => return self.send(at, call),
+                Decision::Ask(_) => {
+                    // All workers that may hold the call must answer that they do not; a paused one does not
+                    // answer.
+                    let before = process.view.previous_owners(self.now, call);
                     let says_no = |w: &Worker| {
                         self.processes
                             .get(w)
-                            .is_some_and(|p| p.paused <= self.now && !p.held.contains_key(&call))
+                            .is_some_and(|p| p.paused_until <= self.now && !p.held_calls.contains_key(&call))
                     };
                     if before.iter().all(says_no) {
                         self.send(at, call);
                     }
                     return;
                 }
-                Verdict::Wait(until) => {
-                    assert!(until > self.now && until <= self.now + TIMES.release.max(TIMES.lease));
+                Decision::Wait(until) => {
+                    assert!(until > self.now && until <= self.now + TIMING.release_s.max(TIMING.lease_s));
                     return;
                 }
-                Verdict::Refuse => return,
+                Decision::Refuse => return,
             }
         }
     }
@@ -130,176 +141,183 @@
     fn send(&mut self, worker: Worker, call: u64) {
         let now = self.now;
         let process = self.processes.get_mut(&worker).unwrap();
-        // The core of that worker takes an id once while it holds it.
-        if process.held.contains_key(&call) {
+        // The core of a worker accepts an id only once while it holds it.
+        if process.held_calls.contains_key(&call) {
             return;
         }
-        if let Some((other, until)) = self.out_until.get(&call) {
+        if let Some((other, until)) = self.in_flight_until.get(&call) {
             assert!(
                 now >= *until,
-                "call {call} at {worker:?} while out at {other:?} until {until}, now {now}"
+                "call {call} sent by {worker:?} while in flight at {other:?} until {until}, now {now}"
             );
         }
-        process.held.insert(call, now + TIMES.longest);
-        self.out_until.insert(call, (worker, now + TIMES.longest));
+        process.held_calls.insert(call, now + TIMING.max_call_s);
+        self.in_flight_until.insert(call, (worker, now + TIMING.max_call_s));
         self.sent += 1;
     }
 
     fn kill(&mut self, worker: Worker, chance: f64, delay: f64) {
         if let Some(process) = self.processes.remove(&worker) {
-            // What it had out may run on at the server for the release time.
-            for call in process.held.keys() {
-                self.out_until.insert(*call, (worker, self.now + TIMES.release));
+            // The attempts of the dead worker may run on at the server for the release time.
+            for call in process.held_calls.keys() {
+                self.in_flight_until.insert(*call, (worker, self.now + TIMING.release_s));
             }
-            let acts = self.supervisor.ended(self.now, worker, chance);
-            self.act(acts, delay);
+            let actions = self.supervisor.record_exit(self.now, worker, chance);
+            self.action(actions, delay);
         }
     }
 }
 
 proptest! {
     #[test]
-    fn no_call_is_ever_out_at_two_workers(
-        steps in prop::collection::vec((0u8..12, 0..SEATS, 0u64..6, 0.001..0.25f64, 0.0..0.09f64), 1..250),
+    fn call_is_never_in_flight_at_two_workers_under_random_faults(
+        steps in prop::collection::vec((0u8..12, 0..SLOTS, 0u64..6, 0.001..0.25f64, 0.0..0.09f64), 1..250),
     ) {
         let mut world = World::new();
-        for (what, seat, call, pass, delay) in steps {
-            let worker = Worker(seat);
+        for (what, slot, call, advance, delay) in steps {
+            let worker = Worker(slot);
             match what {
                 0..=6 => world.offer(worker, call),
-                7 => world.kill(worker, pass * 4.0, delay),
+                7 => world.kill(worker, advance * 4.0, delay),
                 8 => {
                     if let Some(process) = world.processes.get_mut(&worker) {
-                        process.paused = process.paused.max(world.now + pass * 4.0);
-                        // What it holds is given up by nobody before it wakes, or is ended.
-                        for call in process.held.keys() {
-                            let out = world.out_until.entry(*call).or_insert((worker, 0.0));
-                            *out = (worker, out.1.max(process.paused));
+                        process.paused_until = process.paused_until.max(world.now + advance * 4.0);
+                        // Nobody gives up the calls of a paused worker before it resumes or is killed.
+                        for call in process.held_calls.keys() {
+                            let out = world.in_flight_until.entry(*call).or_insert((worker, 0.0));
+                            *out = (worker, out.1.max(process.paused_until));
                         }
                     }
                 }
                 _ => {}
             }
-            world.pass(pass, delay);
+            world.advance(advance, delay);
         }
     }
 }
 
-/// Guards against guards that let nothing through.
+/// Guards against safeguards that let no call through.
 #[test]
-fn calls_go_out_while_workers_come_and_go() {
+fn workers_send_most_calls_while_workers_die_and_return() {
     let mut world = World::new();
-    // The tables of the start are long over.
-    (0..80).for_each(|_| world.pass(0.05, 0.005));
+    // Let the tables of the start expire.
+    (0..80).for_each(|_| world.advance(0.05, 0.005));
     let mut call = 100;
     for round in 0..40u16 {
         if round % 10 == 5 {
-            world.kill(Worker(round / 10 % SEATS), 0.5, 0.01);
+            world.kill(Worker(round / 10 % SLOTS), 0.5, 0.01);
         }
-        for seat in 0..SEATS {
+        for slot in 0..SLOTS {
             call += 1;
-            world.offer(Worker(seat), call);
+            world.offer(Worker(slot), call);
         }
-        world.pass(0.05, 0.005);
+        world.advance(0.05, 0.005);
     }
     // Four deaths, each of which fences a third of the ids for 0.35 s of the 2 s.
     assert!(world.sent > 60, "{} of 120", world.sent);
-    let owners: BTreeSet<Worker> = world.out_until.values().map(|o| o.0).collect();
-    assert_eq!(owners.len(), usize::from(SEATS), "all of them serve");
+    let owners: BTreeSet<Worker> = world.in_flight_until.values().map(|o| o.0).collect();
+    assert_eq!(owners.len(), usize::from(SLOTS), "a worker owns no call");
 }
 
-/// A worker that wakes from a pause may do nothing before it has heard.
+/// Guards against a worker that acts on old tables when it resumes from a pause.
 #[test]
-fn a_paused_worker_refuses_until_it_has_heard() {
-    let mut view = View::new(Worker(0), TIMES);
-    assert_eq!(view.verdict(5.0, 1), Verdict::Refuse);
-    let dated = History::new(TIMES.change(5.0, Table::new(1).with(Worker(0), true)), TIMES);
-    view.told(5.0, &dated);
-    assert_eq!(view.verdict(5.05, 1), Verdict::Refuse, "the table does not count yet");
-    view.told(5.1, &dated);
-    assert_eq!(view.verdict(5.15, 1), Verdict::Take);
-    assert!(!view.fresh(5.3));
-    assert_eq!(view.verdict(5.3, 1), Verdict::Refuse);
-    // Old news do not make it fresh.
-    view.told(5.12, &dated);
-    assert!(!view.fresh(5.3));
+fn worker_refuses_calls_after_a_pause_until_it_receives_the_tables_again() {
+    let mut view = WorkerView::new(Worker(0), TIMING);
+    assert_eq!(view.decide(5.0, 1), Decision::Refuse);
+    let dated = TableHistory::new(
+        TIMING.schedule_change(5.0, OwnershipTable::new(1).with_serving(Worker(0), true)),
+        TIMING,
+    );
+    view.receive(5.0, &dated);
+    assert_eq!(view.decide(5.05, 1), Decision::Refuse, "the table is not in effect yet");
+    view.receive(5.1, &dated);
+    assert_eq!(view.decide(5.15, 1), Decision::Accept);
+    assert!(!view.is_fresh(5.3));
+    assert_eq!(view.decide(5.3, 1), Decision::Refuse);
+    // An older update does not renew the lease.
+    view.receive(5.12, &dated);
+    assert!(!view.is_fresh(5.3));
 }
 
-/// Guards against a worker that takes a call because the table that gave it to another was dropped.
+/// Guards against a worker that accepts a call because the table that gave it to another worker was dropped.
 #[test]
-fn where_tables_were_dropped_too_early_every_worker_may_hold_a_call() {
-    let table = (0..SEATS).fold(Table::new(SEATS), |table, seat| table.with(Worker(seat), true));
-    let mut history = History::new(TIMES.change(0.0, table), TIMES);
+fn every_worker_counts_as_previous_owner_when_tables_were_dropped_early() {
+    let table =
+        (0..SLOTS).fold(OwnershipTable::new(SLOTS), |table, slot| table.with_serving(Worker(slot), true));
+    let mut history = TableHistory::new(TIMING.schedule_change(0.0, table), TIMING);
     let mut now = 10.0;
     for n in 0..60 {
         now += 0.01;
-        history.change(now, Worker(2), n % 2 == 1);
+        history.record_change(now, Worker(2), n % 2 == 1);
     }
-    now = history.newest().unwrap().from + 0.01;
-    for seat in 0..2 {
-        let mut view = View::new(Worker(seat), TIMES);
-        view.told(now, &history);
-        let others: Vec<Worker> = (0..SEATS).map(Worker).filter(|w| *w != Worker(seat)).collect();
-        assert!((0..50).all(|call| view.before(now, call) == others));
-        view.told(now + 20.0, &history);
-        assert!((0..50).all(|call| view.before(now + 20.0, call).is_empty()), "they are over");
+    now = history.newest().unwrap().effective_from + 0.01;
+    for slot in 0..2 {
+        let mut view = WorkerView::new(Worker(slot), TIMING);
+        view.receive(now, &history);
+        let others: Vec<Worker> = (0..SLOTS).map(Worker).filter(|w| *w != Worker(slot)).collect();
+        assert!((0..50).all(|call| view.previous_owners(now, call) == others));
+        view.receive(now + 20.0, &history);
+        assert!(
+            (0..50).all(|call| view.previous_owners(now + 20.0, call).is_empty()),
+            "the calls of that time are over"
+        );
     }
 }
 
 #[test]
-fn a_worker_that_dies_again_and_again_is_left_out_and_reported() {
-    let patience = Patience::default();
-    let mut supervisor = Supervisor::new(2, patience, 0.0);
+fn worker_that_dies_repeatedly_is_left_out_and_reported() {
+    let policy = RestartPolicy::default();
+    let mut supervisor = Supervisor::new(2, policy, 0.0);
     let (mut now, mut pauses) = (0.0, Vec::new());
     assert_eq!(supervisor.tick(now).len(), 2);
-    supervisor.serves(now, Worker(1));
+    supervisor.record_serving(now, Worker(1));
     let left_out = loop {
-        let acts = supervisor.ended(now, Worker(0), 0.5);
-        if acts.contains(&Act::LeftOut(Worker(0))) {
+        let actions = supervisor.record_exit(now, Worker(0), 0.5);
+        if actions.contains(&Action::LeftOut(Worker(0))) {
             break pauses.len();
         }
-        let Some(State::Resting(until)) = supervisor.state(Worker(0)) else { panic!("{acts:?}") };
+        let Some(State::BackingOff(until)) = supervisor.state(Worker(0)) else { panic!("{actions:?}") };
         pauses.push(until - now);
-        supervisor.heard(until, Worker(1));
+        supervisor.record_message(until, Worker(1));
         assert_eq!(supervisor.tick(until - 0.001), []);
         now = until;
-        assert_eq!(supervisor.tick(now), [Act::Start(Worker(0))]);
+        assert_eq!(supervisor.tick(now), [Action::Start(Worker(0))]);
     };
-    assert_eq!(left_out as u32 + 1, patience.deaths);
+    assert_eq!(left_out as u32 + 1, policy.max_consecutive_deaths);
     assert!(pauses.windows(2).all(|p| p[1] > 1.5 * p[0]), "{pauses:?}");
-    supervisor.heard(now + 1e6, Worker(1));
-    assert_eq!(supervisor.tick(now + 1e6), [], "it is not started again");
-    // One that served for long is forgiven.
-    assert_eq!(supervisor.ended(now + 1e6, Worker(1), 0.5), [Act::Lost(Worker(1))]);
-    assert_eq!(supervisor.ended(now + 1e6, Worker(1), 0.5), [], "it is dead already");
-    assert_eq!(supervisor.tick(now + 1e6 + 1.0), [Act::Start(Worker(1))]);
-    assert_eq!(supervisor.serves(now + 1e6 + 1.0, Worker(1)), [Act::Serves(Worker(1))]);
-    let silent = now + 1e6 + 1.0 + patience.silent;
-    assert_eq!(supervisor.tick(silent), [Act::Kill(Worker(1))], "it says nothing");
+    supervisor.record_message(now + 1e6, Worker(1));
+    assert_eq!(supervisor.tick(now + 1e6), [], "a left-out worker was started again");
+    // The deaths of a worker that served for long enough are forgotten.
+    assert_eq!(supervisor.record_exit(now + 1e6, Worker(1), 0.5), [Action::Lost(Worker(1))]);
+    assert_eq!(supervisor.record_exit(now + 1e6, Worker(1), 0.5), [], "its exit was recorded already");
+    assert_eq!(supervisor.tick(now + 1e6 + 1.0), [Action::Start(Worker(1))]);
+    assert_eq!(supervisor.record_serving(now + 1e6 + 1.0, Worker(1)), [Action::Serving(Worker(1))]);
+    let silent = now + 1e6 + 1.0 + policy.silence_limit_s;
+    assert_eq!(supervisor.tick(silent), [Action::Kill(Worker(1))], "it is silent");
     supervisor.stop();
-    assert!(!supervisor.over());
-    assert_eq!(supervisor.ended(silent, Worker(1), 0.5), [Act::Lost(Worker(1))]);
-    assert!(supervisor.over() && supervisor.tick(now + 2e6).is_empty());
+    assert!(!supervisor.is_finished());
+    assert_eq!(supervisor.record_exit(silent, Worker(1), 0.5), [Action::Lost(Worker(1))]);
+    assert!(supervisor.is_finished() && supervisor.tick(now + 2e6).is_empty());
 }
 
 proptest! {
-    /// A worker that has not heard of a change, and one that has, never both hold an id for their own.
+    /// Guards against two workers that both own a call because only one of them has received a change.
     #[test]
-    fn two_tables_never_count_at_once(last_heard in 0.0..0.1f64, after in 0.0..0.3f64, call: u64) {
-        let mut history = History::new(TIMES.change(0.0, Table::new(2).with(Worker(0), true)), TIMES);
-        let (mut old, mut new) = (View::new(Worker(0), TIMES), View::new(Worker(1), TIMES));
-        old.told(10.0 - last_heard, &history);
-        prop_assert!(old.verdict(10.0 - last_heard, call) == Verdict::Take);
-        history.change(10.0, Worker(1), true);
+    fn call_is_never_owned_by_both_an_old_and_a_new_table(table_age in 0.0..0.1f64, after in 0.0..0.3f64, call: u64) {
+        let mut history = TableHistory::new(TIMING.schedule_change(0.0, OwnershipTable::new(2).with_serving(Worker(0), true)), TIMING);
+        let (mut old, mut new) = (WorkerView::new(Worker(0), TIMING), WorkerView::new(Worker(1), TIMING));
+        old.receive(10.0 - table_age, &history);
+        prop_assert!(old.decide(10.0 - table_age, call) == Decision::Accept);
+        history.record_change(10.0, Worker(1), true);
         let now = 10.0 + after;
-        new.told(now, &history);
-        let acts = |verdict| matches!(verdict, Verdict::Take | Verdict::Ask(_));
-        prop_assert!(!(acts(old.verdict(now, call)) && acts(new.verdict(now, call))));
-        // Once it counts, the new one asks the old one for what that may hold.
-        let verdict = new.verdict(now, call);
-        if after > TIMES.lease {
-            let owner = Table::new(2).with(Worker(0), true).with(Worker(1), true).owner(call);
-            prop_assert_eq!(verdict == Verdict::Ask(Worker(0)), owner == Some(Worker(1)));
+        new.receive(now, &history);
+        let actions = |verdict| matches!(verdict, Decision::Accept | Decision::Ask(_));
+        prop_assert!(!(actions(old.decide(now, call)) && actions(new.decide(now, call))));
+        // Once the new table is in effect, the new owner asks the old one for calls that it may hold.
+        let verdict = new.decide(now, call);
+        if after > TIMING.lease_s {
+            let owner = OwnershipTable::new(2).with_serving(Worker(0), true).with_serving(Worker(1), true).owner(call);
+            prop_assert_eq!(verdict == Decision::Ask(Worker(0)), owner == Some(Worker(1)));
         }
     }
 }
