--- a/crates/sites/src/evidence.rs
+++ b/crates/sites/src/evidence.rs
@@ -1,182 +1,207 @@
-//! What is seen of a site, and what it comes to.
+//! Judges from what is observed of a site whether it is lost.
 //!
-//! | trouble | its servers, from here | its gatekeepers | other members | verdict |
+//! | fault | its servers, from here | its gatekeepers | other members | verdict |
 //! | --- | --- | --- | --- | --- |
 //! | the site is dead | none answers | all gone | none reaches it | dead |
-//! | it is cut off from here and lives | none answers | some heard, by anybody | some reach it, or not | cut off |
-//! | half of its servers are lost | some answer | any | any | partly lost: the decision module's own business |
-//! | it is slow | all answer, late | heard | reach it | fine: the module's own business |
-//! | nothing is certain yet | none answers | suspected | not heard | doubtful |
+//! | it runs but is cut off from here | none answers | some are alive for any member | some reach it, or not | cut off |
+//! | half of its servers are lost | some answer | any | any | partly lost: left to the decision module |
+//! | it is slow | all answer, late | alive | reach it | healthy: left to the decision module |
+//! | nothing is certain yet | none answers | suspected | no observation | uncertain |
 //!
-//! A site of which nobody sees anything any more is dead only where a majority of the members is heard here: one that is
-//! itself cut off from all must not take everybody else for dead.
+//! A site that no member can observe is dead only if this member receives from a majority of the members: a
+//! member that is itself cut off must not take all others for dead.
 
-/// What a connection to a server tells.
+/// Whether a server can be reached over its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reach {
-    /// It answers, however late.
+pub enum ServerReachability {
+    /// The server answers, however late.
     Answers,
-    /// Nothing came for longer than it may, since then.
+    /// The server has been silent for longer than allowed, since this time in seconds.
     Silent(f64),
-    /// Its address refuses connections, or resets them, since then.
+    /// The address of the server has refused or reset connections since this time in seconds.
     Refuses(f64),
-    /// The list has it no more.
+    /// The server is no longer in the list.
     Gone,
 }
 
-/// What is believed of a gatekeeper of the site, by this member and, as far as it hears, by others.
+/// The status of a gatekeeper of the site, as this member and the members that it receives from see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Member {
-    /// Heard by somebody.
+pub enum MemberStatus {
+    /// Some member receives messages from it.
     Alive,
-    /// Silent, and not gone.
+    /// It is silent and not yet gone.
     Suspected,
-    /// Nobody hears it.
+    /// No member receives messages from it.
     Gone,
 }
 
-/// What another member, of another site, says of the site's servers.
+/// What a member of another site reports of the servers of this site.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sight {
-    /// Some answer it.
-    pub reaches: bool,
-    /// How old its word is, in seconds.
-    pub age: f64,
+pub struct PeerObservation {
+    /// Whether some servers answer that member.
+    pub reachable: bool,
+    /// The age of the report, in seconds.
+    pub age_s: f64,
 }
 
-/// All that is seen of a site.
+/// All observations of a site.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Its servers, from here.
-    pub servers: Vec<Reach>,
-    /// Its gatekeepers.
-    pub members: Vec<Member>,
-    /// What others see.
-    pub others: Vec<Sight>,
-    /// Whether a majority of all members is heard here.
-    pub quorum: bool,
+pub struct Evidence {
+    /// The servers of the site, from here.
+    pub servers: Vec<ServerReachability>,
+    /// The gatekeepers of the site.
+    pub members: Vec<MemberStatus>,
+    /// What other members report.
+    pub peer_observations: Vec<PeerObservation>,
+    /// Whether this member receives from a majority of all members.
+    pub has_quorum: bool,
 }
 
-/// What it comes to.
+/// The verdict on a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Verdict {
     /// Its servers answer.
-    Fine,
-    /// Some of them do not.
-    Partly,
-    /// None answers, and it is not certain why.
-    Doubtful,
-    /// None answers here, and it lives.
+    Healthy,
+    /// Some of its servers do not answer.
+    PartlyLost,
+    /// None of its servers answers, and the cause is not certain.
+    Uncertain,
+    /// None of its servers answers here, but the site runs.
     CutOff,
-    /// It is gone.
+    /// The site is down.
     Dead,
 }
 
-/// Times of it, in seconds.
+/// The time limits of the verdict, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    /// A server that has been silent for so long counts as out.
-    pub silent: f64,
-    /// One that refuses, for so long: that a process has ended is known soon.
-    pub refused: f64,
-    /// What another member said longer ago than this counts for nothing.
-    pub old: f64,
+pub struct EvidenceLimits {
+    /// A server that has been silent for this long is unreachable.
+    pub silent_after_s: f64,
+    /// A server that has refused connections for this long is unreachable. It is short: the end of a process
+    /// shows at once.
+    pub refused_after_s: f64,
+    /// Observations of other members that are older than this are ignored.
+    pub max_observation_age_s: f64,
 }
 
-impl Default for Times {
+impl Default for EvidenceLimits {
     fn default() -> Self {
-        Times { silent: 0.5, refused: 0.2, old: 2.0 }
+        EvidenceLimits { silent_after_s: 0.5, refused_after_s: 0.2, max_observation_age_s: 2.0 }
     }
 }
 
-impl Reach {
-    fn out(&self, now: f64, times: &Times) -> bool {
+impl ServerReachability {
+    fn is_unreachable(&self, now: f64, limits: &EvidenceLimits) -> bool {
         match self {
-            Reach::Answers => false,
-            Reach::Silent(since) => now - since >= times.silent,
-            Reach::Refuses(since) => now - since >= times.refused,
-            Reach::Gone => true,
+            ServerReachability::Answers => false,
+            ServerReachability::Silent(since) => now - since >= limits.silent_after_s,
+            ServerReachability::Refuses(since) => now - since >= limits.refused_after_s,
+            ServerReachability::Gone => true,
         }
     }
 
     fn answers(&self) -> bool {
-        *self == Reach::Answers
+        *self == ServerReachability::Answers
     }
 }
 
-/// What all that is seen comes to.
-pub fn verdict(now: f64, seen: &Seen, times: &Times) -> Verdict {
-    let out = seen.servers.iter().filter(|s| s.out(now, times)).count();
-    if out < seen.servers.len() {
-        return if out == 0 { Verdict::Fine } else { Verdict::Partly };
+/// Returns the verdict on a site at `now`, in seconds.
+pub fn verdict(now: f64, evidence: &Evidence, limits: &EvidenceLimits) -> Verdict {
+    let unreachable = evidence.servers.iter().filter(|s| s.is_unreachable(now, limits)).count();
+    if unreachable < evidence.servers.len() {
+        return if unreachable == 0 { Verdict::Healthy } else { Verdict::PartlyLost };
     }
-    // A site without servers cannot lose them; nothing goes there anyway.
-    if seen.servers.is_empty() {
-        return Verdict::Fine;
+    // A site without servers cannot lose them, and no load goes there anyway.
+    if evidence.servers.is_empty() {
+        return Verdict::Healthy;
     }
-    let fresh = || seen.others.iter().filter(|sight| sight.age <= times.old);
-    if seen.members.contains(&Member::Alive) || fresh().any(|sight| sight.reaches) {
+    let recent = || {
+        evidence
+            .peer_observations
+            .iter()
+            .filter(|observation| observation.age_s <= limits.max_observation_age_s)
+    };
+    if evidence.members.contains(&MemberStatus::Alive) || recent().any(|observation| observation.reachable) {
         return Verdict::CutOff;
     }
-    // Refused by all is proof of what stands there, whoever else is heard.
-    let refused = seen.servers.iter().all(|s| matches!(s, Reach::Refuses(_) | Reach::Gone));
-    let gone = seen.members.iter().all(|m| *m == Member::Gone);
-    match gone && (seen.quorum || refused) {
+    // If all servers refuse connections the site is down, whichever members can be heard.
+    let refused = evidence
+        .servers
+        .iter()
+        .all(|s| matches!(s, ServerReachability::Refuses(_) | ServerReachability::Gone));
+    let gone = evidence.members.iter().all(|m| *m == MemberStatus::Gone);
+    match gone && (evidence.has_quorum || refused) {
         true => Verdict::Dead,
-        false => Verdict::Doubtful,
+        false => Verdict::Uncertain,
     }
 }
 
-/// Whether some of it answers here: what a member tells the others.
-pub fn reaches(seen: &Seen) -> bool {
-    seen.servers.iter().any(Reach::answers)
+/// Whether some server of the site answers here. Members report this to each other.
+pub fn any_server_answers(evidence: &Evidence) -> bool {
+    evidence.servers.iter().any(ServerReachability::answers)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn seen(servers: &[Reach], members: &[Member], reaches: &[bool]) -> Seen {
-        let others = reaches.iter().map(|r| Sight { reaches: *r, age: 0.1 }).collect();
-        Seen { servers: servers.to_vec(), members: members.to_vec(), others, quorum: true }
+    fn evidence(servers: &[ServerReachability], members: &[MemberStatus], reaches: &[bool]) -> Evidence {
+        let others = reaches.iter().map(|r| PeerObservation { reachable: *r, age_s: 0.1 }).collect();
+        Evidence {
+            servers: servers.to_vec(),
+            members: members.to_vec(),
+            peer_observations: others,
+            has_quorum: true,
+        }
     }
 
     #[test]
-    fn each_trouble_is_told_apart() {
-        use Member::{Alive, Gone, Suspected};
-        use Reach::{Answers, Refuses, Silent};
-        let of = |seen: &Seen| verdict(10.0, seen, &Times::default());
-        let (out, refuses) = (Silent(9.0), Refuses(9.7));
-        assert_eq!(of(&seen(&[Answers, Answers], &[Gone, Gone], &[false])), Verdict::Fine);
-        assert_eq!(of(&seen(&[Answers, out], &[Alive], &[true])), Verdict::Partly);
+    fn verdict_distinguishes_each_kind_of_fault() {
+        use MemberStatus::{Alive, Gone, Suspected};
+        use ServerReachability::{Answers, Refuses, Silent};
+        let of = |evidence: &Evidence| verdict(10.0, evidence, &EvidenceLimits::default());
+        let (unreachable, refuses) = (Silent(9.0), Refuses(9.7));
+        assert_eq!(of(&evidence(&[Answers, Answers], &[Gone, Gone], &[false])), Verdict::Healthy);
+        assert_eq!(of(&evidence(&[Answers, unreachable], &[Alive], &[true])), Verdict::PartlyLost);
         assert_eq!(
-            of(&seen(&[out, refuses], &[Gone, Alive], &[false])),
+            of(&evidence(&[unreachable, refuses], &[Gone, Alive], &[false])),
             Verdict::CutOff,
-            "its gatekeeper lives"
+            "one of its gatekeepers is alive"
         );
         assert_eq!(
-            of(&seen(&[out, out], &[Gone, Gone], &[false, true])),
+            of(&evidence(&[unreachable, unreachable], &[Gone, Gone], &[false, true])),
             Verdict::CutOff,
-            "another reaches it"
+            "another member reaches it"
+        );
+        assert_eq!(
+            of(&evidence(&[unreachable, unreachable], &[Gone, Suspected], &[false])),
+            Verdict::Uncertain
         );
-        assert_eq!(of(&seen(&[out, out], &[Gone, Suspected], &[false])), Verdict::Doubtful);
-        assert_eq!(of(&seen(&[out, refuses], &[Gone, Gone], &[false, false])), Verdict::Dead);
-        assert_eq!(of(&seen(&[], &[Gone], &[])), Verdict::Fine);
+        assert_eq!(of(&evidence(&[unreachable, refuses], &[Gone, Gone], &[false, false])), Verdict::Dead);
+        assert_eq!(of(&evidence(&[], &[Gone], &[])), Verdict::Healthy);
         assert_eq!(
-            of(&seen(&[Silent(9.6), out], &[Gone], &[])),
-            Verdict::Partly,
+            of(&evidence(&[Silent(9.6), unreachable], &[Gone], &[])),
+            Verdict::PartlyLost,
             "not silent for long enough"
         );
-        assert_eq!(of(&seen(&[Refuses(9.9)], &[Gone], &[])), Verdict::Fine);
-        assert_eq!(of(&seen(&[Reach::Gone], &[Gone], &[])), Verdict::Dead);
-        // One that is cut off from all takes nobody for dead, but what refuses is proof.
-        let alone = Seen { quorum: false, ..seen(&[out, out], &[Gone, Gone], &[]) };
-        assert_eq!(of(&alone), Verdict::Doubtful);
-        let alone = Seen { quorum: false, ..seen(&[refuses], &[Gone], &[]) };
+        assert_eq!(of(&evidence(&[Refuses(9.9)], &[Gone], &[])), Verdict::Healthy);
+        assert_eq!(of(&evidence(&[ServerReachability::Gone], &[Gone], &[])), Verdict::Dead);
+        // A member that is cut off from all others declares no silent site dead, but refused connections are
+        // proof.
+        let alone =
+            Evidence { has_quorum: false, ..evidence(&[unreachable, unreachable], &[Gone, Gone], &[]) };
+        assert_eq!(of(&alone), Verdict::Uncertain);
+        let alone = Evidence { has_quorum: false, ..evidence(&[refuses], &[Gone], &[]) };
         assert_eq!(of(&alone), Verdict::Dead);
-        // What somebody saw long ago counts for nothing.
-        let old = Seen { others: vec![Sight { reaches: true, age: 3.0 }], ..seen(&[out], &[Gone], &[]) };
+        // Old observations are ignored.
+        let old = Evidence {
+            peer_observations: vec![PeerObservation { reachable: true, age_s: 3.0 }],
+            ..evidence(&[unreachable], &[Gone], &[])
+        };
         assert_eq!(of(&old), Verdict::Dead);
-        assert!(reaches(&seen(&[out, Answers], &[], &[])) && !reaches(&seen(&[out, refuses], &[], &[])));
+        assert!(
+            any_server_answers(&evidence(&[unreachable, Answers], &[], &[]))
+                && !any_server_answers(&evidence(&[unreachable, refuses], &[], &[]))
+        );
     }
 }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,12 +1,14 @@
-//! Loss of a whole site: a district with its session servers and its gatekeepers.
+//! Detects the loss of a whole site, which is a district with its session servers and its gatekeepers, and
+//! plans for it.
 //!
-//! No I/O, no clock, no threads: times are seconds on the member's own clock, handed in; what comes from another member
-//! is an age.
+//! The crate does no I/O, reads no clock and starts no threads: times are seconds on the clock of this member
+//! and are passed in; what comes from another member is an age.
 //!
-//! - [`evidence`]: what is seen of a site, and what it comes to: dead, cut off from here, partly lost, or fine.
-//! - [`state`]: what is believed, with hold times so that a link that flaps starts no plan and ends none; the steps of a
-//!   return; operators' words.
-//! - [`plan`]: where the load of each site would go, computed beforehand.
+//! - [`evidence`]: what is observed of a site, and the verdict: dead, cut off from here, partly lost or
+//!   healthy.
+//! - [`state`]: the state of a site, with hold times so that a flapping link neither starts nor ends a plan;
+//!   the steps of a return; commands of operators.
+//! - [`plan`]: where the load of each site would go, computed in advance.
 
 pub mod evidence;
 pub mod plan;
--- a/crates/sites/src/state.rs
+++ b/crates/sites/src/state.rs
@@ -1,235 +1,253 @@
-//! What is believed of a site, and what of its load may go there.
+//! Keeps the state of a site, and with it how much of its load may go there.
 //!
-//! | state | what it means | how it ends |
+//! | state | meaning | how it ends |
 //! | --- | --- | --- |
-//! | up | all of its load goes there | lost, once it was dead or cut off for `lost_after` without a break; doubt is none |
-//! | lost | nothing goes there: the plan is on | back, once it was there for `back_after` without a break |
-//! | back | so much of its load goes there as its step says | a step further when its time is over and nothing got worse; a step back when it did; up after the last |
-//! | held | an operator keeps it as it is | by another word |
+//! | up | all of its load goes there | lost, after evidence of dead or cut off for `lost_after_s` without a break; uncertain evidence alone does not count |
+//! | lost | no load goes there: the plan is active | returning, once it was reachable for `return_after_s` without a break |
+//! | returning | the fraction of its load that the step gives goes there | the next step when its time is over and nothing got worse; the previous step if something did; up after the last |
+//! | held | an operator keeps it in its state | by another command |
 //!
-//! A site that comes and goes is trusted later: each loss within `memory` of the one before doubles `back_after`, up to
-//! `most_back_after`. So a link that flaps faster than `lost_after` starts no plan, and one that is slower starts one and
-//! does not end it.
+//! A site that fails repeatedly must be reachable for longer: each loss within `loss_memory_s` of the one
+//! before doubles `return_after_s`, up to `max_return_after_s`. So a link that flaps faster than `lost_after_s`
+//! starts no plan, and one that flaps more slowly starts one and does not end it.
 
 use std::fmt;
 
 use crate::evidence::Verdict;
 
-/// The figures of it; times in seconds.
+/// The hold times and steps; times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Evidence of a loss must hold for so long.
-    pub lost_after: f64,
-    /// Evidence of a return must hold for so long.
-    pub back_after: f64,
-    /// That is doubled with each further loss, up to this.
-    pub most_back_after: f64,
-    /// A loss is remembered for so long.
-    pub memory: f64,
-    /// The parts of its load that go to a site which comes back, rising; after the last it is up.
-    pub steps: Vec<f64>,
-    /// Each step lasts so long at least: reports of it must have come.
-    pub step_for: f64,
-    /// A site that was only cut off is warm: each of its steps lasts so long at least.
-    pub warm_step_for: f64,
+    /// How long evidence of a loss must hold before the site is lost.
+    pub lost_after_s: f64,
+    /// How long evidence of a return must hold before the return begins.
+    pub return_after_s: f64,
+    /// The limit of `return_after_s`, which doubles with each further loss.
+    pub max_return_after_s: f64,
+    /// How long a loss is remembered.
+    pub loss_memory_s: f64,
+    /// The rising fractions of its load that go to a returning site; after the last step it is up.
+    pub step_ratios: Vec<f64>,
+    /// The shortest duration of a step after a site was down: health reports of the step must have come.
+    pub step_duration_s: f64,
+    /// The shortest duration of a step after a site was only cut off, because its servers are warm.
+    pub warm_step_duration_s: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            lost_after: 0.5,
-            back_after: 2.0,
-            most_back_after: 30.0,
-            memory: 60.0,
-            steps: vec![0.1, 0.25, 0.5, 0.75],
-            // Together no less than the 14 s that a cold server takes to warm up.
-            step_for: 3.5,
-            warm_step_for: 0.5,
+            lost_after_s: 0.5,
+            return_after_s: 2.0,
+            max_return_after_s: 30.0,
+            loss_memory_s: 60.0,
+            step_ratios: vec![0.1, 0.25, 0.5, 0.75],
+            // All steps together take no less than the 14 s that a cold server takes to warm up.
+            step_duration_s: 3.5,
+            warm_step_duration_s: 0.5,
         }
     }
 }
 
 /// Why a site is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Kind {
-    /// It is gone, and comes back cold.
+pub enum LossCause {
+    /// The site is down, and returns cold.
     Dead,
-    /// It lives, and cannot be reached from here.
+    /// The site runs but cannot be reached from here.
     CutOff,
-    /// An operator said so.
-    Told,
+    /// An operator declared it lost.
+    Operator,
 }
 
-/// What is believed.
+/// The state of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
     /// All of its load goes there.
     Up,
-    /// Nothing goes there.
-    Lost(Kind),
-    /// A part goes there.
-    Back {
+    /// No load goes there.
+    Lost(LossCause),
+    /// A fraction of its load goes there.
+    Returning {
         /// Why it was lost.
-        from: Kind,
-        /// The step, an index into the settings.
+        from: LossCause,
+        /// The step, an index into [`Settings::step_ratios`].
         step: usize,
-        /// Since when.
+        /// When the step began, in seconds.
         since: f64,
-        /// The highest step that was gone back from: each is once at most, so that it does not go to and fro.
+        /// The highest step that was reversed. Each step is reversed at most once, so that the site does not
+        /// oscillate.
         reversed: Option<usize>,
     },
 }
 
-/// What an operator says of a site.
+/// A command of an operator for a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Word {
-    /// It is lost, whatever is seen.
+pub enum OperatorCommand {
+    /// The site is lost, whatever the evidence.
     Lost,
-    /// It stays as it is, whatever is seen.
-    Held,
-    /// Its return begins, or is hurried by a step.
-    Back,
-    /// What is seen counts.
+    /// The site keeps its state, whatever the evidence.
+    Hold,
+    /// The return begins, or goes on to the next step at once.
+    Return,
+    /// The evidence decides.
     Auto,
 }
 
-/// How what was sent there in this step is doing.
+/// The health of the traffic that was sent to a returning site in this step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Health {
-    /// Reports of this step have come, and it does no worse than before.
+    /// Reports of this step have come, and they are no worse than before.
     Good,
-    /// It does worse: it refuses, fails or is late more often.
+    /// More set-ups are refused, fail or are late than before.
     Worse,
-    /// No reports of this step yet.
+    /// No reports of this step have come yet.
     Unknown,
 }
 
-/// What changed.
+/// A change of the state of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// The plan begins.
-    Lost(Kind),
-    /// Another trouble than was believed.
-    Other(Kind),
-    /// The return begins, goes on, or goes back, to this step.
+    /// The site is lost: the plan begins.
+    Lost(LossCause),
+    /// The site is still lost, but for another cause.
+    CauseChanged(LossCause),
+    /// The return begins, or goes on or back to this step.
     Step(usize),
-    /// All is as before the loss.
+    /// The site is up again.
     Up,
-    /// An operator's word.
-    Told(Word),
+    /// An operator gave a command.
+    Command(OperatorCommand),
 }
 
-/// One site.
+/// The state of one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     state: State,
-    told: Word,
-    /// Since when it is seen as out, or as there, without a break.
-    out_since: Option<f64>,
-    there_since: Option<f64>,
-    /// Losses that are remembered, and when the last one was.
+    command: OperatorCommand,
+    /// Since when the evidence shows the site as lost without a break, in seconds.
+    unreachable_since: Option<f64>,
+    /// Since when the evidence shows the site as reachable without a break, in seconds.
+    reachable_since: Option<f64>,
+    /// The number of losses that are remembered.
     losses: u32,
-    lost_at: f64,
+    /// When the last loss was, in seconds.
+    last_loss_at: f64,
 }
 
 impl Default for Site {
     fn default() -> Self {
         Site {
             state: State::Up,
-            told: Word::Auto,
-            out_since: None,
-            there_since: None,
+            command: OperatorCommand::Auto,
+            unreachable_since: None,
+            reachable_since: None,
             losses: 0,
-            lost_at: f64::NEG_INFINITY,
+            last_loss_at: f64::NEG_INFINITY,
         }
     }
 }
 
 impl Site {
-    /// What is believed.
+    /// Returns the state of the site.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The operator's last word.
-    pub fn told(&self) -> Word {
-        self.told
+    /// Returns the last command of an operator.
+    pub fn command(&self) -> OperatorCommand {
+        self.command
     }
 
-    /// The part of its load that may go there.
-    pub fn open(&self, settings: &Settings) -> f64 {
+    /// Returns the fraction of its load that may go to the site, 0 to 1.
+    pub fn load_ratio(&self, settings: &Settings) -> f64 {
         match self.state {
             State::Up => 1.0,
             State::Lost(_) => 0.0,
-            State::Back { step, .. } => settings.steps.get(step).copied().unwrap_or(1.0).clamp(0.0, 1.0),
+            State::Returning { step, .. } => {
+                settings.step_ratios.get(step).copied().unwrap_or(1.0).clamp(0.0, 1.0)
+            }
         }
     }
 
-    /// How long it must be there without a break until its return begins.
-    pub fn back_after(&self, settings: &Settings) -> f64 {
+    /// Returns how long the site must be reachable without a break before its return begins, in seconds.
+    pub fn return_after_s(&self, settings: &Settings) -> f64 {
         let doublings = self.losses.saturating_sub(1).min(16);
-        (settings.back_after * f64::from(1u32 << doublings)).min(settings.most_back_after)
+        (settings.return_after_s * f64::from(1u32 << doublings)).min(settings.max_return_after_s)
     }
 
-    /// An operator's word.
-    pub fn say(&mut self, now: f64, word: Word, settings: &Settings) -> Vec<Change> {
-        let mut changes = vec![Change::Told(word)];
-        self.told = word;
-        match word {
-            Word::Lost => changes.extend(self.lose(now, Kind::Told)),
-            Word::Back => changes.extend(self.further(now, settings)),
-            Word::Held | Word::Auto => {}
+    /// Applies a command of an operator and returns what changed.
+    pub fn apply_command(&mut self, now: f64, command: OperatorCommand, settings: &Settings) -> Vec<Change> {
+        let mut changes = vec![Change::Command(command)];
+        self.command = command;
+        match command {
+            OperatorCommand::Lost => changes.extend(self.lose(now, LossCause::Operator)),
+            OperatorCommand::Return => changes.extend(self.next_step(now, settings)),
+            OperatorCommand::Hold | OperatorCommand::Auto => {}
         }
         changes
     }
 
-    /// What is seen now, and how what is sent there is doing.
-    pub fn look(&mut self, now: f64, verdict: Verdict, health: Health, settings: &Settings) -> Vec<Change> {
+    /// Applies the present verdict and the health of the traffic that goes there, and returns what changed.
+    /// Call it periodically.
+    pub fn observe(
+        &mut self,
+        now: f64,
+        verdict: Verdict,
+        health: Health,
+        settings: &Settings,
+    ) -> Vec<Change> {
         let kind = match verdict {
-            Verdict::Dead => Some(Kind::Dead),
-            Verdict::CutOff => Some(Kind::CutOff),
-            // Partly lost, it is there; of one in doubt nothing is known.
-            Verdict::Fine | Verdict::Partly | Verdict::Doubtful => None,
+            Verdict::Dead => Some(LossCause::Dead),
+            Verdict::CutOff => Some(LossCause::CutOff),
+            // A partly lost site is reachable; nothing is known of an uncertain one.
+            Verdict::Healthy | Verdict::PartlyLost | Verdict::Uncertain => None,
         };
         match (kind, verdict) {
-            (Some(_), _) => (self.there_since, _) = (None, self.out_since.get_or_insert(now)),
-            (None, Verdict::Doubtful) => self.there_since = None,
-            (None, _) => (self.out_since, _) = (None, self.there_since.get_or_insert(now)),
+            (Some(_), _) => (self.reachable_since, _) = (None, self.unreachable_since.get_or_insert(now)),
+            (None, Verdict::Uncertain) => self.reachable_since = None,
+            (None, _) => (self.unreachable_since, _) = (None, self.reachable_since.get_or_insert(now)),
         }
-        if now - self.lost_at >= settings.memory && self.state == State::Up {
+        if now - self.last_loss_at >= settings.loss_memory_s && self.state == State::Up {
             self.losses = 0;
         }
-        if matches!(self.told, Word::Held | Word::Lost) {
+        if matches!(self.command, OperatorCommand::Hold | OperatorCommand::Lost) {
             return Vec::new();
         }
-        let out = self.out_since.is_some_and(|since| now - since >= settings.lost_after);
-        let there = self.there_since.is_some_and(|since| now - since >= self.back_after(settings));
+        let is_lost = self.unreachable_since.is_some_and(|since| now - since >= settings.lost_after_s);
+        let is_back = self.reachable_since.is_some_and(|since| now - since >= self.return_after_s(settings));
         match (self.state, kind) {
-            (State::Lost(Kind::Told), None) | (State::Lost(_), None) if there => {
+            (State::Lost(LossCause::Operator), None) | (State::Lost(_), None) if is_back => {
                 self.first_step(now, settings)
             }
-            (State::Lost(believed), Some(kind)) if out && believed != kind => {
-                // One that was cut off may die meanwhile, and then comes back cold; one that was dead stays that: that
-                // it is seen alive again tells that it is back, not that it never went.
-                if believed == Kind::Dead {
+            (State::Lost(present), Some(kind)) if is_lost && present != kind => {
+                // A site that was cut off may go down meanwhile, and then returns cold. A site that was down
+                // stays so: evidence that it is alive means that it is back, not that it was never down.
+                if present == LossCause::Dead {
                     return Vec::new();
                 }
                 self.state = State::Lost(kind);
-                vec![Change::Other(kind)]
+                vec![Change::CauseChanged(kind)]
             }
-            (State::Up | State::Back { .. }, Some(kind)) if out => self.lose(now, kind),
-            (State::Back { from, step, since, reversed }, None) if self.there_since.is_some() => {
-                let least = if from == Kind::CutOff { settings.warm_step_for } else { settings.step_for };
-                // Up to where it went back from it takes its time.
-                let again = reversed.is_some_and(|highest| step <= highest);
-                let waits = if again { 2.0 * least } else { least };
+            (State::Up | State::Returning { .. }, Some(kind)) if is_lost => self.lose(now, kind),
+            (State::Returning { from, step, since, reversed }, None) if self.reachable_since.is_some() => {
+                let min_duration_s = if from == LossCause::CutOff {
+                    settings.warm_step_duration_s
+                } else {
+                    settings.step_duration_s
+                };
+                // Up to the step that was reversed, each step takes twice as long.
+                let was_reversed = reversed.is_some_and(|highest| step <= highest);
+                let wait_s = if was_reversed { 2.0 * min_duration_s } else { min_duration_s };
                 match health {
-                    // What is worse at the first step, or at one that was gone back from before, waits there.
-                    Health::Worse if step > 0 && !again && now - since >= least / 2.0 => {
-                        self.state = State::Back { from, step: step - 1, since: now, reversed: Some(step) };
+                    // If health is worse at the first step, or at one that was reversed before, the site stays
+                    // there.
+                    Health::Worse if step > 0 && !was_reversed && now - since >= min_duration_s / 2.0 => {
+                        self.state =
+                            State::Returning { from, step: step - 1, since: now, reversed: Some(step) };
                         vec![Change::Step(step - 1)]
                     }
-                    Health::Good if now - since >= waits => self.further(now, settings),
+                    Health::Good if now - since >= wait_s => self.next_step(now, settings),
                     _ => Vec::new(),
                 }
             }
@@ -237,36 +255,36 @@
         }
     }
 
-    fn lose(&mut self, now: f64, kind: Kind) -> Vec<Change> {
+    fn lose(&mut self, now: f64, kind: LossCause) -> Vec<Change> {
         if matches!(self.state, State::Lost(_)) {
             self.state = State::Lost(kind);
-            return vec![Change::Other(kind)];
+            return vec![Change::CauseChanged(kind)];
         }
         self.state = State::Lost(kind);
-        (self.losses, self.lost_at) = (self.losses.saturating_add(1), now);
+        (self.losses, self.last_loss_at) = (self.losses.saturating_add(1), now);
         vec![Change::Lost(kind)]
     }
 
     fn first_step(&mut self, now: f64, settings: &Settings) -> Vec<Change> {
         let State::Lost(from) = self.state else { return Vec::new() };
-        if settings.steps.is_empty() {
+        if settings.step_ratios.is_empty() {
             self.state = State::Up;
             return vec![Change::Up];
         }
-        self.state = State::Back { from, step: 0, since: now, reversed: None };
+        self.state = State::Returning { from, step: 0, since: now, reversed: None };
         vec![Change::Step(0)]
     }
 
-    fn further(&mut self, now: f64, settings: &Settings) -> Vec<Change> {
+    fn next_step(&mut self, now: f64, settings: &Settings) -> Vec<Change> {
         match self.state {
             State::Up => Vec::new(),
             State::Lost(_) => self.first_step(now, settings),
-            State::Back { step, .. } if step + 1 >= settings.steps.len() => {
+            State::Returning { step, .. } if step + 1 >= settings.step_ratios.len() => {
                 self.state = State::Up;
                 vec![Change::Up]
             }
-            State::Back { from, step, reversed, .. } => {
-                self.state = State::Back { from, step: step + 1, since: now, reversed };
+            State::Returning { from, step, reversed, .. } => {
+                self.state = State::Returning { from, step: step + 1, since: now, reversed };
                 vec![Change::Step(step + 1)]
             }
         }
@@ -278,11 +296,11 @@
         match self.state {
             State::Up => write!(f, "up")?,
             State::Lost(kind) => write!(f, "lost ({kind:?})")?,
-            State::Back { step, .. } => write!(f, "back, step {step}")?,
+            State::Returning { step, .. } => write!(f, "returning, step {step}")?,
         }
-        match self.told {
-            Word::Auto => Ok(()),
-            word => write!(f, ", told {word:?}"),
+        match self.command {
+            OperatorCommand::Auto => Ok(()),
+            command => write!(f, ", operator command {command:?}"),
         }
     }
 }
