--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -9,14 +9,14 @@
 const MIN_SIMILARITY: f64 = 0.8;
 
 /// Records a problem.
-pub(crate) fn report(location: &Location, what: impl Into<String>, problems: &mut Vec<Problem>) {
-    problems.push(Problem { location: location.clone(), description: what.into() });
+pub(crate) fn report(location: &Location, description: impl Into<String>, problems: &mut Vec<Problem>) {
+    problems.push(Problem { location: location.clone(), description: description.into() });
 }
 
 /// Describes what was expected instead of `word`: the similar known name, or all known names.
 pub(crate) fn expected(word: &str, known: &[&str]) -> String {
-    let alike = known.iter().map(|k| (strsim::jaro_winkler(word, k), *k));
-    match alike.filter(|a| a.0 >= MIN_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0)) {
+    let similar = known.iter().map(|k| (strsim::jaro_winkler(word, k), *k));
+    match similar.filter(|a| a.0 >= MIN_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0)) {
         Some((_, meant)) => format!("did you mean {meant:?}?"),
         None if known.is_empty() => "there is none".into(),
         None => format!("expected one of: {}", known.join(", ")),
@@ -25,17 +25,17 @@
 
 /// Returns whether a token is one of the known names; otherwise records a problem. Any name passes if `known` is `None`.
 pub(crate) fn check_known(
-    word: &Token,
-    what: &str,
+    token: &Token,
+    kind: &str,
     known: Option<&[String]>,
     problems: &mut Vec<Problem>,
 ) -> bool {
     let Some(known) = known else { return true };
     let known: Vec<&str> = known.iter().map(String::as_str).collect();
-    let found = known.contains(&word.text.as_str());
+    let found = known.contains(&token.text.as_str());
     if !found {
-        let text = format!("unknown {what} {:?}, {}", word.text, expected(&word.text, &known));
-        report(&word.location, text, problems);
+        let text = format!("unknown {kind} {:?}, {}", token.text, expected(&token.text, &known));
+        report(&token.location, text, problems);
     }
     found
 }
--- a/crates/config/src/crossings.rs
+++ b/crates/config/src/crossings.rs
@@ -153,9 +153,9 @@
             "urgent" => {
                 check_once(&mut seen, line, problems);
                 check_args(line, "urgent CLASS...", !line.args.is_empty(), problems);
-                for word in &line.args {
-                    check_known(word, "class", classes, problems);
-                    conf.urgent.push(word.text.clone());
+                for class in &line.args {
+                    check_known(class, "class", classes, problems);
+                    conf.urgent.push(class.text.clone());
                 }
             }
             "log-every" => {
@@ -316,7 +316,7 @@
                 rule.rate = parse_arg(per_s, rate, problems)
                     .map(|r| Rate { per_s: amount(r), burst: amount(r.max(1.0)) });
             }
-            ("rate", [per_s, word, burst]) if word.text == "burst" => {
+            ("rate", [per_s, keyword, burst]) if keyword.text == "burst" => {
                 let burst_at = burst;
                 let (per_s, burst) = (parse_arg(per_s, rate, problems), parse_arg(burst, count, problems));
                 if burst == Some(0.0) {
@@ -329,9 +329,9 @@
                 rule.ratio =
                     part.zip(window).map(|(part, window)| RatioLimit { max_ratio: part, window_s: window });
             }
-            ("standing", [most]) => rule.standing = parse_arg(most, count, problems).map(amount),
-            ("overdraft", [most]) => {
-                rule.overdraft = parse_arg(most, count, problems).map_or(overdraft, amount);
+            ("standing", [max]) => rule.standing = parse_arg(max, count, problems).map(amount),
+            ("overdraft", [max]) => {
+                rule.overdraft = parse_arg(max, count, problems).map_or(overdraft, amount);
             }
             ("floor", [part]) if !fleet => {
                 rule.floor = parse_arg(part, percent, problems).unwrap_or(DEFAULT_FLOOR_RATIO)
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -182,10 +182,12 @@
             ("digest", [time]) => update(&mut s.digest_interval, parse_arg(time, duration, problems)),
             ("lists-late", [time]) => update(&mut s.max_list_delay, parse_arg(time, duration, problems)),
             ("forget", [time]) => update(&mut s.forget_after, parse_arg(time, duration, problems)),
-            ("catch-up", [word, time]) if word.text == "within" => {
+            ("catch-up", [keyword, time]) if keyword.text == "within" => {
                 update(&mut s.catch_up_timeout, parse_arg(time, duration, problems));
             }
-            ("catch-up", [word, time, second, rate]) if word.text == "within" && second.text == "rate" => {
+            ("catch-up", [keyword, time, second, rate])
+                if keyword.text == "within" && second.text == "rate" =>
+            {
                 update(&mut s.catch_up_timeout, parse_arg(time, duration, problems));
                 update(&mut s.catch_up.bytes_per_s, parse_arg(rate, bytes_rate, problems));
             }
@@ -288,23 +290,23 @@
         }
         self.others.push(&line.name);
         match (name, &line.args[..]) {
-            ("zone", [word]) => self.locality.zone = parse_zone(word, names, problems),
-            ("region", [word]) => self.locality.region = parse_arg(word, parse_name, problems),
-            ("service", [word]) => self.service = parse_arg(word, parse_name, problems),
-            ("writer", [word]) => self.writer = Some(word),
-            ("settings", [word]) => {
+            ("zone", [arg]) => self.locality.zone = parse_zone(arg, names, problems),
+            ("region", [arg]) => self.locality.region = parse_arg(arg, parse_name, problems),
+            ("service", [arg]) => self.service = parse_arg(arg, parse_name, problems),
+            ("writer", [arg]) => self.writer = Some(arg),
+            ("settings", [arg]) => {
                 // Relative to the file that names it, as with `include`.
-                let folder = Path::new(&*word.location.file).parent().unwrap_or(Path::new(""));
-                self.settings = Some(folder.join(&word.text));
+                let folder = Path::new(&*arg.location.file).parent().unwrap_or(Path::new(""));
+                self.settings = Some(folder.join(&arg.text));
             }
-            ("leaves", [word]) => {
-                self.leaves = parse_arg(word, count, problems);
+            ("leaves", [arg]) => {
+                self.leaves = parse_arg(arg, count, problems);
                 if self.leaves.is_some_and(|leaves| !(1.0..=MAX_LEAVES as f64).contains(&leaves)) {
-                    let text = format!("{} leaves are not valid here, expected 1 to {MAX_LEAVES}", word.text);
-                    report(&word.location, text, problems);
+                    let text = format!("{} leaves are not valid here, expected 1 to {MAX_LEAVES}", arg.text);
+                    report(&arg.location, text, problems);
                 }
             }
-            ("leaf-rate", [word]) => self.leaf_rate = parse_arg(word, leaf_rate, problems),
+            ("leaf-rate", [arg]) => self.leaf_rate = parse_arg(arg, leaf_rate, problems),
             ("zone", _) => drop(check_args(line, "zone ZONE", false, problems)),
             ("region", _) => drop(check_args(line, "region REGION", false, problems)),
             ("service", _) => drop(check_args(line, "service NAME", false, problems)),
@@ -319,10 +321,10 @@
     /// line of the block.
     fn finish(self, member: Option<&Directive>, problems: &mut Vec<Problem>) -> Option<Tier> {
         let Some(first) = self.first else {
-            for word in self.others {
+            for arg in self.others {
                 let text =
-                    format!("{:?} without a relay, expected `relay NAME ADDRESS:PORT` lines", word.text);
-                report(&word.location, text, problems);
+                    format!("{:?} without a relay, expected `relay NAME ADDRESS:PORT` lines", arg.text);
+                report(&arg.location, text, problems);
             }
             return None;
         };
@@ -333,12 +335,12 @@
         if self.relays.len() > MAX_RELAYS {
             report(&first.location, format!("too many relays, expected at most {MAX_RELAYS}"), problems);
         }
-        if let Some(word) = self.writer.filter(|word| !self.relays.iter().any(|r| r.name == word.text)) {
-            let text = format!("{:?} is not a relay, expected one of the block", word.text);
-            report(&word.location, text, problems);
+        if let Some(arg) = self.writer.filter(|arg| !self.relays.iter().any(|r| r.name == arg.text)) {
+            let text = format!("{:?} is not a relay, expected one of the block", arg.text);
+            report(&arg.location, text, problems);
         }
         let writer = match (self.writer, self.relays.first()) {
-            (Some(word), _) => word.text.clone(),
+            (Some(arg), _) => arg.text.clone(),
             (None, first) => first.map_or_else(String::new, |relay| relay.name.clone()),
         };
         Some(Tier {
@@ -394,10 +396,10 @@
 }
 
 /// Parses a zone. If the platform has districts, it must be one of them.
-fn parse_zone(word: &Token, names: &Names, problems: &mut Vec<Problem>) -> Option<String> {
+fn parse_zone(arg: &Token, names: &Names, problems: &mut Vec<Problem>) -> Option<String> {
     let districts = names.districts.as_deref().filter(|districts| !districts.is_empty());
-    check_known(word, "zone", districts, problems);
-    parse_arg(word, parse_name, problems)
+    check_known(arg, "zone", districts, problems);
+    parse_arg(arg, parse_name, problems)
 }
 
 fn parse_name(text: &str) -> Result<String, &'static str> {
@@ -421,7 +423,7 @@
     const FORM: &str = "member NAME ADDRESS:PORT [district DISTRICT]";
     let (name, address, district) = match &line.args[..] {
         [name, address] => (name, address, None),
-        [name, address, word, district] if word.text == "district" => (name, address, Some(district)),
+        [name, address, keyword, district] if keyword.text == "district" => (name, address, Some(district)),
         _ => {
             check_args(line, FORM, false, problems);
             return;
