--- a/crates/relay/src/relay/feeds.rs
+++ b/crates/relay/src/relay/feeds.rs
@@ -10,7 +10,7 @@
         }
         let view = self.member.view();
         !matches!(view.state(origin.member), State::Gone(_))
-            && view.incarnation_of(origin.member).is_none_or(|life| life <= origin.life)
+            && view.incarnation_of(origin.member).is_none_or(|incarnation| incarnation <= origin.life)
     }
 
     /// The values of a key in all streams that count.
@@ -63,9 +63,9 @@
             // again.
             all |= after > 0 && after < stream.horizon() || after >= version;
             while after < version {
-                let (records, upto, last) = stream.changes_after(now, after);
+                let (records, up_to, last) = stream.changes_after(now, after);
                 keys.extend(records.iter().map(|r| r.key));
-                after = upto;
+                after = up_to;
                 if last {
                     break;
                 }
--- a/crates/relay/src/relay/leaf_messages.rs
+++ b/crates/relay/src/relay/leaf_messages.rs
@@ -13,7 +13,7 @@
             return None;
         }
         if link.servers.is_behind(&feeds.servers) {
-            return Some(Message::Records(Feed::Servers, link.servers.next_piece(now, feed, &feeds.servers)));
+            return Some(Message::Records(Feed::Servers, link.servers.next_chunk(now, feed, &feeds.servers)));
         }
         if link.outgoing.is_none() && link.settings < in_force.revision() {
             link.outgoing = Some(OutgoingSet::new(in_force, link.settings));
@@ -26,7 +26,7 @@
             return Some(Message::Settings { proposed: false, part });
         }
         if link.leaves.is_behind(&feeds.leaves) {
-            return Some(Message::Records(Feed::Leaves, link.leaves.next_piece(now, feed, &feeds.leaves)));
+            return Some(Message::Records(Feed::Leaves, link.leaves.next_chunk(now, feed, &feeds.leaves)));
         }
         if now < link.next_digest_at {
             return None;
@@ -48,14 +48,14 @@
         peer: (MemberId, Incarnation, Topic),
         message: &Message,
     ) -> Result<(), LinkError> {
-        let (leaf, life, topic) = peer;
+        let (leaf, incarnation, topic) = peer;
         let attached = self.leaves.get(&leaf).is_some_and(|a| a.link == Some(id));
         if attached && self.leaves.get(&leaf).is_some_and(|a| a.presence == Presence::Silent) {
             self.set_presence(now, leaf, Presence::Here);
         }
         match message {
             Message::Ping(number) => self.queue(now, id, Message::Pong(*number)),
-            Message::Attach(attach) => self.handle_attach(now, id, leaf, life, topic, attach),
+            Message::Attach(attach) => self.handle_attach(now, id, leaf, incarnation, topic, attach),
             Message::Leave => {
                 if let Some(a) = self.leaves.get_mut(&leaf).filter(|_| attached) {
                     a.link = None;
@@ -70,17 +70,17 @@
                     self.set_presence(now, leaf, Presence::Closed);
                 }
             }
-            Message::Records(Feed::Own, piece) => {
+            Message::Records(Feed::Own, chunk) => {
                 let late = self.links.get(&id).map_or((f64::NEG_INFINITY, 0.0), |l| l.delayed);
                 let lag = self.paused_s.max(if now <= late.0 { late.1 } else { 0.0 });
                 let Some(a) = self.leaves.get_mut(&leaf) else { return Ok(()) };
-                if piece.origin != (Origin { member: leaf, life }) {
+                if chunk.origin != (Origin { member: leaf, life: incarnation }) {
                     return Err(LinkError::Malformed("records of another origin"));
                 }
-                match a.copy.apply(now, lag, piece) {
+                match a.copy.apply(now, lag, chunk) {
                     Ok(keys) => self.merge_leaf_records(now, topic, &keys),
-                    Err(PieceError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
-                    Err(PieceError::Gap) => {
+                    Err(ChunkError::Malformed) => return Err(LinkError::Malformed("inconsistent records")),
+                    Err(ChunkError::Gap) => {
                         let held = a.copy.state();
                         self.counts.resyncs += 1;
                         self.queue(now, id, Message::Resync(Feed::Own, held));
@@ -100,10 +100,10 @@
                 }
                 self.wake_link_at(id, now);
             }
-            Message::Lacks(mark) => {
+            Message::Lacks(revision) => {
                 self.counts.resyncs += 1;
                 if let Some(link) = self.links.get_mut(&id) {
-                    (link.settings, link.outgoing) = (*mark, None);
+                    (link.settings, link.outgoing) = (*revision, None);
                 }
                 self.wake_link_at(id, now);
             }
