--- a/crates/crossing/src/account.rs
+++ b/crates/crossing/src/account.rs
@@ -1,8 +1,8 @@
-//! The account: every set-up by class and district of its server.
+//! Counts every set-up by its class and the district of its server.
 //!
-//! A gatekeeper's own district is where every set-up comes from, so the directed pair of districts is told
-//! by the server's alone. At any moment, for each cell and each sum of cells,
-//! `sent = stood + refused + failed + reset + given_up + out`.
+//! Every set-up comes from the district of the gatekeeper, so the district of the server alone gives the
+//! directed pair. At any moment, for each cell and each sum of cells, `sent = established + refused + failed +
+//! reset + given_up + in_flight`.
 
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
@@ -13,34 +13,36 @@
 use crate::window::SlidingWindow;
 use crate::District;
 
-/// What is counted of set-ups; all but the two times are numbers of set-ups or calls.
+/// What is counted of set-ups. All fields but `delay_s` are numbers of set-ups or calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
-    /// Set-ups sent, first tries and further ones alike.
+    /// Set-ups sent, first attempts and further ones alike.
     pub sent: u64,
-    /// Those that stood.
+    /// Set-ups that were established.
     #[serde(rename = "stood")]
     pub established: u64,
-    /// Of those, the ones that stood later than the class's wanted time after the caller's first try.
+    /// Of the established ones, those established later than the goal time of the class after the first attempt
+    /// of the caller.
     pub late: u64,
-    /// Turned back before they ran, or never sent.
+    /// Set-ups that were turned back before they ran, or never sent.
     pub refused: u64,
-    /// Ended in error, without a connection, or over before anyone heard that the call stood.
+    /// Set-ups that ended in an error, without a connection, or before anyone received that the call was
+    /// established.
     pub failed: u64,
-    /// Broken on their way.
+    /// Set-ups that were reset on their way.
     pub reset: u64,
-    /// Timed out, or called off by either side.
+    /// Set-ups that timed out or were cancelled by either side.
     pub given_up: u64,
-    /// Calls that stood and came to their end.
+    /// Standing calls that ended normally.
     pub ended: u64,
-    /// Calls that stood and were cut.
+    /// Standing calls that were cut.
     pub cut: u64,
     /// Set-ups that overdrew a budget.
     #[serde(rename = "bent")]
     pub overdrew: u64,
-    /// Calls turned away for want of a budget; no set-up was sent.
+    /// Calls that were denied because a budget was used up; no set-up was sent.
     pub denied: u64,
-    /// Sum of the set-up delays of those that stood, in seconds.
+    /// The sum of the set-up delays of the established set-ups, in seconds.
     #[serde(rename = "delay")]
     pub delay_s: f64,
 }
@@ -63,13 +65,14 @@
 }
 
 impl Counts {
-    /// Whether all that was sent has ended in one of the ways, or is out.
+    /// Whether each set-up that was sent has ended in one of the ways, or is among the `out` that are in
+    /// flight.
     pub fn balances(&self, out: u64) -> bool {
         self.sent == self.established + self.refused + self.failed + self.reset + self.given_up + out
     }
 }
 
-/// The time that a figure is of.
+/// The time span that a count covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Span {
     /// Since the start.
@@ -86,7 +89,7 @@
     /// All spans.
     pub const ALL: [Span; 4] = [Span::Total, Span::Seconds10, Span::Minute, Span::Minutes10];
 
-    /// Its name, as the command line takes it.
+    /// Returns the name of the span, as the command line takes it.
     pub fn name(self) -> &'static str {
         match self {
             Span::Total => "total",
@@ -96,30 +99,31 @@
         }
     }
 
-    /// The span of a name.
+    /// Returns the span with this name, or `None` if there is none.
     pub fn from_name(name: &str) -> Option<Span> {
         Span::ALL.into_iter().find(|s| s.name() == name)
     }
 }
 
-/// Seconds and slots of the sliding windows, in the order of [`Span::ALL`] after the total.
+/// The length in seconds and the number of slots of each sliding window, in the order of [`Span::ALL`] after
+/// the total.
 const WINDOWS: [(f64, usize); 3] = [(10.0, 10), (60.0, 12), (600.0, 20)];
 
-/// One class towards one district.
+/// The counts of one class towards one district.
 ///
-/// What happens is counted in the running second alone and folded into the rest once that is over: the
-/// windows' slots are whole seconds, so nothing is lost by it, and a decision costs no more than a few
-/// additions.
+/// Events are counted only in the current second and added to the windows once that second is over. The slots
+/// of the windows are whole seconds, so nothing is lost, and a decision costs only a few additions.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Set-ups out now.
+    /// Set-ups in flight.
     pub in_flight: u64,
-    /// Calls standing now.
+    /// Standing calls.
     pub standing: u64,
-    /// Which second is running, and what was counted in it.
+    /// The current second.
     second: i64,
+    /// What was counted in the current second.
     running: Counts,
-    /// What was counted before it.
+    /// What was counted before the current second.
     folded: Counts,
     windows: [SlidingWindow<Counts>; 3],
 }
@@ -131,8 +135,8 @@
         Cell { in_flight: 0, standing: 0, second, running, folded, windows }
     }
 
-    /// The counts of the running second. Time that goes back counts there too.
-    fn now(&mut self, second: i64) -> &mut Counts {
+    /// Returns the counts of the current second. If the clock goes back, events still count there.
+    fn counts_at(&mut self, second: i64) -> &mut Counts {
         if second > self.second {
             self.fold();
             self.second = second;
@@ -149,14 +153,15 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Returns the counts since the start.
     pub fn total(&self) -> Counts {
         let mut total = self.folded;
         total += &self.running;
         total
     }
 
-    /// What was counted in a span. A window counts each thing when it happened.
+    /// Returns the counts in a span that ends at `now`. A window counts each event at the time when it
+    /// happened.
     pub fn counts(&mut self, now: f64, span: Span) -> Counts {
         let window = match span {
             Span::Total => return self.total(),
@@ -174,8 +179,8 @@
     }
 }
 
-/// All cells: a row for each class, a column for each district, and one more of each for what is not known.
-/// A cell takes memory once something was counted in it.
+/// All cells: a row for each class, a column for each district, and one more of each for unknown classes and
+/// districts. A cell takes memory once something was counted in it.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     classes: usize,
@@ -184,13 +189,13 @@
 }
 
 impl Account {
-    /// An empty account of so many classes and districts.
+    /// Creates an empty account of `classes` classes and `districts` districts.
     pub fn new(classes: usize, districts: usize) -> Self {
         Account { classes, districts, cells: vec![None; (classes + 1) * (districts + 1)] }
     }
 
-    /// Takes other numbers of classes and districts; what was counted stays with its class and district, or
-    /// goes to what is not known where there is none of that number any more.
+    /// Changes the numbers of classes and districts. Counts stay with their class and district, or move to the
+    /// unknown ones if that number no longer exists.
     pub fn resize(&mut self, classes: usize, districts: usize) {
         if (classes, districts) == (self.classes, self.districts) {
             return;
@@ -203,13 +208,14 @@
             let (class, column) = (at / columns, at % columns);
             let to = if column == self.districts { District::UNKNOWN } else { District(column as u16) };
             let class = if class == self.classes { usize::MAX } else { class };
-            let place = resized.cell_index(class, to);
-            match &mut resized.cells[place] {
+            let index = resized.cell_index(class, to);
+            match &mut resized.cells[index] {
                 Some(other) => {
                     other.in_flight += cell.in_flight;
                     other.standing += cell.standing;
                     other.folded += &cell.folded;
-                    // Windows of what is no longer known apart would be of no use to anyone.
+                    // The windows are dropped: nobody could use those of cells that are no longer
+                    // distinguished.
                 }
                 empty => *empty = Some(cell),
             }
@@ -217,41 +223,41 @@
         *self = resized;
     }
 
-    /// Where a cell stands; also what other tables of classes and districts go by.
+    /// Returns the index of a cell. Other tables by class and district use it too.
     pub fn cell_index(&self, class: usize, to: District) -> usize {
         class.min(self.classes) * (self.districts + 1) + usize::from(to.0).min(self.districts)
     }
 
     fn cell(&mut self, class: usize, to: District) -> &mut Cell {
-        let place = self.cell_index(class, to);
-        self.cells[place].get_or_insert_with(|| Box::new(Cell::new()))
+        let index = self.cell_index(class, to);
+        self.cells[index].get_or_insert_with(|| Box::new(Cell::new()))
     }
 
-    /// A set-up was sent.
-    pub fn record_sent(&mut self, now: f64, class: usize, to: District, bent: bool) {
+    /// Records that a set-up was sent, and whether it overdrew a budget.
+    pub fn record_sent(&mut self, now: f64, class: usize, to: District, overdrew: bool) {
         let cell = self.cell(class, to);
         cell.in_flight += 1;
-        let counts = cell.now(now as i64);
+        let counts = cell.counts_at(now as i64);
         counts.sent += 1;
-        counts.overdrew += u64::from(bent);
+        counts.overdrew += u64::from(overdrew);
     }
 
-    /// A set-up that was out stood after `delay` seconds.
-    pub fn record_established(&mut self, now: f64, class: usize, to: District, delay: f64, late: bool) {
+    /// Records that a set-up in flight was established after `delay_s` seconds.
+    pub fn record_established(&mut self, now: f64, class: usize, to: District, delay_s: f64, late: bool) {
         let cell = self.cell(class, to);
         cell.in_flight = cell.in_flight.saturating_sub(1);
         cell.standing += 1;
-        let counts = cell.now(now as i64);
+        let counts = cell.counts_at(now as i64);
         counts.established += 1;
         counts.late += u64::from(late);
-        counts.delay_s += delay;
+        counts.delay_s += delay_s;
     }
 
-    /// A set-up that was out ended without standing.
+    /// Records that a set-up in flight ended without being established.
     pub fn record_failed(&mut self, now: f64, class: usize, to: District, outcome: Outcome) {
         let cell = self.cell(class, to);
         cell.in_flight = cell.in_flight.saturating_sub(1);
-        let counts = cell.now(now as i64);
+        let counts = cell.counts_at(now as i64);
         *match outcome {
             Outcome::Full | Outcome::NotSent => &mut counts.refused,
             Outcome::Error | Outcome::ConnectFailed | Outcome::Done => &mut counts.failed,
@@ -260,20 +266,20 @@
         } += 1;
     }
 
-    /// A call that stood is over: by its end, or cut.
+    /// Records that a standing call is over: it ended or was cut.
     pub fn record_call_end(&mut self, now: f64, class: usize, to: District, cut: bool) {
         let cell = self.cell(class, to);
         cell.standing = cell.standing.saturating_sub(1);
-        let counts = cell.now(now as i64);
+        let counts = cell.counts_at(now as i64);
         *if cut { &mut counts.cut } else { &mut counts.ended } += 1;
     }
 
-    /// A call that could only have gone there was turned away for want of a budget.
+    /// Records that a call which could only have gone to this district was denied because a budget was used up.
     pub fn record_denied(&mut self, now: f64, class: usize, to: District) {
-        self.cell(class, to).now(now as i64).denied += 1;
+        self.cell(class, to).counts_at(now as i64).denied += 1;
     }
 
-    /// All cells in which something was counted, by class and district.
+    /// Iterates over all cells in which something was counted, by class and district.
     pub fn cells(&mut self) -> impl Iterator<Item = (usize, District, &mut Cell)> {
         let (districts, columns) = (self.districts, self.districts + 1);
         self.cells.iter_mut().enumerate().filter_map(move |(at, cell)| {
@@ -283,7 +289,8 @@
         })
     }
 
-    /// Whether every cell balances, and every sum over a class, over a district and over all.
+    /// Whether every cell balances, and every sum over a class, over a district and over all; see
+    /// [`Counts::balances`].
     pub fn balances(&self) -> bool {
         type Pick = fn((usize, usize)) -> (Option<usize>, Option<usize>);
         let margins: [Pick; 4] =
--- a/crates/crossing/src/gate.rs
+++ b/crates/crossing/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate: answers the decision module, and keeps account, budgets and bending in step.
+//! Answers the decision module, and keeps account, budgets and overdrafts consistent.
 
 use hollypaddle_policy::{CallId, Candidate, Denial, Event, Gate, ListKind, Outcome, PoolId, Readiness};
 
@@ -9,44 +9,44 @@
 use crate::table::CallTable;
 use crate::District;
 
-/// The reason that a denial carries.
+/// The reason in each denial of this gate.
 pub const DENIAL_REASON: &str = "crossing-budget";
 
-/// What is to be known of a class.
+/// What the gate needs to know of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassInfo {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// The wanted time to stand, in seconds.
+    /// The time within which a call should be established, in seconds.
     pub goal_time_s: f64,
-    /// Whether it may overdraw budgets.
+    /// Whether the class may overdraw budgets.
     pub urgent: bool,
 }
 
-/// What the gate is told at its start, and again when that changes.
+/// The settings of the gate, which may change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The districts' names.
+    /// The names of the districts.
     pub districts: Vec<String>,
-    /// Where this gatekeeper stands.
+    /// The district of this gatekeeper.
     pub own_district: District,
     /// The classes of call.
     pub classes: Vec<ClassInfo>,
-    /// This gatekeeper's part of a figure that is told for the fleet, 0 to 1.
+    /// The fraction of a figure for the whole fleet that this gatekeeper has, 0 to 1.
     pub fleet_share: f64,
-    /// When bending starts and ends.
+    /// When overdrafts start and end.
     pub overdraft: OverdraftSettings,
-    /// The budgets, no two of one scope.
+    /// The budgets, each with its own scope.
     pub rules: Vec<Rule>,
 }
 
 impl Settings {
-    /// A district's name; one that is not known has none of its own.
+    /// Returns the name of a district, or "unknown".
     pub fn district_name(&self, district: District) -> &str {
         self.districts.get(usize::from(district.0)).map_or("unknown", String::as_str)
     }
 
-    /// A class's name.
+    /// Returns the name of a class, or "unknown".
     pub fn class_name(&self, class: usize) -> &str {
         self.classes.get(class).map_or("unknown", |c| c.name.as_str())
     }
@@ -56,58 +56,58 @@
     }
 }
 
-/// A set-up that is out, or the call that stood by it.
+/// A set-up in flight, or the call that it established.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenSetUp {
     debit: Debit,
     first_tried: f64,
-    stood: bool,
+    established: bool,
 }
 
-/// Account, budgets and bending of one gatekeeper.
+/// The account, budgets and overdrafts of one gatekeeper.
 #[derive(Clone, Debug)]
 pub struct Crossing {
     pub(crate) settings: Settings,
     pub(crate) account: Account,
     pub(crate) budgets: Budgets,
-    /// By class; only urgent ones bend.
+    /// By class; only urgent classes have one.
     pub(crate) overdrafts: Vec<Option<OverdraftState>>,
-    /// Where the listed servers stand, in the order of their ids.
-    places: Vec<(PoolId, District)>,
-    /// No more than the calls that the front holds.
-    open: CallTable<Open>,
-    /// The last answer: to which attempt, where and when, and whether it was to overdraw. What was let pass
-    /// is sent at once, and need not be asked again.
-    answered: Option<(CallId, PoolId, District, f64, bool)>,
-    /// The attempt whose want of an open pool was last noted, so that it is noted once.
-    noted: Option<(CallId, u32)>,
-    /// The attempt and the budget that last held it back: what a shared rate is asked for counts once an attempt, also
-    /// where the call then goes elsewhere.
-    asked: Option<(CallId, u32, Scope)>,
+    /// The districts of the listed servers, sorted by pool id.
+    pool_districts: Vec<(PoolId, District)>,
+    /// The open set-ups and standing calls, no more than the gatekeeper holds.
+    open: CallTable<OpenSetUp>,
+    /// The last permission: for which call and pool, its district, when, and whether it overdraws. A set-up
+    /// that was permitted is sent at once and need not be checked again.
+    last_answer: Option<(CallId, PoolId, District, f64, bool)>,
+    /// The attempt for which a closed own district was last recorded, so that it is recorded once.
+    last_blocked: Option<(CallId, u32)>,
+    /// The attempt that a budget last held back, and the scope of that budget. An attempt counts once in the
+    /// demand for a shared rate, also if the call then goes elsewhere.
+    last_held_back: Option<(CallId, u32, Scope)>,
     pub(crate) started_at: f64,
 }
 
 impl Crossing {
-    /// An empty account, budgets with empty bursts.
+    /// Creates the gate with an empty account, and budgets with empty bursts.
     pub fn new(settings: Settings, now: f64) -> Self {
         let mut crossing = Crossing {
             settings: Settings { rules: Vec::new(), ..settings.clone() },
             account: Account::new(settings.classes.len(), settings.districts.len()),
             budgets: Budgets::default(),
             overdrafts: Vec::new(),
-            places: Vec::new(),
+            pool_districts: Vec::new(),
             open: CallTable::default(),
-            answered: None,
-            noted: None,
-            asked: None,
+            last_answer: None,
+            last_blocked: None,
+            last_held_back: None,
             started_at: now,
         };
         crossing.update_settings(settings, now);
         crossing
     }
 
-    /// Takes new settings while traffic goes on. The account stays; budgets of a scope that is still there
-    /// keep what they hold and owe, cut to their new bounds; new ones begin with an empty burst.
+    /// Applies new settings while traffic goes on. The account is kept. Budgets of a scope that stays keep
+    /// tokens and debt within their new bounds; new ones begin with an empty burst.
     pub fn update_settings(&mut self, settings: Settings, now: f64) {
         let open: Vec<Debit> = self.open.values().map(|o| o.debit).collect();
         let (classes, districts) = (settings.classes.len(), settings.districts.len());
@@ -121,169 +121,174 @@
             districts,
         };
         self.budgets.set_rules(setting, now, &open);
-        self.answered = None;
+        self.last_answer = None;
         let mut before = std::mem::take(&mut self.overdrafts);
         before.resize(settings.classes.len(), None);
         self.overdrafts = (settings.classes.iter().zip(before))
             .map(|(class, before)| match (class.urgent, before) {
                 (false, _) => None,
                 (true, None) => Some(OverdraftState::new(settings.overdraft, now)),
-                (true, Some(mut bending)) => {
-                    bending.update_settings(settings.overdraft);
-                    Some(bending)
+                (true, Some(mut overdraft)) => {
+                    overdraft.update_settings(settings.overdraft);
+                    Some(overdraft)
                 }
             })
             .collect();
         self.settings = settings;
     }
 
-    /// The settings in force.
+    /// Returns the present settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The account.
+    /// Returns the account.
     pub fn account(&mut self) -> &mut Account {
         &mut self.account
     }
 
-    /// The budgets.
+    /// Returns the budgets.
     pub fn budgets(&mut self) -> &mut Budgets {
         &mut self.budgets
     }
 
-    /// What the traffic of each budget asks whose rate is the fleet's, with the scope in the words of the configuration,
-    /// as every gatekeeper has them.
+    /// Returns the demand for each rate that is shared by the fleet, with the scope as the configuration writes
+    /// it, which is the same at every gatekeeper.
     pub fn demands(&mut self, now: f64) -> Vec<(String, BudgetDemand)> {
         let settings = &self.settings;
-        let asks = self.budgets.iter_mut().filter_map(|budget| budget.demand(now));
-        asks.map(|asks| (scope_name(settings, &asks.scope), asks)).collect()
+        let demands = self.budgets.iter_mut().filter_map(|budget| budget.demand(now));
+        demands.map(|demand| (scope_name(settings, &demand.scope), demand)).collect()
     }
 
-    /// Tells the budget of a scope what it may use of the fleet's rate: what is left of its own part, and what others
-    /// lend, until when and how much.
+    /// Sets the part of the fleet rate that the budget of a scope may use: what is left of its own part, and
+    /// the leases of others, each with the time at which it ends and its part.
     pub fn set_fleet_share(&mut self, now: f64, scope: &Scope, own: f64, leases: Vec<(f64, f64)>) {
         if let Some(budget) = self.budgets.iter_mut().find(|budget| budget.rule().scope == *scope) {
             budget.set_fleet_share(now, own, leases);
         }
     }
 
-    /// Each budget goes back to its own part.
+    /// Returns each budget to its own part.
     pub fn clear_fleet_shares(&mut self, now: f64) {
         self.budgets.iter_mut().for_each(|budget| budget.clear_fleet_share(now));
     }
 
-    /// Whether a class bends at this time.
+    /// Whether a class may overdraw budgets at this time.
     pub fn may_overdraw(&mut self, now: f64, class: usize) -> bool {
         self.overdrafts.get_mut(class).and_then(Option::as_mut).is_some_and(|b| b.is_active(now))
     }
 
-    /// Set-ups out and calls standing that are remembered.
+    /// Returns the number of set-ups in flight and standing calls that are remembered.
     pub fn open_calls(&self) -> usize {
         self.open.len()
     }
 
-    fn place(&self, pool: PoolId) -> District {
-        let at = self.places.binary_search_by_key(&pool, |place| place.0);
-        at.map_or(District::UNKNOWN, |at| self.places[at].1)
+    fn district_of(&self, pool: PoolId) -> District {
+        let at = self.pool_districts.binary_search_by_key(&pool, |entry| entry.0);
+        at.map_or(District::UNKNOWN, |at| self.pool_districts[at].1)
     }
 
-    /// Whether a crossing fits its budget, or may overdraw it; else when to come back.
-    fn allowed(&mut self, now: f64, candidate: &Candidate, to: District) -> Result<bool, f64> {
+    /// Checks a set-up against its budget. `Ok(true)` means that it overdraws the budget; the error is the time
+    /// in seconds after which to retry.
+    fn check_budget(&mut self, now: f64, candidate: &Candidate, to: District) -> Result<bool, f64> {
         let own = self.settings.own_district;
         if !crosses(own, to) {
             return Ok(false);
         }
-        let bends = candidate.last_resort && self.may_overdraw(now, candidate.class);
-        let place = self.account.cell_index(candidate.class, to);
-        let Some(budget) = self.budgets.deciding(place) else { return Ok(false) };
+        let may_overdraw = candidate.last_resort && self.may_overdraw(now, candidate.class);
+        let cell = self.account.cell_index(candidate.class, to);
+        let Some(budget) = self.budgets.deciding(cell) else { return Ok(false) };
         match budget.check(now) {
             Ok(()) => Ok(false),
-            Err(_) if bends && budget.may_overdraw(now) => Ok(true),
+            Err(_) if may_overdraw && budget.may_overdraw(now) => Ok(true),
             Err(wait) => {
-                let asked = Some((candidate.call, candidate.attempt, budget.rule().scope));
-                if self.asked != asked {
+                let held_back = Some((candidate.call, candidate.attempt, budget.rule().scope));
+                if self.last_held_back != held_back {
                     budget.record_demand(now);
-                    self.asked = asked;
+                    self.last_held_back = held_back;
                 }
                 Err(wait)
             }
         }
     }
 
-    fn note(&mut self, now: f64, class: usize, closed: bool) {
-        if let Some(bending) = self.overdrafts.get_mut(class).and_then(Option::as_mut) {
-            bending.record(now, closed);
+    fn record_own_district(&mut self, now: f64, class: usize, closed: bool) {
+        if let Some(overdraft) = self.overdrafts.get_mut(class).and_then(Option::as_mut) {
+            overdraft.record(now, closed);
         }
     }
 
-    /// A list names servers, and where they stand; one that moves counts there from its next set-up on.
-    fn listed(&mut self, kind: ListKind, entries: &[hollypaddle_policy::PoolEntry]) {
+    /// Applies a list of servers and their districts. If a server moves, it counts in its new district from its
+    /// next set-up on.
+    fn apply_list(&mut self, kind: ListKind, entries: &[hollypaddle_policy::PoolEntry]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.places.clear();
+            self.pool_districts.clear();
         }
         for entry in entries {
             let known = entry.district.filter(|d| usize::from(*d) < self.settings.districts.len());
             let district = known.map_or(District::UNKNOWN, District);
-            let at = self.places.binary_search_by_key(&entry.pool, |place| place.0);
+            let at = self.pool_districts.binary_search_by_key(&entry.pool, |entry| entry.0);
             match (at, entry.readiness) {
-                (Ok(at), Readiness::Gone) => drop(self.places.remove(at)),
+                (Ok(at), Readiness::Gone) => drop(self.pool_districts.remove(at)),
                 (Err(_), Readiness::Gone) => {}
-                (Ok(at), _) => self.places[at].1 = district,
-                (Err(at), _) => self.places.insert(at, (entry.pool, district)),
+                (Ok(at), _) => self.pool_districts[at].1 = district,
+                (Err(at), _) => self.pool_districts.insert(at, (entry.pool, district)),
             }
         }
     }
 
-    fn stood(&mut self, now: f64, call: CallId, lag: f64) {
-        let Some(open) = self.open.get_mut(call).filter(|o| !o.stood) else { return };
-        open.stood = true;
+    fn record_established(&mut self, now: f64, call: CallId, delay_s: f64) {
+        let Some(open) = self.open.get_mut(call).filter(|o| !o.established) else { return };
+        open.established = true;
         let Debit { class, to, .. } = open.debit;
         let goal = self.settings.classes.get(class).map_or(f64::INFINITY, |c| c.goal_time_s);
-        let lag = if lag.is_finite() { lag.max(0.0) } else { 0.0 };
-        self.account.record_established(now, class, to, lag, now - open.first_tried > goal);
+        let delay_s = if delay_s.is_finite() { delay_s.max(0.0) } else { 0.0 };
+        self.account.record_established(now, class, to, delay_s, now - open.first_tried > goal);
     }
 
-    fn over(&mut self, now: f64, call: CallId, outcome: Outcome) {
+    fn record_end(&mut self, now: f64, call: CallId, outcome: Outcome) {
         if let Some(open) = self.open.remove(call) {
-            self.closed(now, open, outcome);
+            self.close(now, open, outcome);
         }
     }
 
-    fn closed(&mut self, now: f64, open: Open, outcome: Outcome) {
-        let Open { debit, stood, .. } = open;
-        match stood {
+    fn close(&mut self, now: f64, open: OpenSetUp, outcome: Outcome) {
+        let OpenSetUp { debit, established, .. } = open;
+        match established {
             true => {
                 let cut = !matches!(outcome, Outcome::Done | Outcome::Cancelled);
                 self.account.record_call_end(now, debit.class, debit.to, cut);
             }
             false => self.account.record_failed(now, debit.class, debit.to, outcome),
         }
-        let place = self.account.cell_index(debit.class, debit.to);
-        self.budgets.record_end(now, place, &debit, !stood && never_ran(outcome));
+        let cell = self.account.cell_index(debit.class, debit.to);
+        self.budgets.record_end(now, cell, &debit, !established && never_ran(outcome));
     }
 }
 
 impl Gate for Crossing {
     fn on_event(&mut self, now: f64, event: &Event) {
         match event {
-            Event::List { kind, entries } => self.listed(*kind, entries),
-            Event::Established { call, delay, .. } => self.stood(now, *call, *delay),
-            Event::Ended { call, outcome, .. } => self.over(now, *call, *outcome),
+            Event::List { kind, entries } => self.apply_list(*kind, entries),
+            Event::Established { call, delay, .. } => self.record_established(now, *call, *delay),
+            Event::Ended { call, outcome, .. } => self.record_end(now, *call, *outcome),
             _ => {}
         }
     }
 
     fn may_send(&mut self, now: f64, candidate: &Candidate) -> Result<(), Denial> {
         let attempt = (candidate.call, candidate.attempt);
-        if candidate.last_resort && self.settings.urgent(candidate.class) && self.noted != Some(attempt) {
-            self.noted = Some(attempt);
-            self.note(now, candidate.class, true);
+        if candidate.last_resort
+            && self.settings.urgent(candidate.class)
+            && self.last_blocked != Some(attempt)
+        {
+            self.last_blocked = Some(attempt);
+            self.record_own_district(now, candidate.class, true);
         }
-        let to = self.place(candidate.pool);
-        match self.allowed(now, candidate, to) {
+        let to = self.district_of(candidate.pool);
+        match self.check_budget(now, candidate, to) {
             Ok(overdraws) => {
-                self.answered = Some((candidate.call, candidate.pool, to, now, overdraws));
+                self.last_answer = Some((candidate.call, candidate.pool, to, now, overdraws));
                 Ok(())
             }
             Err(retry_after) => Err(Denial { reason: DENIAL_REASON, retry_after }),
@@ -292,33 +297,33 @@
 
     fn on_sent(&mut self, now: f64, candidate: &Candidate) {
         let (from, class) = (self.settings.own_district, candidate.class);
-        let (to, overdraws) = match self.answered.take() {
+        let (to, overdraws) = match self.last_answer.take() {
             Some((call, pool, to, at, overdraws))
                 if (call, pool, at) == (candidate.call, candidate.pool, now) =>
             {
                 (to, overdraws)
             }
             _ => {
-                let to = self.place(candidate.pool);
-                (to, self.allowed(now, candidate, to) == Ok(true))
+                let to = self.district_of(candidate.pool);
+                (to, self.check_budget(now, candidate, to) == Ok(true))
             }
         };
-        let place = self.account.cell_index(class, to);
-        let bent = match overdraws {
-            true => self.budgets.deciding(place).map(|b| b.rule().scope),
+        let cell = self.account.cell_index(class, to);
+        let overdrew = match overdraws {
+            true => self.budgets.deciding(cell).map(|b| b.rule().scope),
             false => None,
         };
         if from == to {
-            self.note(now, class, false);
+            self.record_own_district(now, class, false);
         }
-        let debit =
-            Debit { sent_at: now, generation: self.budgets.generation(), from, to, class, overdrew: bent };
+        let debit = Debit { sent_at: now, generation: self.budgets.generation(), from, to, class, overdrew };
         self.account.record_sent(now, class, to, overdraws);
-        self.budgets.record_sent(place, &debit);
-        let open = Open { debit, first_tried: candidate.first_tried, stood: false };
-        // Each attempt's end is told before the next is sent; were one not, it must not stay out for ever.
+        self.budgets.record_sent(cell, &debit);
+        let open = OpenSetUp { debit, first_tried: candidate.first_tried, established: false };
+        // The end of each attempt is reported before the next one is sent. If one is missing, the set-up must
+        // not stay in flight for ever.
         if let Some(before) = self.open.insert(candidate.call, open) {
-            self.closed(now, before, Outcome::Cancelled);
+            self.close(now, before, Outcome::Cancelled);
         }
     }
 
@@ -326,10 +331,10 @@
         if denial.reason != DENIAL_REASON {
             return;
         }
-        let to = self.place(candidate.pool);
+        let to = self.district_of(candidate.pool);
         self.account.record_denied(now, candidate.class, to);
-        let place = self.account.cell_index(candidate.class, to);
-        if let Some(budget) = self.budgets.deciding(place) {
+        let cell = self.account.cell_index(candidate.class, to);
+        if let Some(budget) = self.budgets.deciding(cell) {
             budget.record_denied();
         }
     }
--- a/crates/crossing/src/overdraft.rs
+++ b/crates/crossing/src/overdraft.rs
@@ -1,23 +1,24 @@
-//! When an urgent class may overdraw a budget.
+//! Decides when an urgent class may overdraw a budget.
 //!
-//! The evidence is what becomes of the urgent class's own set-ups: each that finds a pool of the own
-//! district open speaks against bending, each for which a spent budget is the only thing between it and a
-//! server speaks for it. The share of the latter in a sliding window starts the bending at one threshold
-//! and ends it at a lower one, so that a server at the edge does not flap it.
+//! The evidence is what happens to the set-ups of the urgent class. Each set-up that finds an open pool in the
+//! own district counts against the overdraft; each for which a used-up budget is the only obstacle to a server
+//! counts for it. When the ratio of the latter in a sliding window reaches one threshold the overdraft starts,
+//! and at a lower threshold it ends, so that a server at its limit does not make it flap.
 
 use crate::window::SlidingWindow;
 
-/// Slots of the window.
-const SLOTS: usize = 10;
+/// The number of slots of the sliding window.
+const WINDOW_SLOTS: usize = 10;
 
-/// When bending starts and ends.
+/// When an overdraft starts and ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverdraftSettings {
-    /// The sliding window, in seconds.
+    /// The length of the sliding window, in seconds.
     pub window_s: f64,
-    /// RatioLimit of the class's set-ups that find the own district closed from which on it bends, 0 to 1.
+    /// The ratio of the set-ups of the class that find the own district closed from which on the overdraft is
+    /// active, 0 to 1.
     pub start_ratio: f64,
-    /// RatioLimit at which bending ends; below `start`.
+    /// The ratio at which the overdraft ends; below `start_ratio`.
     pub end_ratio: f64,
 }
 
@@ -27,71 +28,73 @@
     }
 }
 
-/// The state for one urgent class.
+/// Whether one urgent class may overdraw budgets, and the evidence.
 #[derive(Clone, Debug)]
 pub struct OverdraftState {
     settings: OverdraftSettings,
     /// Set-ups that found the own district open, and closed.
-    seen: SlidingWindow<(u32, u32)>,
-    on: bool,
-    /// When it last started or ended, and how often it started.
-    since: f64,
-    times: u64,
+    attempts: SlidingWindow<(u32, u32)>,
+    active: bool,
+    /// When the overdraft last started or ended, in seconds.
+    changed_at: f64,
+    /// How often the overdraft has started.
+    starts: u64,
 }
 
 impl OverdraftState {
-    /// Not bending, nothing seen.
+    /// Creates the state without an overdraft and without evidence.
     pub fn new(settings: OverdraftSettings, now: f64) -> Self {
         OverdraftState {
             settings,
-            seen: SlidingWindow::new(settings.window_s, SLOTS),
-            on: false,
-            since: now,
-            times: 0,
+            attempts: SlidingWindow::new(settings.window_s, WINDOW_SLOTS),
+            active: false,
+            changed_at: now,
+            starts: 0,
         }
     }
 
-    /// Takes new settings; what was seen is kept where the window stays the same.
+    /// Applies new settings. The evidence is kept if the window stays the same.
     pub fn update_settings(&mut self, settings: OverdraftSettings) {
         if settings.window_s != self.settings.window_s {
-            self.seen = SlidingWindow::new(settings.window_s, SLOTS);
+            self.attempts = SlidingWindow::new(settings.window_s, WINDOW_SLOTS);
         }
         self.settings = settings;
     }
 
-    /// A set-up of the class found the own district open, or closed.
+    /// Records that a set-up of the class found the own district open or closed.
     pub fn record(&mut self, now: f64, closed: bool) {
-        let slot = self.seen.current_slot(now);
+        let slot = self.attempts.current_slot(now);
         match closed {
             true => slot.1 = slot.1.saturating_add(1),
             false => slot.0 = slot.0.saturating_add(1),
         }
-        self.judge(now);
+        self.update_active(now);
     }
 
-    /// Whether the class bends at this time.
+    /// Whether the class may overdraw budgets at this time.
     pub fn is_active(&mut self, now: f64) -> bool {
-        self.seen.advance(now);
-        self.judge(now);
-        self.on
+        self.attempts.advance(now);
+        self.update_active(now);
+        self.active
     }
 
-    fn judge(&mut self, now: f64) {
+    fn update_active(&mut self, now: f64) {
         let pressure = self.blocked_ratio();
-        let turns = match self.on {
+        let switches = match self.active {
             false => pressure > 0.0 && pressure >= self.settings.start_ratio,
             true => pressure <= self.settings.end_ratio,
         };
-        if turns {
-            (self.on, self.since) = (!self.on, now);
-            self.times += u64::from(self.on);
+        if switches {
+            (self.active, self.changed_at) = (!self.active, now);
+            self.starts += u64::from(self.active);
         }
     }
 
-    /// RatioLimit of the class's set-ups in the window that found the own district closed; 0 without any.
+    /// Returns the ratio of the set-ups of the class in the window that found the own district closed, or 0
+    /// without any.
     pub fn blocked_ratio(&self) -> f64 {
         let (open, closed) = self
-            .seen
+            .attempts
             .covered_slots()
             .fold((0.0, 0.0), |s, (_, c)| (s.0 + f64::from(c.0), s.1 + f64::from(c.1)));
         if closed > 0.0 {
@@ -101,9 +104,9 @@
         }
     }
 
-    /// When it last started or ended, and how often it has started.
+    /// Returns when the overdraft last started or ended, in seconds, and how often it has started.
     pub fn history(&self) -> (f64, u64) {
-        (self.since, self.times)
+        (self.changed_at, self.starts)
     }
 }
 
@@ -111,27 +114,27 @@
 mod tests {
     use super::*;
 
-    /// Guards against a class that waits for evidence while its calls are lost, against one that flaps with
-    /// a server at the edge, and against one that never ends.
+    /// Guards against a class that waits for evidence while its calls are lost, against an overdraft that flaps
+    /// with a server at its limit, and against one that never ends.
     #[test]
-    fn it_starts_at_once_stays_on_at_the_edge_and_ends_within_two_windows() {
-        let mut bending = OverdraftState::new(OverdraftSettings::default(), 0.0);
-        (0..8).for_each(|n| bending.record(f64::from(n), false));
-        assert!(!bending.is_active(8.0));
-        bending.record(8.0, true);
-        assert!(bending.is_active(8.0), "one in nine is over a tenth");
-        // At the edge every tenth set-up finds the district closed.
+    fn overdraft_starts_at_once_stays_active_at_the_threshold_and_ends_within_two_windows() {
+        let mut overdraft = OverdraftState::new(OverdraftSettings::default(), 0.0);
+        (0..8).for_each(|n| overdraft.record(f64::from(n), false));
+        assert!(!overdraft.is_active(8.0));
+        overdraft.record(8.0, true);
+        assert!(overdraft.is_active(8.0), "one in nine exceeds a tenth");
+        // At the limit every tenth set-up finds the district closed.
         for n in 0..600 {
-            bending.record(9.0 + f64::from(n) * 0.1, n % 10 == 0);
-            assert!(bending.is_active(9.0 + f64::from(n) * 0.1));
+            overdraft.record(9.0 + f64::from(n) * 0.1, n % 10 == 0);
+            assert!(overdraft.is_active(9.0 + f64::from(n) * 0.1));
         }
-        assert_eq!(bending.history().1, 1);
+        assert_eq!(overdraft.history().1, 1);
         let recovered = 69.0;
-        (0..100).for_each(|n| bending.record(recovered + f64::from(n) * 0.1, false));
-        assert!(!bending.is_active(recovered + 10.0));
-        // Nor does it stay on for want of calls.
-        bending.record(90.0, true);
-        assert!(bending.is_active(90.0) && !bending.is_active(101.0));
-        assert_eq!(bending.history(), (101.0, 2));
+        (0..100).for_each(|n| overdraft.record(recovered + f64::from(n) * 0.1, false));
+        assert!(!overdraft.is_active(recovered + 10.0));
+        // It also ends when there are no calls.
+        overdraft.record(90.0, true);
+        assert!(overdraft.is_active(90.0) && !overdraft.is_active(101.0));
+        assert_eq!(overdraft.history(), (101.0, 2));
     }
 }
--- a/crates/crossing/src/report.rs
+++ b/crates/crossing/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators see: plain rows, to be printed as a table or as JSON.
+//! Builds the report for operators: plain rows that are printed as a table or as JSON.
 
 use std::collections::BTreeMap;
 
@@ -14,27 +14,28 @@
 pub struct Row {
     /// The class; "all" in a sum over classes.
     pub class: String,
-    /// The gatekeeper's district.
+    /// The district of the gatekeeper.
     pub from: String,
-    /// The servers' district; "all" in a sum over districts, "abroad" in one over those crossed to.
+    /// The district of the servers; "all" in a sum over districts, "abroad" in a sum over the districts that
+    /// are crossed to.
     pub to: String,
     /// Whether the set-ups of the row cross.
     pub crosses: bool,
-    /// What was counted.
+    /// The counts.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Set-ups out now.
+    /// Set-ups in flight.
     #[serde(rename = "out")]
     pub in_flight: u64,
-    /// Calls standing now.
+    /// Standing calls.
     pub standing: u64,
-    /// Mean set-up delay of those that stood, in seconds.
+    /// The mean set-up delay of the established set-ups, in seconds.
     #[serde(rename = "mean_delay")]
     pub mean_delay_s: Option<f64>,
-    /// What that is above the mean of the same class in the own district, in seconds.
+    /// By how much `mean_delay_s` exceeds the mean of the same class in the own district, in seconds.
     #[serde(rename = "crossing_delay")]
     pub extra_delay_s: Option<f64>,
-    /// The same, times the set-ups that stood: all that the class paid, in seconds.
+    /// `extra_delay_s` times the established set-ups: all the delay that crossing cost the class, in seconds.
     #[serde(rename = "crossing_delay_paid")]
     pub total_extra_delay_s: Option<f64>,
 }
@@ -42,55 +43,55 @@
 /// One budget.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BudgetRow {
-    /// What it covers, in the words of the configuration.
+    /// What it covers, as the configuration writes it.
     pub scope: String,
-    /// What is left.
+    /// What remains.
     #[serde(flatten)]
-    pub remaining: Remaining,
+    pub left: Remaining,
     /// What it was used for.
     #[serde(flatten)]
     pub used: Used,
 }
 
-/// One urgent class.
+/// The overdraft of one urgent class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OverdraftRow {
     /// The class.
     pub class: String,
-    /// Whether it may overdraw now.
+    /// Whether it may overdraw budgets now.
     #[serde(rename = "bending")]
     pub active: bool,
-    /// RatioLimit of its set-ups in the window that found the own district closed.
+    /// The ratio of its set-ups in the window that found the own district closed.
     #[serde(rename = "pressure")]
     pub blocked_ratio: f64,
-    /// Seconds since it last started or ended.
+    /// The time since the overdraft last started or ended, in seconds.
     #[serde(rename = "since")]
     pub state_age_s: f64,
-    /// How often it started.
+    /// How often the overdraft has started.
     #[serde(rename = "times")]
     pub starts: u64,
 }
 
-/// All of it, at one moment.
+/// The whole report, at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// The span of the counts: `total`, `10s`, `1min` or `10min`.
     pub span: &'static str,
-    /// The own district.
+    /// The district of this gatekeeper.
     pub own: String,
-    /// Seconds since the account began.
+    /// The time since the account began, in seconds.
     #[serde(rename = "age")]
     pub age_s: f64,
     /// The cells, then the sums by class, by district and over all.
     pub rows: Vec<Row>,
     /// The budgets, the narrowest first.
     pub budgets: Vec<BudgetRow>,
-    /// The urgent classes.
+    /// The overdrafts of the urgent classes.
     #[serde(rename = "bending")]
     pub overdrafts: Vec<OverdraftRow>,
 }
 
-/// A scope in the words of the configuration.
+/// Returns a scope as the configuration writes it.
 pub fn scope_name(settings: &Settings, scope: &Scope) -> String {
     let mut words = Vec::new();
     if let Some((from, to)) = scope.pair {
@@ -110,7 +111,7 @@
 }
 
 impl Crossing {
-    /// The report at this time.
+    /// Returns the report at this time, with counts of `span`.
     pub fn report(&mut self, now: f64, span: Span) -> Report {
         let cells: Vec<(usize, District, Counts, u64, u64)> = self
             .account
@@ -118,7 +119,7 @@
             .map(|(c, to, cell)| (c, to, cell.counts(now, span), cell.in_flight, cell.standing))
             .collect();
         let (settings, own) = (&self.settings, self.settings.own_district);
-        let home = |class: usize| cells.iter().find(|c| c.0 == class && c.1 == own).and_then(|c| mean(&c.2));
+        let local = |class: usize| cells.iter().find(|c| c.0 == class && c.1 == own).and_then(|c| mean(&c.2));
         let mut rows = Vec::new();
         type Key = (u8, Option<usize>, Option<District>);
         let mut sums: BTreeMap<Key, Row> = BTreeMap::new();
@@ -136,21 +137,22 @@
         };
         for (class, to, counts, out, standing) in &cells {
             let crossing = crosses(own, *to);
-            let above = mean(counts).zip(home(*class)).filter(|_| crossing).map(|(here, home)| here - home);
-            let paid = above.map(|above| above * counts.established as f64);
+            let extra =
+                mean(counts).zip(local(*class)).filter(|_| crossing).map(|(here, local)| here - local);
+            let total_extra = extra.map(|extra| extra * counts.established as f64);
             let (class_name, to_name) = (settings.class_name(*class), settings.district_name(*to));
             let add = |row: &mut Row| {
                 row.counts += counts;
                 row.in_flight += out;
                 row.standing += standing;
                 row.mean_delay_s = mean(&row.counts);
-                if let Some(paid) = paid {
-                    *row.total_extra_delay_s.get_or_insert(0.0) += paid;
+                if let Some(total_extra) = total_extra {
+                    *row.total_extra_delay_s.get_or_insert(0.0) += total_extra;
                 }
             };
             let mut cell = row(class_name, to_name, crossing);
             add(&mut cell);
-            cell.extra_delay_s = above;
+            cell.extra_delay_s = extra;
             rows.push(cell);
             let mut sum = |key: Key, class: &str, to: &str, crosses: bool| {
                 add(sums.entry(key).or_insert_with(|| row(class, to, crosses)));
@@ -168,7 +170,7 @@
         let budgets = (self.budgets.iter_mut())
             .map(|b| BudgetRow {
                 scope: scope_name(&names, &b.rule().scope),
-                remaining: b.remaining(now),
+                left: b.remaining(now),
                 used: b.used(),
             })
             .collect();
--- a/crates/gatekeeper/tests/crossing.rs
+++ b/crates/gatekeeper/tests/crossing.rs
@@ -440,7 +440,7 @@
     }
     assert!(open_calls.iter().all(|n| *n <= 48 * 6), "{open_calls:?}");
     let report = fleet.report(0);
-    assert!(report.budgets.iter().all(|b| b.remaining.overdrawn <= b.remaining.overdraft));
+    assert!(report.budgets.iter().all(|b| b.left.overdrawn <= b.left.overdraft));
     assert!(report.budgets.iter().map(|b| b.used.denied).sum::<u64>() > 100);
     fleet.check_accounts();
     assert_eq!(fleet.gatekeepers[0].crossing().unwrap().open_calls(), 0);
@@ -465,7 +465,7 @@
         fleet.reload(&conf);
         for gatekeeper in 0..2 {
             let report = fleet.report(gatekeeper);
-            assert!(report.budgets.iter().all(|b| b.remaining.overdrawn <= b.remaining.overdraft.max(4.0)));
+            assert!(report.budgets.iter().all(|b| b.left.overdrawn <= b.left.overdraft.max(4.0)));
             assert!(report.age_s > 5.0, "the account was reset");
         }
     }
