--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,52 +1,52 @@
-//! What is wrong with a file, and where.
+//! Problems in a configuration file, with their locations.
 
 use std::fmt;
 use std::rc::Rc;
 
-/// A place in a file; lines and columns (in characters) count from 1.
+/// A location in a file. Lines and columns count from 1, columns in characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
-    /// The file, as it was named.
+pub struct Location {
+    /// The file, by the path under which it was opened.
     pub file: Rc<str>,
-    /// The line.
+    /// Line number.
     pub line: usize,
-    /// The column.
+    /// Column number.
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
 }
 
-/// One mistake: `FILE:LINE:COLUMN: what is wrong, what was expected`.
+/// A problem, displayed as `FILE:LINE:COLUMN: what is wrong, what was expected`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// Where.
-    pub place: Place,
+    /// Where it is.
+    pub location: Location,
     /// What is wrong, and what was expected.
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.location, self.description)
     }
 }
 
 impl std::error::Error for Problem {}
 
-/// Sorted by place, within each file in the order of its lines; files in the order of their first mistake.
+/// Sorts problems by file, line and column and removes duplicates. Files come in the order of their first problem.
 pub(crate) fn in_order(mut problems: Vec<Problem>) -> Vec<Problem> {
     let mut files: Vec<Rc<str>> = Vec::new();
     for problem in &problems {
-        if !files.contains(&problem.place.file) {
-            files.push(Rc::clone(&problem.place.file));
+        if !files.contains(&problem.location.file) {
+            files.push(Rc::clone(&problem.location.file));
         }
     }
-    let file = |p: &Problem| files.iter().position(|f| *f == p.place.file);
-    problems.sort_by_key(|p| (file(p), p.place.line, p.place.column));
+    let file = |p: &Problem| files.iter().position(|f| *f == p.location.file);
+    problems.sort_by_key(|p| (file(p), p.location.line, p.location.column));
     problems.dedup();
     problems
 }
