--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -66,10 +66,8 @@
             CloseReason::WriteBacklog => {
                 write!(f, "the peer does not read: too many bytes wait to be written")
             }
-            CloseReason::IncompleteMessage => write!(f, "the peer did not complete a message in time"),
-            CloseReason::Unresponsive => {
-                write!(f, "no answers, while the peer answers on another connection")
-            }
+            CloseReason::IncompleteMessage => write!(f, "a message was begun and not ended"),
+            CloseReason::Unresponsive => write!(f, "silent, while answers come on another"),
             CloseReason::UnexpectedMessage(what) => write!(f, "{what}"),
             CloseReason::Idle => write!(f, "idle"),
             CloseReason::Drained => write!(f, "drained"),
