--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -1,17 +1,17 @@
 //! The whole gatekeeper against peers on loopback sockets. Time is skipped, not waited for: a test ends
 //! when what it waits for has come, or fails after a bounded number of turns.
 
-mod connections;
-mod crowds;
-mod cut_messages;
+mod call_ends;
+mod caller_limit;
 mod draining;
-mod ends;
-mod rare;
-mod said;
-mod service;
-mod unread_ends;
+mod link_byte_counts;
+mod listener_handover;
+mod operations;
+mod races;
+mod server_connections;
+mod truncated_messages;
+mod unread_call_ends;
 mod unread_releases;
-mod upgrade;
 
 use std::collections::BTreeSet;
 use std::io::{ErrorKind, Write};
--- a/crates/gatekeeper/src/node/tests/crowds.rs
+++ b/crates/gatekeeper/src/node/tests/caller_limit.rs
@@ -2,7 +2,7 @@
 
 use std::net::Shutdown;
 
-use super::ends::{assert_told_once, ends_told, with_a_call, with_a_call_of};
+use super::call_ends::{assert_told_once, ends_told, with_a_call, with_a_call_of};
 use super::*;
 
 /// Callers enough to take all places several times.
--- a/crates/gatekeeper/src/node/tests/draining.rs
+++ b/crates/gatekeeper/src/node/tests/draining.rs
@@ -1,6 +1,6 @@
 //! A drained gatekeeper lets its callers go.
 
-use super::ends::{assert_told_once, ends_told, with_a_call, with_a_call_of};
+use super::call_ends::{assert_told_once, ends_told, with_a_call, with_a_call_of};
 use super::*;
 
 impl World {
--- a/crates/gatekeeper/src/node/tests/unread_ends.rs
+++ b/crates/gatekeeper/src/node/tests/unread_call_ends.rs
@@ -4,7 +4,7 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-use super::ends::{assert_told_once, ends_told, with_a_call, with_a_call_of, with_an_unread_answer};
+use super::call_ends::{assert_told_once, ends_told, with_a_call, with_a_call_of, with_an_unread_answer};
 use super::*;
 
 /// The call's end is written to its caller's connection and waits there to be read.
