--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -27,16 +27,16 @@
 use super::event_loop::{Gatekeeper, Signals};
 use hollypaddle_platform::message::{cause, code, kind, Message};
 
-const TURNS: usize = 400;
+const MAX_ITERATIONS: usize = 400;
 
-struct World {
-    node: Gatekeeper,
+struct TestBed {
+    gatekeeper: Gatekeeper,
     listeners: Vec<TcpListener>,
     dns: UdpSocket,
     caller: Peer,
     /// What the caller and the servers heard.
-    heard: Vec<Message>,
-    at_servers: Vec<Message>,
+    caller_received: Vec<Message>,
+    servers_received: Vec<Message>,
     servers: Vec<Peer>,
     /// Which server got the set-up of which call.
     set_ups: BTreeSet<(usize, u64)>,
@@ -80,17 +80,17 @@
     hollypaddle_standin::set_up("meter-read", pool, id, wait)
 }
 
-impl World {
-    fn new(servers: usize) -> World {
-        World::with(servers, |_| {})
+impl TestBed {
+    fn new(servers: usize) -> TestBed {
+        TestBed::with_config(servers, |_| {})
     }
 
     /// With a control address.
-    fn controlled(servers: usize) -> World {
-        World::with(servers, |c| c.control = Some("127.0.0.1:0".parse().unwrap()))
+    fn with_control_address(servers: usize) -> TestBed {
+        TestBed::with_config(servers, |c| c.control = Some("127.0.0.1:0".parse().unwrap()))
     }
 
-    fn with(servers: usize, change: impl FnOnce(&mut Config)) -> World {
+    fn with_config(servers: usize, change: impl FnOnce(&mut Config)) -> TestBed {
         let listeners: Vec<TcpListener> =
             (0..servers).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
         listeners.iter().for_each(|l| l.set_nonblocking(true).unwrap());
@@ -98,26 +98,26 @@
         dns.set_nonblocking(true).unwrap();
         let mut config = config(&listeners, &dns);
         change(&mut config);
-        let node = Gatekeeper::new(config).unwrap();
-        let caller = peer(TcpStream::connect(node.address()).unwrap());
-        let (heard, at_servers) = (Vec::new(), Vec::new());
-        let mut world = World {
-            node,
+        let gatekeeper = Gatekeeper::new(config).unwrap();
+        let caller = peer(TcpStream::connect(gatekeeper.address()).unwrap());
+        let (caller_received, servers_received) = (Vec::new(), Vec::new());
+        let mut bed = TestBed {
+            gatekeeper,
             listeners,
             dns,
             caller,
-            heard,
-            at_servers,
+            caller_received,
+            servers_received,
             servers: Vec::new(),
             set_ups: BTreeSet::new(),
         };
-        world.until("the gatekeeper to connect to each server", |w| w.servers.len() >= servers);
-        world
+        bed.run_until("the gatekeeper to connect to each server", |bed| bed.servers.len() >= servers);
+        bed
     }
 
-    fn turn(&mut self) {
-        self.node.run_once().unwrap();
-        let _ = self.caller.read(&mut self.heard);
+    fn run_iteration(&mut self) {
+        self.gatekeeper.run_once().unwrap();
+        let _ = self.caller.read(&mut self.caller_received);
         for listener in &self.listeners {
             match listener.accept() {
                 Ok((stream, _)) => self.servers.push(peer(stream)),
@@ -125,60 +125,66 @@
             }
         }
         for server in &mut self.servers {
-            let before = self.at_servers.len();
-            let _ = server.read(&mut self.at_servers);
-            let here = server.stream().local_addr().unwrap();
-            let n = self.listeners.iter().position(|l| l.local_addr().unwrap() == here).unwrap_or(usize::MAX);
-            let set_ups = self.at_servers[before..].iter().filter(|m| m.kind == kind::SET_UP);
+            let before = self.servers_received.len();
+            let _ = server.read(&mut self.servers_received);
+            let address = server.stream().local_addr().unwrap();
+            let n =
+                self.listeners.iter().position(|l| l.local_addr().unwrap() == address).unwrap_or(usize::MAX);
+            let set_ups = self.servers_received[before..].iter().filter(|m| m.kind == kind::SET_UP);
             self.set_ups.extend(set_ups.map(|m| (n, m.call)));
         }
     }
 
-    fn until(&mut self, what: &str, mut done: impl FnMut(&World) -> bool) {
-        for _ in 0..TURNS {
-            if done(self) {
+    fn run_until(&mut self, what: &str, mut reached: impl FnMut(&TestBed) -> bool) {
+        for _ in 0..MAX_ITERATIONS {
+            if reached(self) {
                 return;
             }
-            self.turn();
+            self.run_iteration();
         }
-        panic!("waited in vain for {what}; caller {:?}, servers {:?}", self.heard, self.at_servers);
+        panic!(
+            "waited in vain for {what}; caller {:?}, servers {:?}",
+            self.caller_received, self.servers_received
+        );
     }
 
-    fn heard(&mut self, id: u64, kind: u8, why: Option<u8>) -> Message {
-        let wanted = |m: &&Message| m.call == id && m.kind == kind && (why.is_none() || m.cause() == why);
-        self.until("a word to the caller", |w| w.heard.iter().any(|m| wanted(&m)));
-        self.heard.iter().find(wanted).unwrap().clone()
+    fn expect_at_caller(&mut self, id: u64, kind: u8, cause: Option<u8>) -> Message {
+        let wanted = |m: &&Message| m.call == id && m.kind == kind && (cause.is_none() || m.cause() == cause);
+        self.run_until("a word to the caller", |bed| bed.caller_received.iter().any(|m| wanted(&m)));
+        self.caller_received.iter().find(wanted).unwrap().clone()
     }
 
-    fn at_servers(&mut self, id: u64, kind: u8) -> Message {
-        self.until("a word to a server", |w| w.at_servers.iter().any(|m| m.call == id && m.kind == kind));
-        self.at_servers.iter().find(|m| m.call == id && m.kind == kind).unwrap().clone()
+    fn expect_at_server(&mut self, id: u64, kind: u8) -> Message {
+        self.run_until("a word to a server", |bed| {
+            bed.servers_received.iter().any(|m| m.call == id && m.kind == kind)
+        });
+        self.servers_received.iter().find(|m| m.call == id && m.kind == kind).unwrap().clone()
     }
 
     /// All servers say it: the gatekeeper must take it from the right one alone.
-    fn servers_say(&mut self, message: &Message) {
+    fn send_from_all_servers(&mut self, message: &Message) {
         for server in &mut self.servers {
             server.send(message).unwrap();
         }
     }
 
-    fn stand(&mut self, id: u64) {
+    fn establish_call(&mut self, id: u64) {
         self.caller.send(&set_up(id, 3000)).unwrap();
-        self.at_servers(id, kind::SET_UP);
-        self.servers_say(&answer(id));
-        assert_eq!(self.heard(id, kind::ANSWER, None).bytes(code::DESCRIPTION), Some(&[9, 9][..]));
+        self.expect_at_server(id, kind::SET_UP);
+        self.send_from_all_servers(&answer(id));
+        assert_eq!(self.expect_at_caller(id, kind::ANSWER, None).bytes(code::DESCRIPTION), Some(&[9, 9][..]));
     }
 
     /// Answers the next question with a list of (server, priority, started in Unix ms), after an answer
     /// to somebody else, a cut one and one that is no message, all of which name no server.
-    fn list(&mut self, position: u32, servers: &[(usize, u16, u64)]) {
+    fn send_server_list(&mut self, position: u32, servers: &[(usize, u16, u64)]) {
         let mut data = [0; 512];
         // Old questions have been forgotten by who asked them.
         while self.dns.recv_from(&mut data).is_ok() {}
         let (n, from) = loop {
-            self.turn();
-            if let Ok(got) = self.dns.recv_from(&mut data) {
-                break got;
+            self.run_iteration();
+            if let Ok(received) = self.dns.recv_from(&mut data) {
+                break received;
             }
         };
         let listed = servers.iter().map(|&(n, priority, started_ms)| Listed {
@@ -198,38 +204,38 @@
         for message in wrong.iter().chain([&answer]) {
             self.dns.send_to(&message.to_vec().unwrap(), from).unwrap();
         }
-        self.pass(0.2);
+        self.run_for(0.2);
     }
 
     /// From now on connections to the only server do not come up: nobody accepts, and all places are taken.
     fn fill_backlog(&mut self) -> (Vec<TcpListener>, Vec<socket2::Socket>) {
         let address = self.listeners[0].local_addr().unwrap();
         socket2::SockRef::from(&self.listeners[0]).listen(4).unwrap();
-        let full = (0..50).map_while(|_| {
+        let pending = (0..50).map_while(|_| {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             socket.set_nonblocking(true).unwrap();
             let up = socket.connect(&address.into()).is_ok() || socket.peer_addr().is_ok();
             up.then_some(socket)
         });
-        let full = full.collect();
-        (self.listeners.drain(..).collect(), full)
+        let pending = pending.collect();
+        (self.listeners.drain(..).collect(), pending)
     }
 
     /// Lets time pass, with turns in between so that nothing is skipped over.
-    fn pass(&mut self, seconds: f64) {
+    fn run_for(&mut self, seconds: f64) {
         let steps = (seconds / 0.1) as usize;
         for _ in 0..steps {
-            self.node.advance_clock(0.1);
-            self.turn();
+            self.gatekeeper.advance_clock(0.1);
+            self.run_iteration();
         }
     }
 }
 
 #[test]
 fn a_call_is_passed_on_unchanged_stands_and_ends() {
-    let mut w = World::new(1);
-    w.stand(1);
-    let seen = w.at_servers(1, kind::SET_UP);
+    let mut bed = TestBed::new(1);
+    bed.establish_call(1);
+    let seen = bed.expect_at_server(1, kind::SET_UP);
     let sent = set_up(1, 3000);
     for code in [code::CLASS, code::NUMBER, code::DESCRIPTION] {
         assert_eq!(seen.bytes(code), sent.bytes(code));
@@ -237,25 +243,25 @@
     assert_eq!(seen.bytes(code::FIGURES), None, "the figures are for the gatekeeper");
     let wait: u32 = seen.text(code::WAIT).unwrap().parse().unwrap();
     assert!((2000..=3000).contains(&wait));
-    w.servers_say(&release(1, cause::NORMAL));
-    w.heard(1, kind::RELEASE, Some(cause::NORMAL));
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
 }
 
 /// Guards against a caller left without an answer, and against one without word of when to return.
 #[test]
 fn a_call_that_no_server_answers_is_refused_at_its_deadline_and_given_up_at_the_server() {
-    let mut w = World::new(1);
-    w.caller.send(&set_up(1, 700)).unwrap();
-    w.at_servers(1, kind::SET_UP);
-    w.node.advance_clock(0.72);
-    let refusal = w.heard(1, kind::RELEASE, Some(cause::CONGESTION));
+    let mut bed = TestBed::new(1);
+    bed.caller.send(&set_up(1, 700)).unwrap();
+    bed.expect_at_server(1, kind::SET_UP);
+    bed.gatekeeper.advance_clock(0.72);
+    let refusal = bed.expect_at_caller(1, kind::RELEASE, Some(cause::CONGESTION));
     assert!(refusal.text(code::RETRY_AFTER).unwrap().parse::<u32>().unwrap() > 0);
-    assert_eq!(w.at_servers(1, kind::RELEASE).cause(), Some(cause::NORMAL));
+    assert_eq!(bed.expect_at_server(1, kind::RELEASE).cause(), Some(cause::NORMAL));
     // The answer crosses the give-up: the call must not stand on at the server.
-    w.at_servers.clear();
-    w.servers_say(&answer(1));
-    w.at_servers(1, kind::RELEASE);
-    assert_eq!(w.heard.len(), 1, "one final answer");
+    bed.servers_received.clear();
+    bed.send_from_all_servers(&answer(1));
+    bed.expect_at_server(1, kind::RELEASE);
+    assert_eq!(bed.caller_received.len(), 1, "one final answer");
 }
 
 /// A server whose processor is full says in parameter 40 how long to wait: no more than single calls go there until one is
@@ -263,53 +269,55 @@
 /// never ends; and against one that makes no sense.
 #[test]
 fn a_full_server_is_left_alone_for_as_long_as_it_says() {
-    for (code, wait, alone) in [
+    for (code, wait, spared) in [
         (code::FULL_WAIT, "1500", true),
         (code::RETRY_AFTER, "1500", false),
         (code::FULL_WAIT, "-1500", false),
         (code::FULL_WAIT, "soon", false),
     ] {
-        let mut w = World::new(2);
-        w.caller.send(&set_up_to(0, 1, 3000)).unwrap();
-        w.at_servers(1, kind::SET_UP);
-        w.servers_say(&hollypaddle_standin::full(1, "throttled").with(code, wait));
-        w.pass(1.0);
+        let mut bed = TestBed::new(2);
+        bed.caller.send(&set_up_to(0, 1, 3000)).unwrap();
+        bed.expect_at_server(1, kind::SET_UP);
+        bed.send_from_all_servers(&hollypaddle_standin::full(1, "throttled").with(code, wait));
+        bed.run_for(1.0);
         for id in 2..12 {
-            w.caller.send(&set_up_to(0, id, 3000)).unwrap();
+            bed.caller.send(&set_up_to(0, id, 3000)).unwrap();
         }
-        w.pass(0.2);
-        let there = w.set_ups.iter().filter(|(server, id)| *server == 0 && *id > 1).count();
-        assert_eq!(there <= 1, alone, "{there} of 10 sent there with {code} {wait}");
+        bed.run_for(0.2);
+        let sent = bed.set_ups.iter().filter(|(server, id)| *server == 0 && *id > 1).count();
+        assert_eq!(sent <= 1, spared, "{sent} of 10 sent there with {code} {wait}");
     }
-    let mut w = World::new(2);
-    w.caller.send(&set_up_to(0, 1, 3000)).unwrap();
-    w.at_servers(1, kind::SET_UP);
-    w.servers_say(&hollypaddle_standin::full(1, "throttled").with(code::FULL_WAIT, "999999999"));
-    w.pass(9.5);
-    w.caller = peer(TcpStream::connect(w.node.address()).unwrap());
+    let mut bed = TestBed::new(2);
+    bed.caller.send(&set_up_to(0, 1, 3000)).unwrap();
+    bed.expect_at_server(1, kind::SET_UP);
+    bed.send_from_all_servers(&hollypaddle_standin::full(1, "throttled").with(code::FULL_WAIT, "999999999"));
+    bed.run_for(9.5);
+    bed.caller = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     for id in 2..12 {
-        w.caller.send(&set_up_to(0, id, 3000)).unwrap();
+        bed.caller.send(&set_up_to(0, id, 3000)).unwrap();
     }
-    w.until("one that goes there again", |w| w.set_ups.iter().any(|(server, id)| *server == 0 && *id > 1));
+    bed.run_until("one that goes there again", |bed| {
+        bed.set_ups.iter().any(|(server, id)| *server == 0 && *id > 1)
+    });
 }
 
 #[test]
 fn bad_input_harms_its_own_connection_or_call_alone() {
-    let mut w = World::new(1);
-    let mut bad = peer(TcpStream::connect(w.node.address()).unwrap());
+    let mut bed = TestBed::new(1);
+    let mut bad = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     let mut raw = bad.stream().try_clone().unwrap();
     raw.write_all(&[0xff; 64]).unwrap();
-    let mut got = Vec::new();
-    for _ in 0..TURNS {
-        w.turn();
-        if bad.read(&mut got).is_err() {
+    let mut received = Vec::new();
+    for _ in 0..MAX_ITERATIONS {
+        bed.run_iteration();
+        if bad.read(&mut received).is_err() {
             break;
         }
     }
-    assert!(bad.read(&mut got).is_err(), "an unreadable message closes its connection");
-    let without = Message::new(kind::SET_UP, 2).with(code::CLASS, "meter-read");
-    w.caller.send(&without).unwrap();
-    w.heard(2, kind::RELEASE, Some(cause::MISSING_PARAMETER));
+    assert!(bad.read(&mut received).is_err(), "an unreadable message closes its connection");
+    let incomplete = Message::new(kind::SET_UP, 2).with(code::CLASS, "meter-read");
+    bed.caller.send(&incomplete).unwrap();
+    bed.expect_at_caller(2, kind::RELEASE, Some(cause::MISSING_PARAMETER));
     let number = "7f3a9c21e0b4d6550";
     for (n, (code, value)) in [
         (code::CLASS, "?"),
@@ -339,109 +347,111 @@
             }
         }
         // Each on a connection of its own, as one that sends many of them is closed.
-        w.caller = peer(TcpStream::connect(w.node.address()).unwrap());
-        w.caller.send(&message).unwrap();
-        w.heard(10 + n as u64, kind::RELEASE, Some(cause::INVALID_PARAMETER));
+        bed.caller = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+        bed.caller.send(&message).unwrap();
+        bed.expect_at_caller(10 + n as u64, kind::RELEASE, Some(cause::INVALID_PARAMETER));
     }
-    assert!(w.at_servers.is_empty(), "nothing of it goes on");
-    w.caller.send(&Message::new(200, 3).with(250, "?")).unwrap();
-    w.caller.send(&Message::new(kind::TEST, 4).caused(0)).unwrap();
-    assert_eq!(w.heard(4, kind::TEST_RESULT, None).cause(), Some(1));
-    w.stand(5);
+    assert!(bed.servers_received.is_empty(), "nothing of it goes on");
+    bed.caller.send(&Message::new(200, 3).with(250, "?")).unwrap();
+    bed.caller.send(&Message::new(kind::TEST, 4).caused(0)).unwrap();
+    assert_eq!(bed.expect_at_caller(4, kind::TEST_RESULT, None).cause(), Some(1));
+    bed.establish_call(5);
 }
 
 /// Guards against callers locked out by others that hold all places: those that say nothing, send half a
 /// request, or asked once and keep their connection. A caller with a set-up open keeps its place.
 #[test]
 fn callers_of_no_use_make_room_and_are_closed_in_time() {
-    let mut w = World::new(1);
-    w.caller.send(&set_up(1, 9000)).unwrap();
-    w.at_servers(1, kind::SET_UP);
-    let connect = |w: &World| peer(TcpStream::connect(w.node.address()).unwrap());
-    let mut others: Vec<Peer> = (0..120).map(|_| connect(&w)).collect();
+    let mut bed = TestBed::new(1);
+    bed.caller.send(&set_up(1, 9000)).unwrap();
+    bed.expect_at_server(1, kind::SET_UP);
+    let connect = |bed: &TestBed| peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+    let mut others: Vec<Peer> = (0..120).map(|_| connect(&bed)).collect();
     let half = [0, 20, kind::SET_UP];
     for mut stream in others.iter().step_by(2).map(|c| c.stream()) {
         stream.write_all(&half).unwrap();
     }
-    w.pass(1.0);
-    w.caller.send(&Message::new(kind::TEST, 2).caused(0)).unwrap();
-    let mut late = connect(&w);
+    bed.run_for(1.0);
+    bed.caller.send(&Message::new(kind::TEST, 2).caused(0)).unwrap();
+    let mut late = connect(&bed);
     late.send(&Message::new(kind::TEST, 3).caused(0)).unwrap();
-    let mut got = Vec::new();
-    w.pass(1.0);
-    late.read(&mut got).unwrap();
-    assert_eq!(got.len(), 1, "one that asks is served beside {} that do not", others.len());
-    w.pass(1.0);
-    assert!(others.iter_mut().all(|c| c.read(&mut got).is_err()), "each is closed in time");
-    w.servers_say(&answer(1));
-    w.heard(1, kind::ANSWER, None);
+    let mut received = Vec::new();
+    bed.run_for(1.0);
+    late.read(&mut received).unwrap();
+    assert_eq!(received.len(), 1, "one that asks is served beside {} that do not", others.len());
+    bed.run_for(1.0);
+    assert!(others.iter_mut().all(|c| c.read(&mut received).is_err()), "each is closed in time");
+    bed.send_from_all_servers(&answer(1));
+    bed.expect_at_caller(1, kind::ANSWER, None);
     // Nor are those kept for good that ask for nothing more, but for one whose caller waits for the end of a call.
-    w.pass(9.0);
-    assert!(late.read(&mut got).is_err() && w.caller.read(&mut got).is_ok());
-    w.servers_say(&release(1, cause::NORMAL));
-    w.heard(1, kind::RELEASE, Some(cause::NORMAL));
-    w.pass(9.0);
-    assert!(late.read(&mut got).is_err() && w.caller.read(&mut got).is_err());
+    bed.run_for(9.0);
+    assert!(late.read(&mut received).is_err() && bed.caller.read(&mut received).is_ok());
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
+    bed.run_for(9.0);
+    assert!(late.read(&mut received).is_err() && bed.caller.read(&mut received).is_err());
 }
 
 /// Guards against the end of a call told to somebody who never had one, and against a second set-up of
 /// an open id that touches the first.
 #[test]
 fn what_concerns_a_call_is_told_to_callers_that_have_calls() {
-    let mut w = World::new(1);
-    let mut stranger = peer(TcpStream::connect(w.node.address()).unwrap());
-    w.stand(1);
-    w.caller.send(&set_up(2, 3000)).unwrap();
-    w.at_servers(2, kind::SET_UP);
-    stranger.send(&set_up(2, 3000)).unwrap();
-    let mut got = Vec::new();
-    w.until("a refusal of the second", |_| stranger.read(&mut got).is_err() || !got.is_empty());
-    assert_eq!(got, [release(2, cause::INVALID_PARAMETER)]);
-    w.servers_say(&answer(2));
-    w.heard(2, kind::ANSWER, None);
-    let mut kept = peer(TcpStream::connect(w.node.address()).unwrap());
-    std::mem::swap(&mut kept, &mut w.caller);
-    w.stand(3);
+    let mut bed = TestBed::new(1);
+    let mut uninvolved = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+    bed.establish_call(1);
+    bed.caller.send(&set_up(2, 3000)).unwrap();
+    bed.expect_at_server(2, kind::SET_UP);
+    uninvolved.send(&set_up(2, 3000)).unwrap();
+    let mut received = Vec::new();
+    bed.run_until("a refusal of the second", |_| {
+        uninvolved.read(&mut received).is_err() || !received.is_empty()
+    });
+    assert_eq!(received, [release(2, cause::INVALID_PARAMETER)]);
+    bed.send_from_all_servers(&answer(2));
+    bed.expect_at_caller(2, kind::ANSWER, None);
+    let mut kept = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+    std::mem::swap(&mut kept, &mut bed.caller);
+    bed.establish_call(3);
     // The first one goes: of those left, one has a call and the stranger is newer.
     drop(kept);
-    let mut newest = peer(TcpStream::connect(w.node.address()).unwrap());
-    w.turn();
-    w.servers_say(&release(1, cause::NORMAL));
-    w.heard(1, kind::RELEASE, Some(cause::NORMAL));
+    let mut newest = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+    bed.run_iteration();
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
     // A second one of an open id on the same connection could only be answered as the first.
     newest.send(&set_up(4, 3000)).unwrap();
     newest.send(&set_up(4, 3000)).unwrap();
-    got.clear();
-    w.until("its end", |_| newest.read(&mut got).is_err());
-    assert!(got.iter().all(|m| m.call == 4 && m.cause() == Some(cause::TEMPORARY_FAILURE)));
+    received.clear();
+    bed.run_until("its end", |_| newest.read(&mut received).is_err());
+    assert!(received.iter().all(|m| m.call == 4 && m.cause() == Some(cause::TEMPORARY_FAILURE)));
 }
 
 #[test]
 fn a_dead_callers_set_ups_are_given_up_and_what_stands_stays() {
-    let mut w = World::new(1);
-    w.stand(1);
-    w.caller.send(&set_up(2, 3000)).unwrap();
-    w.at_servers(2, kind::SET_UP);
-    let other = peer(TcpStream::connect(w.node.address()).unwrap());
-    w.caller = other;
-    w.at_servers(2, kind::RELEASE);
+    let mut bed = TestBed::new(1);
+    bed.establish_call(1);
+    bed.caller.send(&set_up(2, 3000)).unwrap();
+    bed.expect_at_server(2, kind::SET_UP);
+    let other = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+    bed.caller = other;
+    bed.expect_at_server(2, kind::RELEASE);
     // The end of what stands reaches the caller on whatever connection there is.
-    w.servers_say(&release(1, cause::NORMAL));
-    w.pass(0.7);
-    w.heard(1, kind::RELEASE, Some(cause::NORMAL));
-    assert!(!w.heard.iter().any(|m| m.call == 2), "no answer is owed to a caller that has gone");
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.run_for(0.7);
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
+    assert!(!bed.caller_received.iter().any(|m| m.call == 2), "no answer is owed to a caller that has gone");
 }
 
 /// Guards against calls cut by mistake, and against an end that the server could not send at once.
 #[test]
 fn a_lost_connection_cuts_no_call_and_the_end_comes_on_the_next_one() {
-    let mut w = World::new(1);
-    w.stand(1);
-    w.servers.clear();
-    w.until("the next connection", |w| !w.servers.is_empty());
-    assert!(!w.heard.iter().any(|m| m.kind == kind::RELEASE));
-    w.servers_say(&release(1, cause::TEMPORARY_FAILURE));
-    w.heard(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
+    let mut bed = TestBed::new(1);
+    bed.establish_call(1);
+    bed.servers.clear();
+    bed.run_until("the next connection", |bed| !bed.servers.is_empty());
+    assert!(!bed.caller_received.iter().any(|m| m.kind == kind::RELEASE));
+    bed.send_from_all_servers(&release(1, cause::TEMPORARY_FAILURE));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
 }
 
 /// Guards against set-ups left on a connection that a spoilt answer has made useless: it may stay open,
@@ -457,196 +467,205 @@
         (&[1], answer(1)),
     ];
     for (lead, message) in spoilt {
-        let mut w = World::new(1);
-        w.stand(7);
-        w.caller.send(&set_up(1, 9000)).unwrap();
-        w.caller.send(&set_up(2, 9000)).unwrap();
-        w.at_servers(2, kind::SET_UP);
-        let mut old = w.servers.remove(0);
+        let mut bed = TestBed::new(1);
+        bed.establish_call(7);
+        bed.caller.send(&set_up(1, 9000)).unwrap();
+        bed.caller.send(&set_up(2, 9000)).unwrap();
+        bed.expect_at_server(2, kind::SET_UP);
+        let mut old = bed.servers.remove(0);
         old.stream().write_all(lead).unwrap();
         old.send(&message).unwrap();
-        w.pass(0.5);
+        bed.run_for(0.5);
         assert!(old.read(&mut Vec::new()).is_err(), "still open after {message:?}");
-        w.pass(0.5);
-        let again = w.at_servers.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count();
+        bed.run_for(0.5);
+        let again = bed.servers_received.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count();
         assert_eq!(again, 2, "{message:?}");
-        w.servers_say(&answer(2));
-        w.heard(2, kind::ANSWER, None);
-        assert!(!w.heard.iter().any(|m| m.call == 7 && m.kind == kind::RELEASE), "what stands, stands");
+        bed.send_from_all_servers(&answer(2));
+        bed.expect_at_caller(2, kind::ANSWER, None);
+        assert!(
+            !bed.caller_received.iter().any(|m| m.call == 7 && m.kind == kind::RELEASE),
+            "what stands, stands"
+        );
     }
 }
 
 /// Guards against more than belongs to an answer: a second copy, and an answer ahead of its call.
 #[test]
 fn what_a_server_says_too_much_is_passed_over() {
-    let mut w = World::new(1);
-    w.stand(1);
-    w.servers_say(&answer(1));
+    let mut bed = TestBed::new(1);
+    bed.establish_call(1);
+    bed.send_from_all_servers(&answer(1));
     for ahead in [answer(50), release(51, cause::NORMAL).with(code::DESCRIPTION, vec![9])] {
-        w.servers_say(&ahead);
+        bed.send_from_all_servers(&ahead);
     }
-    w.pass(0.5);
-    assert_eq!((w.heard.len(), w.servers.len()), (1, 1), "{:?}", w.heard);
-    assert!(w.at_servers.iter().all(|m| m.kind == kind::SET_UP), "nothing is released");
-    w.stand(50);
+    bed.run_for(0.5);
+    assert_eq!((bed.caller_received.len(), bed.servers.len()), (1, 1), "{:?}", bed.caller_received);
+    assert!(bed.servers_received.iter().all(|m| m.kind == kind::SET_UP), "nothing is released");
+    bed.establish_call(50);
 }
 
 /// Guards against a call set up a second time though it has stood and is over: its answer got lost.
 #[test]
 fn a_call_that_ends_before_its_answer_has_failed_at_once() {
-    let mut w = World::new(2);
-    w.caller.send(&set_up(1, 3000)).unwrap();
-    w.at_servers(1, kind::SET_UP);
-    w.servers_say(&release(1, cause::NORMAL));
-    w.heard(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
-    w.pass(0.5);
-    assert_eq!(w.at_servers.iter().filter(|m| m.kind == kind::SET_UP).count(), 1);
+    let mut bed = TestBed::new(2);
+    bed.caller.send(&set_up(1, 3000)).unwrap();
+    bed.expect_at_server(1, kind::SET_UP);
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
+    bed.run_for(0.5);
+    assert_eq!(bed.servers_received.iter().filter(|m| m.kind == kind::SET_UP).count(), 1);
 }
 
 /// Guards against a connection that stays open and silent while its server is well: callers wait, and the
 /// ends of calls that the server says on it are lost until another connection is opened.
 #[test]
 fn a_connection_that_falls_silent_is_replaced_and_what_is_open_on_it_comes_again() {
-    let mut w = World::new(1);
+    let mut bed = TestBed::new(1);
     // The module knows that the server takes several at once and holds nothing back.
-    (10..20).for_each(|id| w.stand(id));
-    w.servers_say(&Message::new(kind::STATE, 0).with(code::REPORT, "eps:0"));
-    w.turn();
-    w.caller.send(&set_up(2, 9000)).unwrap();
-    w.at_servers(2, kind::SET_UP);
-    w.pass(0.2);
-    assert_eq!(w.servers.len(), 1, "it may be slow");
-    w.pass(0.3);
-    assert_eq!(w.servers.len(), 2);
-    let mut silent = w.servers.remove(0);
-    w.caller.send(&set_up(3, 9000)).unwrap();
-    w.at_servers(3, kind::SET_UP);
+    (10..20).for_each(|id| bed.establish_call(id));
+    bed.send_from_all_servers(&Message::new(kind::STATE, 0).with(code::REPORT, "eps:0"));
+    bed.run_iteration();
+    bed.caller.send(&set_up(2, 9000)).unwrap();
+    bed.expect_at_server(2, kind::SET_UP);
+    bed.run_for(0.2);
+    assert_eq!(bed.servers.len(), 1, "it may be slow");
+    bed.run_for(0.3);
+    assert_eq!(bed.servers.len(), 2);
+    let mut silent = bed.servers.remove(0);
+    bed.caller.send(&set_up(3, 9000)).unwrap();
+    bed.expect_at_server(3, kind::SET_UP);
     assert!(silent.read(&mut Vec::new()).is_ok(), "it may be slow still");
-    w.servers_say(&answer(3));
-    w.heard(3, kind::ANSWER, None);
-    w.pass(0.5);
+    bed.send_from_all_servers(&answer(3));
+    bed.expect_at_caller(3, kind::ANSWER, None);
+    bed.run_for(0.5);
     assert!(silent.read(&mut Vec::new()).is_err(), "what went out later was answered");
-    assert_eq!(w.servers.len(), 2, "another one, for what was said on the silent one");
-    assert_eq!(w.at_servers.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count(), 2);
+    assert_eq!(bed.servers.len(), 2, "another one, for what was said on the silent one");
+    assert_eq!(bed.servers_received.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count(), 2);
 }
 
 /// Guards against a healthy server left out because its new connections were reset a few times.
 #[test]
 fn connections_reset_when_new_are_opened_again_at_once() {
-    let mut w = World::new(1);
-    let before = w.node.now();
+    let mut bed = TestBed::new(1);
+    let before = bed.gatekeeper.now();
     for _ in 0..3 {
-        let reset = w.servers.remove(0);
+        let reset = bed.servers.remove(0);
         socket2::SockRef::from(reset.stream()).set_linger(Some(std::time::Duration::ZERO)).unwrap();
         drop(reset);
-        w.until("another connection", |w| !w.servers.is_empty());
+        bed.run_until("another connection", |bed| !bed.servers.is_empty());
     }
-    assert!(w.node.now() - before < 0.5, "it waited in between");
-    w.stand(1);
+    assert!(bed.gatekeeper.now() - before < 0.5, "it waited in between");
+    bed.establish_call(1);
 }
 
 #[test]
 fn a_server_that_refuses_connections_is_dead_with_its_calls_and_harms_no_other() {
-    let mut w = World::new(2);
-    w.stand(1);
+    let mut bed = TestBed::new(2);
+    bed.establish_call(1);
     // The first listener and its connection go; the call stood at the pool of its first choice, 0.
-    let gone = w.listeners.remove(0).local_addr().unwrap();
-    w.servers.retain(|s| s.stream().local_addr().unwrap() != gone);
-    w.heard(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
-    w.caller.send(&set_up_to(1, 2, 3000)).unwrap();
-    w.at_servers(2, kind::SET_UP);
+    let gone = bed.listeners.remove(0).local_addr().unwrap();
+    bed.servers.retain(|s| s.stream().local_addr().unwrap() != gone);
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
+    bed.caller.send(&set_up_to(1, 2, 3000)).unwrap();
+    bed.expect_at_server(2, kind::SET_UP);
 }
 
 /// Guards against callers that wait for the end of a call at a machine that vanished: it sends nothing,
 /// and its connections stay open.
 #[test]
 fn calls_at_a_server_that_vanished_are_cut_in_time_and_not_before() {
-    let mut w = World::new(1);
-    w.stand(1);
-    let _full = w.fill_backlog();
-    w.pass(5.0);
-    assert!(!w.heard.iter().any(|m| m.kind == kind::RELEASE), "it may only be cut off");
-    w.pass(2.5);
-    w.heard(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
+    let mut bed = TestBed::new(1);
+    bed.establish_call(1);
+    let _full = bed.fill_backlog();
+    bed.run_for(5.0);
+    assert!(!bed.caller_received.iter().any(|m| m.kind == kind::RELEASE), "it may only be cut off");
+    bed.run_for(2.5);
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
 }
 
 /// Guards against set-ups to a server that drains, calls that nobody ends after a replacement, and
 /// answers that are not the list.
 #[test]
 fn the_list_drains_restarts_and_removes_servers() {
-    let mut w = World::new(2);
-    w.stand(1);
-    w.list(2, &[(0, 1, 0), (1, 0, 0)]);
-    w.caller.send(&set_up(2, 300)).unwrap();
-    w.pass(0.4);
-    w.heard(2, kind::RELEASE, None);
-    assert!(!w.heard.iter().any(|m| m.call == 1 && m.kind == kind::RELEASE), "a drain cuts nothing");
-    assert!(!w.set_ups.contains(&(0, 2)), "sent to a server that drains");
-    let started = (w.node.now() * 1000.0) as u64 + 50;
-    w.list(3, &[(0, 0, started), (1, 0, 0)]);
-    w.heard(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
+    let mut bed = TestBed::new(2);
+    bed.establish_call(1);
+    bed.send_server_list(2, &[(0, 1, 0), (1, 0, 0)]);
+    bed.caller.send(&set_up(2, 300)).unwrap();
+    bed.run_for(0.4);
+    bed.expect_at_caller(2, kind::RELEASE, None);
+    assert!(
+        !bed.caller_received.iter().any(|m| m.call == 1 && m.kind == kind::RELEASE),
+        "a drain cuts nothing"
+    );
+    assert!(!bed.set_ups.contains(&(0, 2)), "sent to a server that drains");
+    let started = (bed.gatekeeper.now() * 1000.0) as u64 + 50;
+    bed.send_server_list(3, &[(0, 0, started), (1, 0, 0)]);
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
     // Warm again, so that the module sends it calls.
-    w.pass(15.0);
-    w.caller = peer(TcpStream::connect(w.node.address()).unwrap());
-    w.stand(3);
+    bed.run_for(15.0);
+    bed.caller = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
+    bed.establish_call(3);
     // An older list is no news.
-    w.list(2, &[(1, 0, 0)]);
-    assert!(!w.heard.iter().any(|m| m.call == 3 && m.kind == kind::RELEASE));
-    w.list(4, &[(1, 0, 0)]);
-    w.heard(3, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
+    bed.send_server_list(2, &[(1, 0, 0)]);
+    assert!(!bed.caller_received.iter().any(|m| m.call == 3 && m.kind == kind::RELEASE));
+    bed.send_server_list(4, &[(1, 0, 0)]);
+    bed.expect_at_caller(3, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
 }
 
 /// Guards against a connect that comes to nothing while the server speaks: it must not keep set-ups
 /// from the connection that works.
 #[test]
 fn a_server_that_speaks_gets_set_ups_though_a_new_connection_does_not_come_up() {
-    let mut w = World::new(1);
-    w.stand(1);
-    let _full = w.fill_backlog();
+    let mut bed = TestBed::new(1);
+    bed.establish_call(1);
+    let _full = bed.fill_backlog();
     // Quiet for long enough that a second connection is on its way, then it speaks.
-    w.pass(1.8);
-    w.servers_say(&Message::new(kind::STATE, 0).with(code::REPORT, "x0:12;x1:40"));
-    w.pass(0.6);
-    w.caller.send(&set_up(2, 3000)).unwrap();
-    w.turn();
-    w.turn();
-    assert!(w.at_servers.iter().any(|m| m.call == 2 && m.kind == kind::SET_UP), "it is not sent at once");
+    bed.run_for(1.8);
+    bed.send_from_all_servers(&Message::new(kind::STATE, 0).with(code::REPORT, "x0:12;x1:40"));
+    bed.run_for(0.6);
+    bed.caller.send(&set_up(2, 3000)).unwrap();
+    bed.run_iteration();
+    bed.run_iteration();
+    assert!(
+        bed.servers_received.iter().any(|m| m.call == 2 && m.kind == kind::SET_UP),
+        "it is not sent at once"
+    );
 }
 
 #[test]
 fn sigterm_sees_open_calls_through_and_ends() {
-    let mut w = World::new(1);
-    w.caller.send(&set_up(1, 1000)).unwrap();
-    w.at_servers(1, kind::SET_UP);
+    let mut bed = TestBed::new(1);
+    bed.caller.send(&set_up(1, 1000)).unwrap();
+    bed.expect_at_server(1, kind::SET_UP);
     let signals = Signals::default();
     signals.stop.store(true, Ordering::Relaxed);
     // Nobody answers: the deadline does, and then nothing is left to wait for.
-    w.node.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
-    w.heard(1, kind::RELEASE, Some(cause::CONGESTION));
+    bed.gatekeeper.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::CONGESTION));
 }
 
 /// Guards against an end on SIGHUP, against a file that is not whole or older than the list held, and
 /// against questions that still go to the old resolver.
 #[test]
 fn a_new_configuration_moves_to_its_resolver_and_keeps_calls_and_the_list() {
-    let mut w = World::new(2);
-    w.stand(1);
-    w.list(5, &[(0, 0, 0), (1, 1, 0)]);
+    let mut bed = TestBed::new(2);
+    bed.establish_call(1);
+    bed.send_server_list(5, &[(0, 0, 0), (1, 1, 0)]);
     // The file's own list, of position 1, still has server 1 as ready.
     let dns = UdpSocket::bind("127.0.0.1:0").unwrap();
     dns.set_nonblocking(true).unwrap();
-    let old = std::mem::replace(&mut w.dns, dns);
-    w.node.reload(Config::parse("n0".into(), "127.0.0.1:0", "{\"dns\":"));
-    w.node.reload(Ok(config(&w.listeners, &w.dns)));
+    let old = std::mem::replace(&mut bed.dns, dns);
+    bed.gatekeeper.reload(Config::parse("n0".into(), "127.0.0.1:0", "{\"dns\":"));
+    bed.gatekeeper.reload(Ok(config(&bed.listeners, &bed.dns)));
     let mut data = [0; 512];
     while old.recv_from(&mut data).is_ok() {}
-    w.caller.send(&set_up_to(1, 2, 3000)).unwrap();
-    w.pass(0.4);
-    assert!(!w.set_ups.contains(&(1, 2)), "sent to a server that drains");
-    w.list(6, &[(0, 0, 0)]);
+    bed.caller.send(&set_up_to(1, 2, 3000)).unwrap();
+    bed.run_for(0.4);
+    assert!(!bed.set_ups.contains(&(1, 2)), "sent to a server that drains");
+    bed.send_server_list(6, &[(0, 0, 0)]);
     assert!(old.recv_from(&mut data).is_err(), "the old resolver is still asked");
-    w.servers_say(&release(1, cause::NORMAL));
-    w.heard(1, kind::RELEASE, Some(cause::NORMAL));
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
 }
 
 proptest! {
@@ -656,34 +675,34 @@
     /// only once it stood, and the server never holds two of one call.
     #[test]
     fn every_set_up_gets_one_final_answer(steps in prop::collection::vec((0u8..7, 0usize..6), 1..30)) {
-        let mut w = World::new(1);
-        let (mut next, mut gone) = (1u64, BTreeSet::new());
+        let mut bed = TestBed::new(1);
+        let (mut next_id, mut gone) = (1u64, BTreeSet::new());
         for (what, which) in steps {
-            let id = next.saturating_sub(1 + which as u64).max(1);
+            let id = next_id.saturating_sub(1 + which as u64).max(1);
             match what {
                 0 | 1 => {
-                    w.caller.send(&set_up(next, 600)).unwrap();
-                    next += 1;
+                    bed.caller.send(&set_up(next_id, 600)).unwrap();
+                    next_id += 1;
                 }
                 // Before the first set-up there is nothing to say anything of.
-                2..=5 if next == 1 => {}
-                2 => w.servers_say(&answer(id)),
-                3 => w.servers_say(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
-                4 => w.servers_say(&release(id, cause::NORMAL)),
-                5 if gone.insert(id) => drop(w.caller.send(&release(id, cause::NORMAL))),
-                _ => w.node.advance_clock(0.05),
+                2..=5 if next_id == 1 => {}
+                2 => bed.send_from_all_servers(&answer(id)),
+                3 => bed.send_from_all_servers(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
+                4 => bed.send_from_all_servers(&release(id, cause::NORMAL)),
+                5 if gone.insert(id) => drop(bed.caller.send(&release(id, cause::NORMAL))),
+                _ => bed.gatekeeper.advance_clock(0.05),
             }
-            w.turn();
+            bed.run_iteration();
         }
-        w.pass(1.5);
-        for id in 1..next {
-            let to_caller: Vec<&Message> = w.heard.iter().filter(|m| m.call == id).collect();
+        bed.run_for(1.5);
+        for id in 1..next_id {
+            let to_caller: Vec<&Message> = bed.caller_received.iter().filter(|m| m.call == id).collect();
             let answers = to_caller.iter().filter(|m| m.kind == kind::ANSWER).count();
             let releases = to_caller.iter().filter(|m| m.kind == kind::RELEASE).count();
             prop_assert!(answers <= 1 && releases <= 1, "call {}: {:?}", id, to_caller);
             prop_assert!(answers + releases >= 1 || gone.contains(&id), "call {} without an answer", id);
-            let begun = w.at_servers.iter().filter(|m| m.call == id && m.kind == kind::SET_UP).count();
-            prop_assert!(begun <= 6);
+            let set_ups = bed.servers_received.iter().filter(|m| m.call == id && m.kind == kind::SET_UP).count();
+            prop_assert!(set_ups <= 6);
         }
     }
 }
@@ -693,34 +712,34 @@
 /// the middle of a message is let go; a caller that leaves loses nobody else's call.
 #[test]
 fn pieces_at_both_sides_make_whole_messages_and_a_half_message_is_let_go() {
-    let mut w = World::new(1);
+    let mut bed = TestBed::new(1);
     let mut bytes = Vec::new();
     set_up(1, 3000).encode(&mut bytes);
     for byte in &bytes {
-        w.caller.stream().write_all(&[*byte]).unwrap();
-        w.turn();
+        bed.caller.stream().write_all(&[*byte]).unwrap();
+        bed.run_iteration();
     }
-    w.at_servers(1, kind::SET_UP);
-    let mut told = Vec::new();
-    answer(1).encode(&mut told);
-    for byte in &told {
-        w.servers[0].stream().write_all(&[*byte]).unwrap();
-        w.turn();
+    bed.expect_at_server(1, kind::SET_UP);
+    let mut bytes_of_answer = Vec::new();
+    answer(1).encode(&mut bytes_of_answer);
+    for byte in &bytes_of_answer {
+        bed.servers[0].stream().write_all(&[*byte]).unwrap();
+        bed.run_iteration();
     }
-    w.heard(1, kind::ANSWER, None);
+    bed.expect_at_caller(1, kind::ANSWER, None);
     // Half a set-up, then silence with the connection open.
-    let mut half = peer(TcpStream::connect(w.node.address()).unwrap());
+    let mut half = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     let mut bytes = Vec::new();
     set_up(2, 3000).encode(&mut bytes);
     half.stream().write_all(&bytes[..bytes.len() / 2]).unwrap();
-    w.pass(3.0);
+    bed.run_for(3.0);
     assert!(half.read(&mut Vec::new()).is_err(), "a caller silent in the middle of a message is closed");
     // Another caller leaves with its call out: the first caller's call stands on.
-    let mut leaving = peer(TcpStream::connect(w.node.address()).unwrap());
+    let mut leaving = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     leaving.send(&set_up(3, 3000)).unwrap();
-    w.at_servers(3, kind::SET_UP);
+    bed.expect_at_server(3, kind::SET_UP);
     drop(leaving);
-    w.pass(0.5);
-    w.servers_say(&release(1, cause::NORMAL));
-    w.heard(1, kind::RELEASE, Some(cause::NORMAL));
+    bed.run_for(0.5);
+    bed.send_from_all_servers(&release(1, cause::NORMAL));
+    bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
 }
--- a/crates/gatekeeper/src/node/tests/listener_handover.rs
+++ b/crates/gatekeeper/src/node/tests/listener_handover.rs
@@ -15,56 +15,56 @@
 use super::*;
 
 /// Connections made while the listener closes: by chance all of them would go to one of two listeners once in 2^31 runs.
-const CALLERS: usize = 32;
+const CONNECTIONS: usize = 32;
 
 /// Callers that a gatekeeper of these tests holds at once, beside the one that says nothing.
-const PLACES: u64 = 43;
+const MAX_ACTIVE_CALLERS: u64 = 43;
 
-fn listen_at(address: SocketAddr) -> TcpListener {
+fn bind_listener(address: SocketAddr) -> TcpListener {
     super::super::listen::bind(address, 1024).unwrap()
 }
 
 /// Accepts every connection that waits.
-fn accept_all(listener: &TcpListener) -> Vec<TcpStream> {
+fn accept_all_waiting(listener: &TcpListener) -> Vec<TcpStream> {
     std::iter::from_fn(|| listener.accept().ok()).map(|(stream, _)| stream).collect()
 }
 
 /// Ends the gatekeeper as SIGTERM does, and connects callers between its last accept and the close of its listener.
-fn end_with_callers_at_the_close(w: &mut World) -> Vec<TcpStream> {
-    end_with(w, |address| (0..CALLERS).map(|_| TcpStream::connect(address).unwrap()).collect())
+fn stop_with_connections_at_close(bed: &mut TestBed) -> Vec<TcpStream> {
+    stop_with(bed, |address| (0..CONNECTIONS).map(|_| TcpStream::connect(address).unwrap()).collect())
 }
 
 /// The same, with the callers made by `connect`.
-fn end_with(
-    w: &mut World,
+fn stop_with(
+    bed: &mut TestBed,
     mut connect: impl FnMut(SocketAddr) -> Vec<TcpStream> + 'static,
 ) -> Vec<TcpStream> {
     let connected = Rc::new(RefCell::new(Vec::new()));
     let connecting = Rc::clone(&connected);
-    w.node.before_listener_closes(move |address| connecting.borrow_mut().extend(connect(address)));
+    bed.gatekeeper.before_listener_closes(move |address| connecting.borrow_mut().extend(connect(address)));
     let signals = Signals::default();
     signals.stop.store(true, Ordering::Relaxed);
-    w.node.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
+    bed.gatekeeper.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
     connected.take()
 }
 
 /// The successor listens beside the old process, which ends: whoever connects in the moment of the close is the successor's.
 #[test]
 fn a_connection_made_as_the_listener_closes_goes_to_the_successor() {
-    let mut w = World::new(1);
-    let successor = listen_at(w.node.address());
-    let callers = end_with_callers_at_the_close(&mut w);
-    assert_eq!(callers.len(), CALLERS);
-    assert_eq!(accept_all(&successor).len(), CALLERS, "the others are reset");
+    let mut bed = TestBed::new(1);
+    let successor = bind_listener(bed.gatekeeper.address());
+    let callers = stop_with_connections_at_close(&mut bed);
+    assert_eq!(callers.len(), CONNECTIONS);
+    assert_eq!(accept_all_waiting(&successor).len(), CONNECTIONS, "the others are reset");
 }
 
 /// The other listener is the older one, as after a drain that was taken back: a connection that still comes shows that the
 /// wrong one was chosen first, and whoever connects in the moment of the close is the other's.
 #[test]
 fn a_connection_made_as_the_listener_closes_goes_to_one_that_listened_before() {
-    let other = listen_at("127.0.0.1:0".parse().unwrap());
+    let other = bind_listener("127.0.0.1:0".parse().unwrap());
     let address = other.local_addr().unwrap();
-    let mut w = World::with(1, |config| config.listen = address);
+    let mut bed = TestBed::with_config(1, |config| config.listen = address);
     // A caller that connects every few milliseconds until the close.
     let (closed, stop) = std::sync::mpsc::channel::<()>();
     let caller = std::thread::spawn(move || {
@@ -75,36 +75,38 @@
         connected
     });
     let mut closed = Some(closed);
-    let made = end_with(&mut w, move |address| {
+    let connected_ports = stop_with(&mut bed, move |address| {
         closed.take().map(|closed| closed.send(()));
-        (0..CALLERS).map(|_| TcpStream::connect(address).unwrap()).collect()
+        (0..CONNECTIONS).map(|_| TcpStream::connect(address).unwrap()).collect()
     });
     caller.join().unwrap();
     let ports = |streams: &[TcpStream],
                  port: fn(&TcpStream) -> std::io::Result<SocketAddr>|
      -> BTreeSet<u16> { streams.iter().map(|stream| port(stream).unwrap().port()).collect() };
-    let (made, taken) =
-        (ports(&made, TcpStream::local_addr), ports(&accept_all(&other), TcpStream::peer_addr));
-    assert_eq!(made.difference(&taken).count(), 0, "these are reset");
+    let (connected_ports, accepted_ports) = (
+        ports(&connected_ports, TcpStream::local_addr),
+        ports(&accept_all_waiting(&other), TcpStream::peer_addr),
+    );
+    assert_eq!(connected_ports.difference(&accepted_ports).count(), 0, "these are reset");
 }
 
 /// A drain sends new connections to the other listener, and its end has both take their part again.
 #[test]
 fn a_drain_that_is_taken_back_shares_new_connections_again() {
-    let mut w = World::controlled(1);
-    let other = listen_at(w.node.address());
-    let connect = |w: &World| -> Vec<TcpStream> {
-        (0..CALLERS).map(|_| TcpStream::connect(w.node.address()).unwrap()).collect()
+    let mut bed = TestBed::with_control_address(1);
+    let other = bind_listener(bed.gatekeeper.address());
+    let connect = |bed: &TestBed| -> Vec<TcpStream> {
+        (0..CONNECTIONS).map(|_| TcpStream::connect(bed.gatekeeper.address()).unwrap()).collect()
     };
-    let spread = connect(&w);
-    assert!(accept_all(&other).len() < CALLERS, "both listen");
-    assert_eq!(w.post("/_lameduck/on").0, 200);
-    let drained = connect(&w);
-    assert_eq!(accept_all(&other).len(), CALLERS, "none comes to one that drains");
-    assert_eq!(w.post("/_lameduck/off").0, 200);
-    let shared = connect(&w);
-    let at_other = accept_all(&other).len();
-    assert!((1..CALLERS).contains(&at_other), "{at_other} of {CALLERS} at the other");
+    let spread = connect(&bed);
+    assert!(accept_all_waiting(&other).len() < CONNECTIONS, "both listen");
+    assert_eq!(bed.post("/_lameduck/on").0, 200);
+    let drained = connect(&bed);
+    assert_eq!(accept_all_waiting(&other).len(), CONNECTIONS, "none comes to one that drains");
+    assert_eq!(bed.post("/_lameduck/off").0, 200);
+    let shared = connect(&bed);
+    let at_other = accept_all_waiting(&other).len();
+    assert!((1..CONNECTIONS).contains(&at_other), "{at_other} of {CONNECTIONS} at the other listener");
     drop((spread, drained, shared));
 }
 
@@ -112,15 +114,15 @@
 /// begins with a part of new connections, and not with all of them.
 #[test]
 fn a_process_that_comes_later_shares_new_connections() {
-    let mut old = World::new(1);
-    let address = old.node.address();
-    let successor = listen_at(address);
-    drop(end_with_callers_at_the_close(&mut old));
-    drop(accept_all(&successor));
-    let _later = World::with(1, |config| config.listen = address);
-    let callers: Vec<TcpStream> = (0..CALLERS).map(|_| TcpStream::connect(address).unwrap()).collect();
-    let at_successor = accept_all(&successor).len();
-    assert!((1..CALLERS).contains(&at_successor), "{at_successor} of {} at the successor", callers.len());
+    let mut old = TestBed::new(1);
+    let address = old.gatekeeper.address();
+    let successor = bind_listener(address);
+    drop(stop_with_connections_at_close(&mut old));
+    drop(accept_all_waiting(&successor));
+    let _later = TestBed::with_config(1, |config| config.listen = address);
+    let callers: Vec<TcpStream> = (0..CONNECTIONS).map(|_| TcpStream::connect(address).unwrap()).collect();
+    let at_successor = accept_all_waiting(&successor).len();
+    assert!((1..CONNECTIONS).contains(&at_successor), "{at_successor} of {} at the successor", callers.len());
 }
 
 /// Callers in use hold all places as the program ends, and others wait in the listener's queue with their set-ups written.
@@ -128,21 +130,23 @@
 /// set-up instead.
 #[test]
 fn callers_that_wait_for_a_place_as_the_program_ends_are_answered() {
-    let mut w = World::new(1);
-    let caller = |w: &World, id| {
-        let mut caller = w.caller();
+    let mut bed = TestBed::new(1);
+    let caller = |bed: &TestBed, id| {
+        let mut caller = bed.connect_caller();
         caller.send(&set_up(id, 9000)).unwrap();
         caller
     };
-    let callers: Vec<Peer> = (1..=2 * PLACES).map(|id| caller(&w, id)).collect();
-    w.until("all places to be held", |w| w.node.figures_now().gauges.outstanding >= PLACES);
+    let callers: Vec<Peer> = (1..=2 * MAX_ACTIVE_CALLERS).map(|id| caller(&bed, id)).collect();
+    bed.run_until("all places to be held", |bed| {
+        bed.gatekeeper.figures_now().gauges.outstanding >= MAX_ACTIVE_CALLERS
+    });
     let signals = Signals::default();
     signals.stop.store(true, Ordering::Relaxed);
-    w.node.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
+    bed.gatekeeper.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
     for (id, mut caller) in (1..).zip(callers) {
-        let mut heard = Vec::new();
-        let end = caller.read(&mut heard);
-        let answered = heard.iter().any(|m| m.call == id && m.kind == kind::RELEASE);
+        let mut received = Vec::new();
+        let end = caller.read(&mut received);
+        let answered = received.iter().any(|m| m.call == id && m.kind == kind::RELEASE);
         assert!(answered, "call {id} heard nothing: {end:?}");
     }
 }
