--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -1,5 +1,6 @@
-//! The whole gatekeeper against peers on loopback sockets. Time is skipped, not waited for: a test ends
-//! when what it waits for has come, or fails after a bounded number of turns.
+//! Tests of the whole gatekeeper against peers on loopback sockets. The tests move the clock forward instead of
+//! sleeping. A test ends when the expected messages have arrived, and fails after a bounded number of iterations of
+//! the event loop.
 
 mod call_ends;
 mod caller_limit;
@@ -27,18 +28,24 @@
 use super::event_loop::{Gatekeeper, Signals};
 use hollypaddle_platform::message::{cause, code, kind, Message};
 
+/// Iterations of the event loop after which a test that waits for something fails.
 const MAX_ITERATIONS: usize = 400;
 
+/// A gatekeeper with its resolver, its session servers and one caller.
 struct TestBed {
     gatekeeper: Gatekeeper,
+    /// The listeners of the session servers, by server number.
     listeners: Vec<TcpListener>,
+    /// The socket of the resolver.
     dns: UdpSocket,
     caller: Peer,
-    /// What the caller and the servers heard.
+    /// Messages that `caller` received.
     caller_received: Vec<Message>,
+    /// Messages that all servers received, on all connections.
     servers_received: Vec<Message>,
+    /// The servers' ends of the connections that the gatekeeper opened.
     servers: Vec<Peer>,
-    /// Which server got the set-up of which call.
+    /// Server number and call id of each set-up that a server received.
     set_ups: BTreeSet<(usize, u64)>,
 }
 
@@ -85,7 +92,7 @@
         TestBed::with_config(servers, |_| {})
     }
 
-    /// With a control address.
+    /// A test bed whose gatekeeper has a control address.
     fn with_control_address(servers: usize) -> TestBed {
         TestBed::with_config(servers, |c| c.control = Some("127.0.0.1:0".parse().unwrap()))
     }
@@ -115,6 +122,8 @@
         bed
     }
 
+    /// Runs one iteration of the event loop, then accepts connections and reads what the caller and the servers
+    /// received.
     fn run_iteration(&mut self) {
         self.gatekeeper.run_once().unwrap();
         let _ = self.caller.read(&mut self.caller_received);
@@ -135,6 +144,7 @@
         }
     }
 
+    /// Runs iterations until the condition holds. Fails the test after `MAX_ITERATIONS`.
     fn run_until(&mut self, what: &str, mut reached: impl FnMut(&TestBed) -> bool) {
         for _ in 0..MAX_ITERATIONS {
             if reached(self) {
@@ -143,31 +153,34 @@
             self.run_iteration();
         }
         panic!(
-            "waited in vain for {what}; caller {:?}, servers {:?}",
+            "timed out waiting for {what}; caller received {:?}, servers received {:?}",
             self.caller_received, self.servers_received
         );
     }
 
+    /// Runs until the caller has received a message of this call and type, and with this cause if one is given.
     fn expect_at_caller(&mut self, id: u64, kind: u8, cause: Option<u8>) -> Message {
         let wanted = |m: &&Message| m.call == id && m.kind == kind && (cause.is_none() || m.cause() == cause);
-        self.run_until("a word to the caller", |bed| bed.caller_received.iter().any(|m| wanted(&m)));
+        self.run_until("a message to the caller", |bed| bed.caller_received.iter().any(|m| wanted(&m)));
         self.caller_received.iter().find(wanted).unwrap().clone()
     }
 
+    /// Runs until a server has received a message of this call and type.
     fn expect_at_server(&mut self, id: u64, kind: u8) -> Message {
-        self.run_until("a word to a server", |bed| {
+        self.run_until("a message to a server", |bed| {
             bed.servers_received.iter().any(|m| m.call == id && m.kind == kind)
         });
         self.servers_received.iter().find(|m| m.call == id && m.kind == kind).unwrap().clone()
     }
 
-    /// All servers say it: the gatekeeper must take it from the right one alone.
+    /// Sends the message from every server: the gatekeeper must accept it only from the server that has the call.
     fn send_from_all_servers(&mut self, message: &Message) {
         for server in &mut self.servers {
             server.send(message).unwrap();
         }
     }
 
+    /// Sets up a call from the caller that a server answers.
     fn establish_call(&mut self, id: u64) {
         self.caller.send(&set_up(id, 3000)).unwrap();
         self.expect_at_server(id, kind::SET_UP);
@@ -175,11 +188,11 @@
         assert_eq!(self.expect_at_caller(id, kind::ANSWER, None).bytes(code::DESCRIPTION), Some(&[9, 9][..]));
     }
 
-    /// Answers the next question with a list of (server, priority, started in Unix ms), after an answer
-    /// to somebody else, a cut one and one that is no message, all of which name no server.
+    /// Answers the next query with a list of (server, priority, started in Unix ms). Before the valid answer it sends
+    /// three that must be ignored: bytes that are no message, an answer with a wrong id and a truncated answer.
     fn send_server_list(&mut self, position: u32, servers: &[(usize, u16, u64)]) {
         let mut data = [0; 512];
-        // Old questions have been forgotten by who asked them.
+        // The gatekeeper no longer waits for answers to earlier queries.
         while self.dns.recv_from(&mut data).is_ok() {}
         let (n, from) = loop {
             self.run_iteration();
@@ -197,17 +210,17 @@
         });
         let listed: Vec<Listed> = listed.collect();
         let answer = resolver::reply(&data[..n], position, &listed).unwrap();
-        let mut wrong = [resolver::reply(&data[..n], position, &[]).unwrap(), answer.clone()];
-        wrong[0].metadata.id = wrong[0].metadata.id.wrapping_add(1);
-        wrong[1].metadata.truncation = true;
+        let mut invalid = [resolver::reply(&data[..n], position, &[]).unwrap(), answer.clone()];
+        invalid[0].metadata.id = invalid[0].metadata.id.wrapping_add(1);
+        invalid[1].metadata.truncation = true;
         self.dns.send_to(&[7; 40], from).unwrap();
-        for message in wrong.iter().chain([&answer]) {
+        for message in invalid.iter().chain([&answer]) {
             self.dns.send_to(&message.to_vec().unwrap(), from).unwrap();
         }
         self.run_for(0.2);
     }
 
-    /// From now on connections to the only server do not come up: nobody accepts, and all places are taken.
+    /// Makes connection attempts to the only server hang: its accept queue is filled and nobody accepts.
     fn fill_backlog(&mut self) -> (Vec<TcpListener>, Vec<socket2::Socket>) {
         let address = self.listeners[0].local_addr().unwrap();
         socket2::SockRef::from(&self.listeners[0]).listen(4).unwrap();
@@ -221,7 +234,7 @@
         (self.listeners.drain(..).collect(), pending)
     }
 
-    /// Lets time pass, with turns in between so that nothing is skipped over.
+    /// Moves the clock forward in steps of 0.1 s, with an iteration after each so that no timer is skipped.
     fn run_for(&mut self, seconds: f64) {
         let steps = (seconds / 0.1) as usize;
         for _ in 0..steps {
@@ -232,7 +245,7 @@
 }
 
 #[test]
-fn a_call_is_passed_on_unchanged_stands_and_ends() {
+fn a_set_up_is_forwarded_unchanged_and_its_call_is_established_and_ends() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
     let seen = bed.expect_at_server(1, kind::SET_UP);
@@ -240,14 +253,14 @@
     for code in [code::CLASS, code::NUMBER, code::DESCRIPTION] {
         assert_eq!(seen.bytes(code), sent.bytes(code));
     }
-    assert_eq!(seen.bytes(code::FIGURES), None, "the figures are for the gatekeeper");
+    assert_eq!(seen.bytes(code::FIGURES), None, "parameter FIGURES is for the gatekeeper only");
     let wait: u32 = seen.text(code::WAIT).unwrap().parse().unwrap();
     assert!((2000..=3000).contains(&wait));
     bed.send_from_all_servers(&release(1, cause::NORMAL));
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
 }
 
-/// Guards against a caller left without an answer, and against one without word of when to return.
+/// Guards against a caller that gets no answer, or a refusal without the time after which to retry.
 #[test]
 fn a_call_that_no_server_answers_is_refused_at_its_deadline_and_given_up_at_the_server() {
     let mut bed = TestBed::new(1);
@@ -257,18 +270,18 @@
     let refusal = bed.expect_at_caller(1, kind::RELEASE, Some(cause::CONGESTION));
     assert!(refusal.text(code::RETRY_AFTER).unwrap().parse::<u32>().unwrap() > 0);
     assert_eq!(bed.expect_at_server(1, kind::RELEASE).cause(), Some(cause::NORMAL));
-    // The answer crosses the give-up: the call must not stand on at the server.
+    // The answer crosses the give-up: the server must be told to end the call.
     bed.servers_received.clear();
     bed.send_from_all_servers(&answer(1));
     bed.expect_at_server(1, kind::RELEASE);
     assert_eq!(bed.caller_received.len(), 1, "one final answer");
 }
 
-/// A server whose processor is full says in parameter 40 how long to wait: no more than single calls go there until one is
-/// answered. Guards against a wait that is looked for elsewhere, as in parameter 34, which is the callers'; against one that
-/// never ends; and against one that makes no sense.
+/// A server whose processor is full announces in parameter 40 how long to wait. During that time it gets only single
+/// calls, until one is answered. Guards against a wait that is read from another parameter, as 34, which is for
+/// callers; against one that never ends; and against invalid values.
 #[test]
-fn a_full_server_is_left_alone_for_as_long_as_it_says() {
+fn a_full_server_gets_at_most_single_set_ups_for_the_time_it_announces() {
     for (code, wait, spared) in [
         (code::FULL_WAIT, "1500", true),
         (code::RETRY_AFTER, "1500", false),
@@ -284,8 +297,12 @@
             bed.caller.send(&set_up_to(0, id, 3000)).unwrap();
         }
         bed.run_for(0.2);
-        let sent = bed.set_ups.iter().filter(|(server, id)| *server == 0 && *id > 1).count();
-        assert_eq!(sent <= 1, spared, "{sent} of 10 sent there with {code} {wait}");
+        let sent_to_full = bed.set_ups.iter().filter(|(server, id)| *server == 0 && *id > 1).count();
+        assert_eq!(
+            sent_to_full <= 1,
+            spared,
+            "{sent_to_full} of 10 sent to the full server with {code} {wait}"
+        );
     }
     let mut bed = TestBed::new(2);
     bed.caller.send(&set_up_to(0, 1, 3000)).unwrap();
@@ -296,13 +313,13 @@
     for id in 2..12 {
         bed.caller.send(&set_up_to(0, id, 3000)).unwrap();
     }
-    bed.run_until("one that goes there again", |bed| {
+    bed.run_until("another set-up sent to the full server", |bed| {
         bed.set_ups.iter().any(|(server, id)| *server == 0 && *id > 1)
     });
 }
 
 #[test]
-fn bad_input_harms_its_own_connection_or_call_alone() {
+fn invalid_input_affects_only_its_own_connection_or_call() {
     let mut bed = TestBed::new(1);
     let mut bad = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     let mut raw = bad.stream().try_clone().unwrap();
@@ -334,7 +351,7 @@
         (code::FIGURES, "dest:0;width:0;via:-1"),
         (code::FIGURES, "dest:0;width:1;via:-1;dest:1"),
         (code::FIGURES, "dest:0;width:1;via:-1;again:7"),
-        // Once more than it may come.
+        // A parameter that occurs once more than it may.
         (250, "?"),
     ]
     .into_iter()
@@ -346,22 +363,22 @@
                 message = message.with(other, set_up(1, 1000).bytes(other).unwrap_or(b"?"));
             }
         }
-        // Each on a connection of its own, as one that sends many of them is closed.
+        // A separate connection each, because one that sends many invalid messages is closed.
         bed.caller = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
         bed.caller.send(&message).unwrap();
         bed.expect_at_caller(10 + n as u64, kind::RELEASE, Some(cause::INVALID_PARAMETER));
     }
-    assert!(bed.servers_received.is_empty(), "nothing of it goes on");
+    assert!(bed.servers_received.is_empty(), "invalid set-ups are not forwarded");
     bed.caller.send(&Message::new(200, 3).with(250, "?")).unwrap();
     bed.caller.send(&Message::new(kind::TEST, 4).caused(0)).unwrap();
     assert_eq!(bed.expect_at_caller(4, kind::TEST_RESULT, None).cause(), Some(1));
     bed.establish_call(5);
 }
 
-/// Guards against callers locked out by others that hold all places: those that say nothing, send half a
-/// request, or asked once and keep their connection. A caller with a set-up open keeps its place.
+/// Guards against callers locked out by others that hold all connections: those that send nothing, send half a
+/// request, or sent one request and keep their connection. A caller with an open set-up keeps its connection.
 #[test]
-fn callers_of_no_use_make_room_and_are_closed_in_time() {
+fn idle_callers_make_room_for_others_and_are_closed_in_time() {
     let mut bed = TestBed::new(1);
     bed.caller.send(&set_up(1, 9000)).unwrap();
     bed.expect_at_server(1, kind::SET_UP);
@@ -378,12 +395,12 @@
     let mut received = Vec::new();
     bed.run_for(1.0);
     late.read(&mut received).unwrap();
-    assert_eq!(received.len(), 1, "one that asks is served beside {} that do not", others.len());
+    assert_eq!(received.len(), 1, "a caller with a request is served beside {} without one", others.len());
     bed.run_for(1.0);
-    assert!(others.iter_mut().all(|c| c.read(&mut received).is_err()), "each is closed in time");
+    assert!(others.iter_mut().all(|c| c.read(&mut received).is_err()), "idle callers are closed in time");
     bed.send_from_all_servers(&answer(1));
     bed.expect_at_caller(1, kind::ANSWER, None);
-    // Nor are those kept for good that ask for nothing more, but for one whose caller waits for the end of a call.
+    // Callers that send nothing more are closed as well, except one that waits for the end of a call.
     bed.run_for(9.0);
     assert!(late.read(&mut received).is_err() && bed.caller.read(&mut received).is_ok());
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -392,10 +409,10 @@
     assert!(late.read(&mut received).is_err() && bed.caller.read(&mut received).is_err());
 }
 
-/// Guards against the end of a call told to somebody who never had one, and against a second set-up of
-/// an open id that touches the first.
+/// Guards against the end of a call sent to a caller that never had one, and against a second set-up with
+/// an open id that affects the first.
 #[test]
-fn what_concerns_a_call_is_told_to_callers_that_have_calls() {
+fn the_end_of_a_call_is_sent_only_to_callers_that_have_had_calls() {
     let mut bed = TestBed::new(1);
     let mut uninvolved = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     bed.establish_call(1);
@@ -403,7 +420,7 @@
     bed.expect_at_server(2, kind::SET_UP);
     uninvolved.send(&set_up(2, 3000)).unwrap();
     let mut received = Vec::new();
-    bed.run_until("a refusal of the second", |_| {
+    bed.run_until("a refusal of the second set-up", |_| {
         uninvolved.read(&mut received).is_err() || !received.is_empty()
     });
     assert_eq!(received, [release(2, cause::INVALID_PARAMETER)]);
@@ -412,22 +429,22 @@
     let mut kept = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     std::mem::swap(&mut kept, &mut bed.caller);
     bed.establish_call(3);
-    // The first one goes: of those left, one has a call and the stranger is newer.
+    // The first caller disconnects. Of the others one has a call; the uninvolved one connected later.
     drop(kept);
     let mut newest = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     bed.run_iteration();
     bed.send_from_all_servers(&release(1, cause::NORMAL));
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
-    // A second one of an open id on the same connection could only be answered as the first.
+    // A refusal of a second set-up with an open id on the same connection would be taken for that of the first.
     newest.send(&set_up(4, 3000)).unwrap();
     newest.send(&set_up(4, 3000)).unwrap();
     received.clear();
-    bed.run_until("its end", |_| newest.read(&mut received).is_err());
+    bed.run_until("the connection to be closed", |_| newest.read(&mut received).is_err());
     assert!(received.iter().all(|m| m.call == 4 && m.cause() == Some(cause::TEMPORARY_FAILURE)));
 }
 
 #[test]
-fn a_dead_callers_set_ups_are_given_up_and_what_stands_stays() {
+fn set_ups_of_a_disconnected_caller_are_given_up_and_its_standing_calls_continue() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
     bed.caller.send(&set_up(2, 3000)).unwrap();
@@ -435,16 +452,20 @@
     let other = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     bed.caller = other;
     bed.expect_at_server(2, kind::RELEASE);
-    // The end of what stands reaches the caller on whatever connection there is.
+    // The end of the standing call reaches the caller on any connection that is open.
     bed.send_from_all_servers(&release(1, cause::NORMAL));
     bed.run_for(0.7);
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
-    assert!(!bed.caller_received.iter().any(|m| m.call == 2), "no answer is owed to a caller that has gone");
+    assert!(
+        !bed.caller_received.iter().any(|m| m.call == 2),
+        "a set-up whose caller has disconnected is not answered"
+    );
 }
 
-/// Guards against calls cut by mistake, and against an end that the server could not send at once.
+/// Guards against calls that are ended by mistake, and against the loss of an end that the server could not send at
+/// once.
 #[test]
-fn a_lost_connection_cuts_no_call_and_the_end_comes_on_the_next_one() {
+fn a_lost_server_connection_ends_no_call_and_the_end_is_accepted_on_the_next_one() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
     bed.servers.clear();
@@ -454,44 +475,44 @@
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
 }
 
-/// Guards against set-ups left on a connection that a spoilt answer has made useless: it may stay open,
-/// and swallow or never bring what comes later. They end, and come again elsewhere after the release time.
+/// Guards against set-ups left on a connection that an invalid answer has made unusable: it may stay open, and lose or
+/// never deliver what follows. Their attempts end, and they are sent again elsewhere after the release time.
 #[test]
-fn a_spoilt_answer_ends_its_connection_and_all_that_is_open_on_it() {
-    let spoilt: [(&[u8], Message); 5] = [
+fn an_invalid_answer_closes_its_connection_and_its_open_set_ups_are_sent_again() {
+    let invalid_answers: [(&[u8], Message); 5] = [
         (&[], Message::new(123, 1).with(code::DESCRIPTION, vec![9])),
         (&[], Message::new(kind::ANSWER, 1)),
         (&[], answer(1).with(code::DESCRIPTION, vec![8])),
         (&[], release(1, cause::NORMAL).with(code::DESCRIPTION, vec![9])),
-        // The length of a longer message, of which no more comes than this.
+        // The length prefix announces a longer message than the bytes that follow.
         (&[1], answer(1)),
     ];
-    for (lead, message) in spoilt {
+    for (prefix, message) in invalid_answers {
         let mut bed = TestBed::new(1);
         bed.establish_call(7);
         bed.caller.send(&set_up(1, 9000)).unwrap();
         bed.caller.send(&set_up(2, 9000)).unwrap();
         bed.expect_at_server(2, kind::SET_UP);
         let mut old = bed.servers.remove(0);
-        old.stream().write_all(lead).unwrap();
+        old.stream().write_all(prefix).unwrap();
         old.send(&message).unwrap();
         bed.run_for(0.5);
-        assert!(old.read(&mut Vec::new()).is_err(), "still open after {message:?}");
+        assert!(old.read(&mut Vec::new()).is_err(), "connection still open after {message:?}");
         bed.run_for(0.5);
-        let again = bed.servers_received.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count();
-        assert_eq!(again, 2, "{message:?}");
+        let attempts = bed.servers_received.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count();
+        assert_eq!(attempts, 2, "{message:?}");
         bed.send_from_all_servers(&answer(2));
         bed.expect_at_caller(2, kind::ANSWER, None);
         assert!(
             !bed.caller_received.iter().any(|m| m.call == 7 && m.kind == kind::RELEASE),
-            "what stands, stands"
+            "the standing call is not ended"
         );
     }
 }
 
-/// Guards against more than belongs to an answer: a second copy, and an answer ahead of its call.
+/// Guards against surplus messages that have an effect: a second copy of an answer, and an answer before its set-up.
 #[test]
-fn what_a_server_says_too_much_is_passed_over() {
+fn surplus_answers_of_a_server_are_ignored() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
     bed.send_from_all_servers(&answer(1));
@@ -500,13 +521,13 @@
     }
     bed.run_for(0.5);
     assert_eq!((bed.caller_received.len(), bed.servers.len()), (1, 1), "{:?}", bed.caller_received);
-    assert!(bed.servers_received.iter().all(|m| m.kind == kind::SET_UP), "nothing is released");
+    assert!(bed.servers_received.iter().all(|m| m.kind == kind::SET_UP), "no release is sent");
     bed.establish_call(50);
 }
 
-/// Guards against a call set up a second time though it has stood and is over: its answer got lost.
+/// Guards against a second set-up of a call that was established and is over: its answer was lost.
 #[test]
-fn a_call_that_ends_before_its_answer_has_failed_at_once() {
+fn a_call_that_ends_before_its_answer_fails_at_once() {
     let mut bed = TestBed::new(2);
     bed.caller.send(&set_up(1, 3000)).unwrap();
     bed.expect_at_server(1, kind::SET_UP);
@@ -516,36 +537,36 @@
     assert_eq!(bed.servers_received.iter().filter(|m| m.kind == kind::SET_UP).count(), 1);
 }
 
-/// Guards against a connection that stays open and silent while its server is well: callers wait, and the
-/// ends of calls that the server says on it are lost until another connection is opened.
+/// Guards against a connection that stays open and silent while its server works: callers wait, and the
+/// ends of calls that the server sends on it are lost until another connection is opened.
 #[test]
-fn a_connection_that_falls_silent_is_replaced_and_what_is_open_on_it_comes_again() {
+fn a_silent_connection_is_replaced_and_its_open_set_ups_are_sent_again() {
     let mut bed = TestBed::new(1);
-    // The module knows that the server takes several at once and holds nothing back.
+    // After these answers the module knows that the server accepts several set-ups at once without delay.
     (10..20).for_each(|id| bed.establish_call(id));
     bed.send_from_all_servers(&Message::new(kind::STATE, 0).with(code::REPORT, "eps:0"));
     bed.run_iteration();
     bed.caller.send(&set_up(2, 9000)).unwrap();
     bed.expect_at_server(2, kind::SET_UP);
     bed.run_for(0.2);
-    assert_eq!(bed.servers.len(), 1, "it may be slow");
+    assert_eq!(bed.servers.len(), 1, "no new connection after 0.2 s: the server may be slow");
     bed.run_for(0.3);
     assert_eq!(bed.servers.len(), 2);
     let mut silent = bed.servers.remove(0);
     bed.caller.send(&set_up(3, 9000)).unwrap();
     bed.expect_at_server(3, kind::SET_UP);
-    assert!(silent.read(&mut Vec::new()).is_ok(), "it may be slow still");
+    assert!(silent.read(&mut Vec::new()).is_ok(), "the silent connection stays open: the server may be slow");
     bed.send_from_all_servers(&answer(3));
     bed.expect_at_caller(3, kind::ANSWER, None);
     bed.run_for(0.5);
-    assert!(silent.read(&mut Vec::new()).is_err(), "what went out later was answered");
-    assert_eq!(bed.servers.len(), 2, "another one, for what was said on the silent one");
+    assert!(silent.read(&mut Vec::new()).is_err(), "closed because a later set-up was answered");
+    assert_eq!(bed.servers.len(), 2, "a new connection for messages that were sent on the silent one");
     assert_eq!(bed.servers_received.iter().filter(|m| m.call == 2 && m.kind == kind::SET_UP).count(), 2);
 }
 
-/// Guards against a healthy server left out because its new connections were reset a few times.
+/// Guards against a healthy server that gets no calls because its new connections were reset a few times.
 #[test]
-fn connections_reset_when_new_are_opened_again_at_once() {
+fn connections_reset_right_after_opening_are_reopened_at_once() {
     let mut bed = TestBed::new(1);
     let before = bed.gatekeeper.now();
     for _ in 0..3 {
@@ -554,15 +575,15 @@
         drop(reset);
         bed.run_until("another connection", |bed| !bed.servers.is_empty());
     }
-    assert!(bed.gatekeeper.now() - before < 0.5, "it waited in between");
+    assert!(bed.gatekeeper.now() - before < 0.5, "it waited before reconnecting");
     bed.establish_call(1);
 }
 
 #[test]
-fn a_server_that_refuses_connections_is_dead_with_its_calls_and_harms_no_other() {
+fn the_calls_of_a_server_that_refuses_connections_end_and_other_servers_go_on() {
     let mut bed = TestBed::new(2);
     bed.establish_call(1);
-    // The first listener and its connection go; the call stood at the pool of its first choice, 0.
+    // The listener and the connection of server 0 close; the call stands at the pool of its first choice, 0.
     let gone = bed.listeners.remove(0).local_addr().unwrap();
     bed.servers.retain(|s| s.stream().local_addr().unwrap() != gone);
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
@@ -573,18 +594,21 @@
 /// Guards against callers that wait for the end of a call at a machine that vanished: it sends nothing,
 /// and its connections stay open.
 #[test]
-fn calls_at_a_server_that_vanished_are_cut_in_time_and_not_before() {
+fn calls_at_a_vanished_server_are_ended_in_time_and_not_early() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
     let _full = bed.fill_backlog();
     bed.run_for(5.0);
-    assert!(!bed.caller_received.iter().any(|m| m.kind == kind::RELEASE), "it may only be cut off");
+    assert!(
+        !bed.caller_received.iter().any(|m| m.kind == kind::RELEASE),
+        "the server may only be unreachable for a while"
+    );
     bed.run_for(2.5);
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
 }
 
-/// Guards against set-ups to a server that drains, calls that nobody ends after a replacement, and
-/// answers that are not the list.
+/// Guards against set-ups to a draining server, calls that are not ended after a server was replaced, and
+/// invalid answers that are applied as the list.
 #[test]
 fn the_list_drains_restarts_and_removes_servers() {
     let mut bed = TestBed::new(2);
@@ -595,31 +619,31 @@
     bed.expect_at_caller(2, kind::RELEASE, None);
     assert!(
         !bed.caller_received.iter().any(|m| m.call == 1 && m.kind == kind::RELEASE),
-        "a drain cuts nothing"
+        "a drain ends no standing call"
     );
-    assert!(!bed.set_ups.contains(&(0, 2)), "sent to a server that drains");
+    assert!(!bed.set_ups.contains(&(0, 2)), "set-up sent to a draining server");
     let started = (bed.gatekeeper.now() * 1000.0) as u64 + 50;
     bed.send_server_list(3, &[(0, 0, started), (1, 0, 0)]);
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
-    // Warm again, so that the module sends it calls.
+    // Wait until the server has warmed up, so that the module sends it calls.
     bed.run_for(15.0);
     bed.caller = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     bed.establish_call(3);
-    // An older list is no news.
+    // A list with a lower position is ignored.
     bed.send_server_list(2, &[(1, 0, 0)]);
     assert!(!bed.caller_received.iter().any(|m| m.call == 3 && m.kind == kind::RELEASE));
     bed.send_server_list(4, &[(1, 0, 0)]);
     bed.expect_at_caller(3, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
 }
 
-/// Guards against a connect that comes to nothing while the server speaks: it must not keep set-ups
-/// from the connection that works.
+/// Guards against a hanging connection attempt to a server that still sends messages: it must not keep
+/// set-ups from the connection that works.
 #[test]
-fn a_server_that_speaks_gets_set_ups_though_a_new_connection_does_not_come_up() {
+fn a_server_that_sends_reports_gets_set_ups_while_a_new_connection_to_it_hangs() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
     let _full = bed.fill_backlog();
-    // Quiet for long enough that a second connection is on its way, then it speaks.
+    // The server is silent until a second connection is being opened, then sends a report.
     bed.run_for(1.8);
     bed.send_from_all_servers(&Message::new(kind::STATE, 0).with(code::REPORT, "x0:12;x1:40"));
     bed.run_for(0.6);
@@ -628,30 +652,30 @@
     bed.run_iteration();
     assert!(
         bed.servers_received.iter().any(|m| m.call == 2 && m.kind == kind::SET_UP),
-        "it is not sent at once"
+        "the set-up was not sent at once"
     );
 }
 
 #[test]
-fn sigterm_sees_open_calls_through_and_ends() {
+fn sigterm_answers_open_set_ups_and_stops() {
     let mut bed = TestBed::new(1);
     bed.caller.send(&set_up(1, 1000)).unwrap();
     bed.expect_at_server(1, kind::SET_UP);
     let signals = Signals::default();
     signals.stop.store(true, Ordering::Relaxed);
-    // Nobody answers: the deadline does, and then nothing is left to wait for.
-    bed.gatekeeper.run(&signals, || unreachable!("nobody asks for a new configuration")).unwrap();
+    // No server answers: the set-up is refused at its deadline, and the gatekeeper stops.
+    bed.gatekeeper.run(&signals, || unreachable!("no reload was requested")).unwrap();
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::CONGESTION));
 }
 
-/// Guards against an end on SIGHUP, against a file that is not whole or older than the list held, and
-/// against questions that still go to the old resolver.
+/// Guards against an exit on SIGHUP, against a file that is incomplete or has an older list than the one in force, and
+/// against queries that still go to the old resolver.
 #[test]
-fn a_new_configuration_moves_to_its_resolver_and_keeps_calls_and_the_list() {
+fn a_reload_switches_the_resolver_and_keeps_calls_and_the_server_list() {
     let mut bed = TestBed::new(2);
     bed.establish_call(1);
     bed.send_server_list(5, &[(0, 0, 0), (1, 1, 0)]);
-    // The file's own list, of position 1, still has server 1 as ready.
+    // The list in the file, at position 1, still has server 1 as ready.
     let dns = UdpSocket::bind("127.0.0.1:0").unwrap();
     dns.set_nonblocking(true).unwrap();
     let old = std::mem::replace(&mut bed.dns, dns);
@@ -661,9 +685,9 @@
     while old.recv_from(&mut data).is_ok() {}
     bed.caller.send(&set_up_to(1, 2, 3000)).unwrap();
     bed.run_for(0.4);
-    assert!(!bed.set_ups.contains(&(1, 2)), "sent to a server that drains");
+    assert!(!bed.set_ups.contains(&(1, 2)), "set-up sent to a draining server");
     bed.send_server_list(6, &[(0, 0, 0)]);
-    assert!(old.recv_from(&mut data).is_err(), "the old resolver is still asked");
+    assert!(old.recv_from(&mut data).is_err(), "the old resolver still receives queries");
     bed.send_from_all_servers(&release(1, cause::NORMAL));
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::NORMAL));
 }
@@ -671,20 +695,20 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Random steps of a caller and a server: every set-up gets one final answer, a release after it
-    /// only once it stood, and the server never holds two of one call.
+    /// Random steps of a caller and a server: every set-up gets one final answer, at most one release, and at
+    /// most 6 attempts, the limit in the settings.
     #[test]
     fn every_set_up_gets_one_final_answer(steps in prop::collection::vec((0u8..7, 0usize..6), 1..30)) {
         let mut bed = TestBed::new(1);
         let (mut next_id, mut gone) = (1u64, BTreeSet::new());
-        for (what, which) in steps {
-            let id = next_id.saturating_sub(1 + which as u64).max(1);
-            match what {
+        for (action, offset) in steps {
+            let id = next_id.saturating_sub(1 + offset as u64).max(1);
+            match action {
                 0 | 1 => {
                     bed.caller.send(&set_up(next_id, 600)).unwrap();
                     next_id += 1;
                 }
-                // Before the first set-up there is nothing to say anything of.
+                // Without a set-up there is no call to send anything about.
                 2..=5 if next_id == 1 => {}
                 2 => bed.send_from_all_servers(&answer(id)),
                 3 => bed.send_from_all_servers(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
@@ -700,18 +724,18 @@
             let answers = to_caller.iter().filter(|m| m.kind == kind::ANSWER).count();
             let releases = to_caller.iter().filter(|m| m.kind == kind::RELEASE).count();
             prop_assert!(answers <= 1 && releases <= 1, "call {}: {:?}", id, to_caller);
-            prop_assert!(answers + releases >= 1 || gone.contains(&id), "call {} without an answer", id);
-            let set_ups = bed.servers_received.iter().filter(|m| m.call == id && m.kind == kind::SET_UP).count();
-            prop_assert!(set_ups <= 6);
+            prop_assert!(answers + releases >= 1 || gone.contains(&id), "call {} received no final answer", id);
+            let attempts = bed.servers_received.iter().filter(|m| m.call == id && m.kind == kind::SET_UP).count();
+            prop_assert!(attempts <= 6);
         }
     }
 }
 
-/// Guards against peers that write in pieces of any size, at both sides: a set-up one byte at a time from the
-/// caller and an answer one byte at a time from the server make one call that stands; a caller that stops in
-/// the middle of a message is let go; a caller that leaves loses nobody else's call.
+/// Guards against faults with peers that write in pieces of any size: a set-up one byte at a time from the caller and
+/// an answer one byte at a time from the server establish a call; a caller that stops in the middle of a message is
+/// closed; a caller that disconnects ends nobody else's call.
 #[test]
-fn pieces_at_both_sides_make_whole_messages_and_a_half_message_is_let_go() {
+fn messages_in_pieces_are_assembled_and_a_caller_that_sends_half_of_one_is_closed() {
     let mut bed = TestBed::new(1);
     let mut bytes = Vec::new();
     set_up(1, 3000).encode(&mut bytes);
@@ -720,21 +744,21 @@
         bed.run_iteration();
     }
     bed.expect_at_server(1, kind::SET_UP);
-    let mut bytes_of_answer = Vec::new();
-    answer(1).encode(&mut bytes_of_answer);
-    for byte in &bytes_of_answer {
+    let mut answer_bytes = Vec::new();
+    answer(1).encode(&mut answer_bytes);
+    for byte in &answer_bytes {
         bed.servers[0].stream().write_all(&[*byte]).unwrap();
         bed.run_iteration();
     }
     bed.expect_at_caller(1, kind::ANSWER, None);
-    // Half a set-up, then silence with the connection open.
+    // Half of a set-up, then nothing more on the open connection.
     let mut half = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     let mut bytes = Vec::new();
     set_up(2, 3000).encode(&mut bytes);
     half.stream().write_all(&bytes[..bytes.len() / 2]).unwrap();
     bed.run_for(3.0);
-    assert!(half.read(&mut Vec::new()).is_err(), "a caller silent in the middle of a message is closed");
-    // Another caller leaves with its call out: the first caller's call stands on.
+    assert!(half.read(&mut Vec::new()).is_err(), "a caller that stops in the middle of a message is closed");
+    // Another caller disconnects with its set-up open: the first caller's call continues.
     let mut leaving = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     leaving.send(&set_up(3, 3000)).unwrap();
     bed.expect_at_server(3, kind::SET_UP);
