--- a/crates/gatekeeper/src/node/tests/server_connections.rs
+++ b/crates/gatekeeper/src/node/tests/server_connections.rs
@@ -1,12 +1,12 @@
-//! Connections to session servers that nothing waits for: a server that closes idle connections decides when each ends.
+//! Connections to a session server that closes idle connections, while no set-up waits for them.
 
 use super::*;
 
-/// After how long the server closes a connection, in seconds.
+/// Age at which the server closes a connection.
 const SERVER_IDLE_TIMEOUT_S: f64 = 0.7;
 
 impl TestBed {
-    /// On a clock that moves only when the test says so.
+    /// A test bed whose clock moves only when the test advances it.
     pub(super) fn with_manual_clock(servers: usize) -> TestBed {
         let mut bed = TestBed::new(servers);
         bed.gatekeeper =
@@ -17,8 +17,8 @@
         bed
     }
 
-    /// Lets time pass while the only server closes each connection once it is so old. Returns how many came, and the longest
-    /// time without one.
+    /// Advances the time while the only server closes each connection at the age of `SERVER_IDLE_TIMEOUT_S`. Returns
+    /// the number of connections opened and the longest time without one.
     fn run_with_idle_closes(&mut self, seconds: f64) -> (usize, f64) {
         let (mut opened_at, mut opened) = (vec![self.gatekeeper.now(); self.servers.len()], 0);
         let (end, mut last_open, mut longest_gap) =
@@ -45,23 +45,24 @@
     }
 }
 
-/// Guards against a new connection at once for each that a server closes as idle: from every gatekeeper to every server.
+/// Guards against a gatekeeper that reopens at once each connection that a server closes as idle, which would load
+/// every server with connections from every gatekeeper.
 #[test]
-fn connections_closed_as_idle_come_back_with_backoff_and_at_once_for_a_call() {
+fn connections_closed_as_idle_are_reopened_with_backoff_and_at_once_for_a_call() {
     let mut bed = TestBed::with_manual_clock(1);
     let (opened, longest_gap) = bed.run_with_idle_closes(60.0);
-    // Two at once or nearly so, then one in 3.2 to 5.7 s.
+    // Two at once or almost, then one every 3.2 to 5.7 s.
     assert!((8..=22).contains(&opened), "{opened} connections opened without a set-up waiting");
-    // What ended meanwhile is said again on the next one, and has to be told within 8 s.
+    // The server sends ends of calls again on the next connection, and each has to be passed on within 8 s.
     assert!(longest_gap < 6.0, "no connection for {longest_gap} s");
-    // With none open, and the next one long off, a set-up finds its way.
+    // With no connection open and the next one due much later, a set-up opens one.
     bed.servers.clear();
     bed.run_for(0.2);
     bed.caller = peer(TcpStream::connect(bed.gatekeeper.address()).unwrap());
     let before = bed.gatekeeper.now();
     bed.establish_call(1);
-    assert!(bed.gatekeeper.now() - before < 0.2, "the set-up waited for a connection that nobody asked for");
-    // While it stands, its server finds a connection for its end at any time.
+    assert!(bed.gatekeeper.now() - before < 0.2, "the set-up waited for the next scheduled connection");
+    // While the call stands, its server always has a connection on which to send its end.
     let (_, longest_gap) = bed.run_with_idle_closes(20.0);
     assert!(longest_gap < 0.2, "no connection for {longest_gap} s during a standing call");
     bed.run_until("a connection", |bed| !bed.servers.is_empty());
