--- a/crates/gatekeeper/src/node/tests/caller_limit.rs
+++ b/crates/gatekeeper/src/node/tests/caller_limit.rs
@@ -1,4 +1,4 @@
-//! Crowds that take all places while ends of calls are left unread.
+//! Many callers that reach the limit of caller connections while ends of calls are left unread.
 
 use std::net::Shutdown;
 
@@ -7,15 +7,16 @@
 };
 use super::*;
 
-/// Callers enough to take all places several times.
+/// Callers that connect at once, more than twice the limit.
 const CROWD_CALLERS: u64 = 120;
-/// The first call of a crowd.
+/// Call id of the first caller of a crowd; the others follow.
 const FIRST_CROWD_CALL_ID: u64 = 1000;
-/// Places that a gatekeeper of these tests has for callers.
+/// Caller connections that a gatekeeper of these tests holds at most.
 const MAX_CALLERS: u64 = 44;
 
 impl TestBed {
-    /// Connects many callers in one moment, each with a set-up that stays open, and lets those in for whom there is room.
+    /// Connects many callers at once, each with a set-up that stays open, and runs iterations in which those that fit
+    /// are accepted.
     fn connect_crowd(&mut self) -> Vec<Peer> {
         let connect = |id| {
             let mut caller = self.connect_caller();
@@ -27,22 +28,23 @@
         crowd
     }
 
-    /// The end of a call is written to its caller, which leaves it unread.
+    /// Has the end of a call written to its caller, which leaves it unread.
     fn write_unread_end(&mut self, id: u64) {
         self.send_from_all_servers(&release(id, cause::NORMAL));
         (0..2).for_each(|_| self.run_iteration());
-        assert_eq!(ends_received(self, id), 0, "its caller's connection is there");
+        assert_eq!(ends_received(self, id), 0, "the end must go to its own caller only");
     }
 
-    /// Calls that were taken and are not over.
+    /// Calls that were accepted and are not over.
     fn outstanding_calls(&self) -> u64 {
         self.gatekeeper.figures_now().gauges.outstanding
     }
 }
 
-/// Guards against an end lost as its half-closed connection is dropped to make room before its caller's reset.
+/// Guards against the loss of an end whose half-closed connection is dropped to make room before its caller's reset
+/// arrives.
 #[test]
-fn an_end_left_unread_after_a_half_close_is_told_as_a_crowd_takes_all_places() {
+fn an_end_left_unread_after_a_half_close_is_sent_again_when_the_caller_limit_is_reached() {
     let mut bed = TestBed::with_manual_clock(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.write_unread_end(1);
@@ -54,9 +56,10 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end lost as its idle connection is closed to make room and dropped before its caller's reset.
+/// Guards against the loss of an end whose idle connection is closed to make room and dropped before its caller's
+/// reset arrives.
 #[test]
-fn an_end_left_unread_on_a_connection_closed_to_make_room_is_told() {
+fn an_end_left_unread_on_a_connection_closed_to_make_room_is_sent_again() {
     let mut bed = TestBed::with_manual_clock(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.write_unread_end(1);
@@ -67,14 +70,14 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against a crowd locked out by callers that leave the ends of their calls unread: they keep a part of the places, for
-/// a moment.
+/// Guards against new callers locked out by callers that leave the ends of their calls unread: these may hold a part
+/// of the connections, for a short time.
 #[test]
-fn callers_that_leave_ends_unread_keep_few_places_from_a_crowd() {
+fn callers_that_leave_ends_unread_block_few_connections_for_a_short_time() {
     let mut bed = TestBed::with_manual_clock(1);
     bed.establish_call(9);
     let connect_with_call = |id| {
-        // A server that has just started is sent a few at a time.
+        // A server that has just started gets only a few set-ups at a time.
         bed.gatekeeper.advance_clock(0.2);
         connect_caller_with_call_id(&mut bed, id)
     };
@@ -83,16 +86,16 @@
     leaving.iter().for_each(|caller| caller.stream().shutdown(Shutdown::Write).unwrap());
     (0..2).for_each(|_| bed.run_iteration());
     let _crowd = bed.connect_crowd();
-    // One place is that of the call that stands.
+    // One connection is that of the caller with the standing call.
     assert!(bed.outstanding_calls() >= MAX_CALLERS * 3 / 4, "{} of {MAX_CALLERS}", bed.outstanding_calls());
     bed.run_for(0.4);
     (0..4).for_each(|_| bed.run_iteration());
     assert!(bed.outstanding_calls() >= MAX_CALLERS, "{} of {MAX_CALLERS}", bed.outstanding_calls());
 }
 
-/// Guards against callers with a call that stands who are turned out though another connection is about to end.
+/// Guards against the close of a connection with a standing call although another connection is about to close.
 #[test]
-fn a_connection_with_a_standing_call_makes_no_room_while_another_one_is_closing() {
+fn a_connection_with_a_standing_call_is_kept_while_another_one_is_closing() {
     let mut bed = TestBed::with_manual_clock(1);
     let _leaving = connect_caller_with_call(&mut bed);
     bed.write_unread_end(1);
@@ -102,9 +105,9 @@
     bed.expect_at_caller(9, kind::RELEASE, Some(cause::NORMAL));
 }
 
-/// Guards against a crowd that waits for the next look at the listener though a place is free.
+/// Guards against callers that wait for the next poll of the listener although a connection has become free.
 #[test]
-fn a_place_that_a_closed_connection_gives_back_is_taken_at_once() {
+fn a_caller_is_accepted_at_once_when_a_connection_closes() {
     let mut bed = TestBed::with_manual_clock(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.write_unread_end(1);
@@ -117,9 +120,9 @@
     assert_eq!(bed.outstanding_calls(), outstanding_before + 1);
 }
 
-/// Guards against a crowd locked out by callers with standing calls for as long as others go on leaving ends unread.
+/// Guards against new callers locked out by callers with standing calls while others keep leaving ends unread.
 #[test]
-fn a_connection_with_a_standing_call_makes_room_where_others_wait_for_long() {
+fn a_connection_with_a_standing_call_is_closed_when_others_have_waited_for_long() {
     let mut bed = TestBed::with_manual_clock(1);
     let first = connect_caller_with_call(&mut bed);
     let second = connect_caller_with_call_id(&mut bed, 2);
@@ -130,7 +133,7 @@
     let _crowd = bed.connect_crowd();
     second.stream().shutdown(Shutdown::Write).unwrap();
     bed.run_for(0.2);
-    assert!(bed.caller.read(&mut Vec::new()).is_ok(), "others have not waited for long");
+    assert!(bed.caller.read(&mut Vec::new()).is_ok(), "closed before the others waited for long");
     bed.run_for(0.1);
     (0..4).for_each(|_| bed.run_iteration());
     assert!(bed.caller.read(&mut Vec::new()).is_err());
