--- a/crates/gatekeeper/src/node/tests/truncated_messages.rs
+++ b/crates/gatekeeper/src/node/tests/truncated_messages.rs
@@ -1,11 +1,11 @@
-//! Messages that stop short of their own length, with others behind them on the same connection.
+//! Messages that are shorter than their length prefix says, with others behind them on the same connection.
 
 use super::*;
 
-/// Ids as callers draw them: eight bytes that are no part of a head by chance.
+/// Call ids as callers draw them: random, so that their eight bytes do not look like a message header.
 const CALL_IDS: [u64; 3] = [0x091b_7584_a226_5b1f, 0xe4c3_02d9_517f_8a66, 0x5f20_9b3e_c871_04ad];
 
-/// The description that the server gives a call.
+/// The description that the server sends for a call.
 fn description(id: u64) -> Vec<u8> {
     format!("made for {id:016x}").into_bytes()
 }
@@ -20,7 +20,7 @@
     bytes
 }
 
-/// Three set-ups that are open on the only connection to the only server, and that connection.
+/// A test bed with three open set-ups on the only connection to the only server, and that connection.
 fn with_three_open_set_ups() -> (TestBed, Peer) {
     open_three_set_ups(TestBed::new(1))
 }
@@ -45,9 +45,9 @@
     bed.caller_received.iter().filter(|m| m.call == id).collect()
 }
 
-/// Guards against an answer that stops short being passed on with the first bytes of the next one as its end.
+/// Guards against a truncated answer that is passed on with the first bytes of the next one as its end.
 #[test]
-fn an_answer_that_stops_short_is_not_completed_by_the_next_one() {
+fn a_truncated_answer_is_not_completed_by_the_next_answer() {
     for missing in [1, 2, 3, 5, 8, 9, 10, 11, 12, 14, 20, 25] {
         for iterations_between in [0, 3] {
             let (mut bed, connection) = with_three_open_set_ups();
@@ -57,7 +57,7 @@
             write_bytes(&connection, &encoded(&answer_with_description(CALL_IDS[1])));
             write_bytes(&connection, &encoded(&answer_with_description(CALL_IDS[2])));
             bed.run_for(1.0);
-            // The set-ups come again on another connection, and what the server says there counts.
+            // The set-ups are sent again on another connection, and the server's answers there are passed on.
             for id in CALL_IDS {
                 bed.send_from_all_servers(&answer_with_description(id));
             }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Writes bytes on a connection, and gives the gatekeeper turns to read them.
+/// Writes bytes on a connection, and runs iterations in which the gatekeeper reads them.
 fn write_then_run(bed: &mut TestBed, peer: &Peer, bytes: &[u8], iterations: usize) {
     write_bytes(peer, bytes);
     for _ in 0..iterations {
@@ -82,8 +82,9 @@
     }
 }
 
-/// The server answers what comes again on another connection, and once what may not have come yet: each call has one final
-/// answer by its deadline, as the server made it or a refusal.
+/// Has the server answer each set-up that is sent again on another connection, and once each that may not have been
+/// sent yet. Asserts that each call gets one final answer by its deadline: the server's answer, unchanged, or a
+/// refusal.
 fn assert_answered_or_refused(bed: &mut TestBed, case: &str) {
     bed.run_for(1.0);
     let mut handled = bed.servers_received.len();
@@ -108,9 +109,10 @@
     }
 }
 
-/// Guards against an answer that is completed just as a read ends, when nothing behind it tells yet.
+/// Guards against a truncated answer whose missing bytes arrive at the end of a read, when no following bytes show yet
+/// that they belong to the next message.
 #[test]
-fn an_answer_completed_at_the_end_of_a_read_waits_for_what_follows() {
+fn an_answer_completed_at_the_end_of_a_read_is_held_until_more_bytes_arrive() {
     let next = encoded(&answer_with_description(CALL_IDS[1]));
     for missing in 1..=25 {
         let (mut bed, connection) = open_three_set_ups(TestBed::with_manual_clock(1));
@@ -122,19 +124,20 @@
     }
 }
 
-/// Guards against an answer that is completed by messages of other types, by more than one of them, or by no message.
+/// Guards against a truncated answer that is completed by messages of other types, by several messages, or by invalid
+/// bytes.
 #[test]
-fn an_answer_that_stops_short_is_not_completed_by_anything_else() {
+fn a_truncated_answer_is_not_completed_by_other_messages_or_invalid_bytes() {
     let end = encoded(&release(CALL_IDS[1], cause::TEMPORARY_FAILURE));
     let report = encoded(&Message::new(kind::STATE, 0).with(code::REPORT, "free:12;size:40"));
     let ahead = encoded(&answer_with_description(0x7d11_c05a_3e88_f402));
     let whole = encoded(&answer_with_description(CALL_IDS[0]));
     let behind = [
-        ("an end", end.clone()),
+        ("a release", end.clone()),
         ("a report", report.clone()),
-        ("an answer ahead", ahead),
-        ("ends and a report", [end.clone(), end, report].concat()),
-        ("noise", vec![0xa7; 60]),
+        ("an answer before its set-up", ahead),
+        ("releases and a report", [end.clone(), end, report].concat()),
+        ("invalid bytes", vec![0xa7; 60]),
     ];
     for (name, behind) in &behind {
         for missing in [1, 7, 15, 19, 24] {
@@ -146,9 +149,10 @@
     }
 }
 
-/// Guards against a release whose cause is the first byte of the next message: `full` would be a failure, an end a cut.
+/// Guards against a release that takes the first byte of the next message as its cause: `full` would become a failure,
+/// and a normal end would become a cut.
 #[test]
-fn a_release_that_stops_short_is_not_completed_by_the_next_message() {
+fn a_truncated_release_is_not_completed_by_the_next_message() {
     let (mut bed, connection) = with_three_open_set_ups();
     let end = encoded(&release(9, cause::NORMAL));
     write_then_run(&mut bed, &connection, &end[..end.len() - 1], 3);
@@ -157,15 +161,16 @@
     let ends: Vec<&Message> =
         bed.caller_received.iter().filter(|m| m.call == 9 && m.kind == kind::RELEASE).collect();
     assert!(ends.is_empty(), "{ends:?}");
-    // The server says it again on the next connection.
+    // The server sends the release again on the next connection.
     bed.send_from_all_servers(&release(9, cause::NORMAL));
     bed.expect_at_caller(9, kind::RELEASE, Some(cause::NORMAL));
-    assert_answered_or_refused(&mut bed, "a release cut short");
+    assert_answered_or_refused(&mut bed, "a truncated release");
 }
 
-/// Guards against honest answers that come in pieces being refused, or passed on later than 5 ms after their last byte.
+/// Guards against valid answers that arrive in pieces and are refused, or passed on later than 5 ms after their last
+/// byte.
 #[test]
-fn an_answer_in_two_pieces_stands_within_5_ms() {
+fn an_answer_in_two_pieces_is_passed_on_within_5_ms() {
     let whole = encoded(&answer_with_description(CALL_IDS[0]));
     for cut in 1..whole.len() {
         let (mut bed, connection) = open_three_set_ups(TestBed::with_manual_clock(1));
@@ -180,9 +185,9 @@
     }
 }
 
-/// Guards against a set-up that no caller sent going on to a server: one that stops short and is completed by the next.
+/// Guards against forwarding a set-up that no caller sent: a truncated one that is completed by the next.
 #[test]
-fn a_set_up_that_stops_short_is_not_completed_by_the_next_one() {
+fn a_truncated_set_up_is_not_completed_by_the_next_set_up() {
     let set_up_with_description = |id: u64| {
         Message::new(kind::SET_UP, id)
             .with(code::CLASS, "meter-read")
