--- a/crates/gatekeeper/src/node/tests/link_byte_counts.rs
+++ b/crates/gatekeeper/src/node/tests/link_byte_counts.rs
@@ -1,4 +1,4 @@
-//! What is said on the links is told apart, and the parts are the whole.
+//! The bytes sent on links between gatekeepers are counted by kind, and the counts add up to the total.
 
 use hollypaddle_membership::{Heartbeat, Incarnation, MemberId, Observation};
 use hollypaddle_replica::catch_up::Piece;
@@ -7,6 +7,7 @@
 
 use crate::node::peers::BytesByKind;
 
+/// Length prefix of each message on a link.
 const FRAME_HEADER_BYTES: u64 = 4;
 
 fn incarnation() -> Incarnation {
@@ -55,19 +56,22 @@
     fields.into_iter().chain(counts.records).sum()
 }
 
+/// Guards against observations that are counted as part of their heartbeat, or in neither count.
 #[test]
-fn sights_count_apart_from_the_beat_that_carries_them() {
+fn observations_are_counted_apart_from_the_heartbeat_that_carries_them() {
     let (none, few, many) =
         (count_bytes(&heartbeat(0)).0, count_bytes(&heartbeat(2)), count_bytes(&heartbeat(5)));
     assert_eq!(none.observations, 0);
     assert_eq!((total(&few.0), total(&many.0)), (few.1, many.1));
-    // The beat itself does not grow; each observation is as long as the next.
+    // The bytes of the heartbeat itself stay the same; all observations have the same length.
     assert_eq!((few.0.heartbeats, many.0.heartbeats), (none.heartbeats, none.heartbeats));
     assert_eq!((few.0.observations * 5, many.0.observations > 0), (many.0.observations * 2, true));
 }
 
+/// Guards against records that are counted under a wrong kind, as a withdrawn one without a value, or as part of their
+/// piece.
 #[test]
-fn records_count_by_their_kind() {
+fn records_are_counted_by_their_kind() {
     let silent = record(1, Key::Silent(ServerKey(7)), Some(Value::Silent(0)));
     let over = record(2, Key::Over(1 << 48), Some(Value::Over));
     let withdrawn = record(3, Key::Call(1 << 48), None);
@@ -82,8 +86,9 @@
     assert_eq!(counts.records.iter().filter(|bytes| **bytes > 0).count(), 3);
 }
 
+/// Guards against hello and leave messages that are counted under no kind.
 #[test]
-fn what_is_said_first_and_last_counts_as_a_greeting() {
+fn hello_and_leave_are_counted_as_greetings() {
     for message in [
         Word::Leave,
         Word::Hello { protocol: 2, from: MemberId(1), to: MemberId(2), life: incarnation(), known: None },
