--- a/crates/gatekeeper/src/node/tests/call_ends.rs
+++ b/crates/gatekeeper/src/node/tests/call_ends.rs
@@ -1,34 +1,39 @@
-//! The end of a call that stood reaches a caller, also where the connection that it is written to goes in that moment.
+//! The end of an established call reaches a caller, also if the connection that it is written to closes at the same
+//! time.
 
 use std::net::Shutdown;
 
 use super::*;
 
-/// A second caller whose call 1 stands, with the gatekeeper's own caller at hand for what it must hear otherwise.
+/// Connects a second caller and establishes call 1 for it. The test bed's own caller has call 9, so that it can
+/// receive the end if the second caller does not.
 pub(super) fn connect_caller_with_call(bed: &mut TestBed) -> Peer {
     bed.establish_call(9);
     connect_caller_with_call_id(bed, 1)
 }
 
-/// A further caller whose call stands.
+/// Connects one more caller and establishes this call for it.
 pub(super) fn connect_caller_with_call_id(bed: &mut TestBed, id: u64) -> Peer {
     let mut leaving = bed.connect_caller();
     leaving.send(&set_up(id, 3000)).unwrap();
     bed.expect_at_server(id, kind::SET_UP);
     bed.send_from_all_servers(&answer(id));
     let mut received = Vec::new();
-    bed.run_until("that the call stands", |_| leaving.read(&mut received).is_err() || !received.is_empty());
+    bed.run_until("the call to be established", |_| {
+        leaving.read(&mut received).is_err() || !received.is_empty()
+    });
     assert_eq!(received.first().map(|m| m.kind), Some(kind::ANSWER));
-    // The poller tells what was ready last time first; after turns without news, what comes first comes first.
+    // The poller reports first what was ready the last time; after idle iterations it reports in order of arrival.
     (0..2).for_each(|_| bed.run_iteration());
     leaving
 }
 
+/// Number of releases of the call that the test bed's caller received.
 pub(super) fn ends_received(bed: &TestBed, id: u64) -> usize {
     bed.caller_received.iter().filter(|m| m.call == id && m.kind == kind::RELEASE).count()
 }
 
-/// A caller whose call stands and who has not read its answer.
+/// Connects a caller whose call the server has answered and that has not read the answer.
 pub(super) fn connect_caller_with_unread_answer(bed: &mut TestBed, id: u64) -> Peer {
     bed.establish_call(9);
     let mut leaving = bed.connect_caller();
@@ -39,16 +44,18 @@
     leaving
 }
 
-/// Exactly one release of the call came to another caller, with the end's cause, and no answer of it.
+/// Asserts that the test bed's caller received exactly one release of the call, with the cause of the end, and no
+/// answer.
 pub(super) fn assert_end_received_once(bed: &TestBed, id: u64) {
     let of_call: Vec<_> =
         bed.caller_received.iter().filter(|m| m.call == id).map(|m| (m.kind, m.cause())).collect();
     assert_eq!(of_call, [(kind::RELEASE, Some(cause::NORMAL))]);
 }
 
-/// The end comes, and the caller closes once all of the turn is read: another connection hears of it, once.
+/// Guards against the loss of an end, or a second copy of it, if the caller closes after the reads and before the
+/// writes of an iteration.
 #[test]
-fn an_end_written_as_its_caller_closes_is_told_on_another_connection() {
+fn an_end_written_as_its_caller_closes_is_sent_once_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -57,9 +64,10 @@
     assert_eq!(ends_received(&bed, 1), 1, "{:?}", bed.caller_received);
 }
 
-/// Guards against an end lost with a connection that is half-closed as it is written, and reset a little later, as over a network.
+/// Guards against the loss of an end written to a connection that is half-closed at the same time and reset a little
+/// later, as happens over a network.
 #[test]
-fn an_end_whose_connection_is_reset_after_its_close_is_told_on_another_connection() {
+fn an_end_whose_connection_is_reset_after_its_half_close_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     let closing = leaving.stream().try_clone().unwrap();
@@ -72,9 +80,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end told twice, or not at all, whose connection is found half-closed before it is written.
+/// Guards against an end sent twice, or not at all, whose connection is found half-closed before the write.
 #[test]
-fn an_end_whose_connection_is_found_half_closed_is_told_on_another_connection() {
+fn an_end_whose_connection_is_found_half_closed_is_sent_once_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     let closing = leaving.stream().try_clone().unwrap();
@@ -87,9 +95,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// The caller closes with the end unread: its connection is reset.
+/// Guards against the loss of an end whose caller closes without reading it, which resets the connection.
 #[test]
-fn an_end_left_unread_as_its_caller_closes_is_told_on_another_connection() {
+fn an_end_left_unread_as_its_caller_closes_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -100,9 +108,10 @@
     assert_eq!(ends_received(&bed, 1), 1, "{:?}", bed.caller_received);
 }
 
-/// Nobody else is there who was told of a call: the end is kept for a moment and then told to whoever is.
+/// Guards against the loss of an end if no other connected caller has ever had a call: the end is kept for a short
+/// time and then sent to any caller.
 #[test]
-fn an_end_whose_caller_was_the_last_waits_for_the_next_one() {
+fn an_end_whose_caller_was_the_last_one_waits_for_the_next_caller() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.caller = bed.connect_caller();
@@ -113,9 +122,9 @@
     assert_eq!(ends_received(&bed, 1), 1, "{:?}", bed.caller_received);
 }
 
-/// A caller that reads the end and closes then has heard it: nobody else does.
+/// Guards against a second copy of an end that its caller read before it closed.
 #[test]
-fn an_end_that_was_read_is_told_once() {
+fn an_end_that_was_read_is_not_sent_again() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -127,9 +136,10 @@
     assert_eq!(ends_received(&bed, 1), 0, "{:?}", bed.caller_received);
 }
 
-/// Of two ends the first is read and the second is not: the second is told elsewhere, the first is not told again.
+/// Guards against a wrong choice of ends to send again: of two ends the first is read and the second is not, so only
+/// the second is sent on another connection.
 #[test]
-fn an_end_that_was_read_before_one_that_was_not_is_told_once() {
+fn an_end_read_before_an_unread_one_is_not_sent_again() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     leaving.send(&set_up(2, 3000)).unwrap();
@@ -147,9 +157,10 @@
     assert_eq!((ends_received(&bed, 1), ends_received(&bed, 2)), (0, 1), "{:?}", bed.caller_received);
 }
 
-/// Guards against an end lost for the reason that the answer before it was not read either: it is owed all the same, once.
+/// Guards against the loss of an end because the answer before it was not read either: the end still has to be sent,
+/// once.
 #[test]
-fn an_end_left_unread_behind_its_answer_is_told_on_another_connection() {
+fn an_end_left_unread_behind_its_answer_is_sent_once_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_unread_answer(&mut bed, 1);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -159,9 +170,10 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against the same where the end comes after its caller has left.
+/// Guards against the loss of an end whose answer was left unread, if the end arrives after its caller has
+/// disconnected.
 #[test]
-fn an_end_that_comes_after_its_answer_was_left_unread_is_told_on_another_connection() {
+fn an_end_that_arrives_after_its_answer_was_left_unread_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_unread_answer(&mut bed, 1);
     drop(leaving);
@@ -171,9 +183,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end lost with its connection where the caller closes between the look at it and the write.
+/// Guards against the loss of an end whose caller closes between the check of its connection and the write.
 #[test]
-fn an_end_whose_caller_closes_after_the_last_look_is_told_on_another_connection() {
+fn an_end_whose_caller_closes_between_the_check_and_the_write_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -182,9 +194,9 @@
     assert_eq!(ends_received(&bed, 1), 1, "{:?}", bed.caller_received);
 }
 
-/// Guards against an end told to a connection that is closed in the same turn as the caller's own one.
+/// Guards against an end sent on a connection that closes in the same iteration as the caller's own one.
 #[test]
-fn an_end_is_told_on_a_connection_that_is_still_there() {
+fn an_end_is_sent_on_a_connection_that_is_still_open() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     let newest = connect_caller_with_call_id(&mut bed, 2);
@@ -194,9 +206,10 @@
     assert_eq!(ends_received(&bed, 1), 1, "{:?}", bed.caller_received);
 }
 
-/// Guards against a call that stands for nobody: its answer is written to a connection that its caller closes in that moment.
+/// Guards against a call that stands without a caller: its answer is written to a connection that its caller is
+/// closing.
 #[test]
-fn an_answer_written_as_its_caller_closes_leaves_no_call_behind() {
+fn an_answer_written_as_its_caller_closes_releases_the_call() {
     let mut bed = TestBed::new(1);
     bed.establish_call(9);
     let mut leaving = bed.connect_caller();
@@ -210,9 +223,9 @@
     assert_eq!(ends_received(&bed, 1), 0, "{:?}", bed.caller_received);
 }
 
-/// Guards against an answer to a caller that cancelled between the read of a turn and its writes.
+/// Guards against an answer to a caller that cancelled between the reads and the writes of an iteration.
 #[test]
-fn an_answer_that_crosses_its_callers_cancel_is_released_and_not_told() {
+fn an_answer_that_crosses_a_cancel_is_released_and_not_sent_to_the_caller() {
     let mut bed = TestBed::new(1);
     bed.establish_call(9);
     bed.caller.send(&set_up(1, 3000)).unwrap();
@@ -228,9 +241,10 @@
     assert!(bed.caller_received.iter().all(|m| m.call != 1), "{:?}", bed.caller_received);
 }
 
-/// Guards against the same where the caller shuts its connection down both ways: a reset follows the close.
+/// Guards against the loss of an end whose caller left the answer unread and shuts its connection down in both
+/// directions: a reset follows the close.
 #[test]
-fn an_end_left_unread_behind_its_answer_by_a_caller_that_shuts_down_is_told_on_another_connection() {
+fn an_end_left_unread_behind_its_answer_by_a_caller_that_shuts_down_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_unread_answer(&mut bed, 1);
     let closing = leaving.stream().try_clone().unwrap();
@@ -242,9 +256,10 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against ends left unread by callers that ask once, while another one asks again and reads.
+/// Guards against an end sent to a caller that made a single set-up and may never read, while another one makes
+/// further set-ups and reads.
 #[test]
-fn an_end_whose_connection_is_gone_goes_to_a_caller_that_asks_again() {
+fn an_end_whose_connection_has_closed_is_sent_to_a_caller_with_several_set_ups() {
     let mut bed = TestBed::new(1);
     bed.establish_call(8);
     let leaving = connect_caller_with_call(&mut bed);
