--- a/crates/gatekeeper/src/node/tests/unread_call_ends.rs
+++ b/crates/gatekeeper/src/node/tests/unread_call_ends.rs
@@ -1,4 +1,4 @@
-//! The end of a call that stood is sent again on another connection where its caller left it unread, and only there.
+//! The end of an established call is sent again on another connection if its caller left it unread, and only then.
 
 use std::io::Read;
 use std::net::Shutdown;
@@ -10,23 +10,23 @@
 };
 use super::*;
 
-/// The call's end is written to its caller's connection and waits there to be read.
+/// Has the end of a call written to its caller's connection, where it waits to be read.
 fn write_unread_end(bed: &mut TestBed, id: u64) {
     bed.send_from_all_servers(&release(id, cause::NORMAL));
     (0..2).for_each(|_| bed.run_iteration());
-    assert_eq!(ends_received(bed, id), 0, "its caller's connection is there");
+    assert_eq!(ends_received(bed, id), 0, "the end must go to its own caller only");
 }
 
-/// Reads until the end of the call is there.
+/// Reads until the caller has received the end of the call.
 fn read_until_end(bed: &mut TestBed, caller: &mut Peer, id: u64) {
     let mut received = Vec::new();
     let is_end = |m: &Message| (m.call, m.kind) == (id, kind::RELEASE);
     bed.run_until("the end", |_| caller.read(&mut received).is_err() || received.iter().any(is_end));
 }
 
-/// Guards against an end lost with the write that finds its connection reset: the system tells of the reset there alone.
+/// Guards against the loss of an end whose write fails on a reset connection: only the write reports the reset.
 #[test]
-fn an_end_whose_write_fails_is_told_on_another_connection() {
+fn an_end_whose_write_fails_is_sent_once_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_unread_answer(&mut bed, 1);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -35,9 +35,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end lost where the look before its write finds its connection reset.
+/// Guards against the loss of an end if the check before its write finds its connection reset.
 #[test]
-fn an_end_whose_connection_is_found_reset_before_the_write_is_told_on_another_connection() {
+fn an_end_whose_connection_is_found_reset_before_the_write_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_unread_answer(&mut bed, 1);
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -46,9 +46,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end lost in a chain of connections that are left one after the other with it unread.
+/// Guards against the loss of an end on a series of connections that close one after the other without reading it.
 #[test]
-fn an_end_left_unread_on_three_connections_is_told_on_the_fourth() {
+fn an_end_left_unread_on_three_connections_is_sent_on_the_fourth() {
     let mut bed = TestBed::new(1);
     let first = connect_caller_with_call(&mut bed);
     let second = connect_caller_with_call_id(&mut bed, 2);
@@ -63,12 +63,12 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end sent for ever from one connection that is left to the next: it is owed for 8 s.
+/// Guards against an end sent again without limit as one connection after the other closes: it has to be sent for 8 s.
 #[test]
-fn an_end_left_unread_is_told_to_nobody_once_it_is_too_late() {
+fn an_end_left_unread_is_not_sent_again_after_8_s() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
-    // A second call keeps the connection in use.
+    // A second call keeps the connection from being closed as idle.
     leaving.send(&set_up(2, 3000)).unwrap();
     bed.expect_at_server(2, kind::SET_UP);
     bed.send_from_all_servers(&answer(2));
@@ -80,9 +80,10 @@
     assert_eq!(ends_received(&bed, 1), 0, "{:?}", bed.caller_received);
 }
 
-/// Guards against an end lost on a connection that this side closes in order, and whose caller then leaves it unread.
+/// Guards against the loss of an end on a connection that the gatekeeper closes in order and whose caller leaves the
+/// end unread.
 #[test]
-fn an_end_left_unread_on_a_connection_closed_by_this_side_is_told_on_another_one() {
+fn an_end_left_unread_on_a_connection_closed_by_the_gatekeeper_is_sent_on_another_one() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
@@ -93,9 +94,10 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end lost on a connection that its caller half-closes, and then closes with it unread.
+/// Guards against the loss of an end on a connection that its caller half-closes and then closes without reading the
+/// end.
 #[test]
-fn an_end_left_unread_after_a_half_close_is_told_on_another_connection() {
+fn an_end_left_unread_after_a_half_close_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
@@ -106,9 +108,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end told twice to a caller that half-closes its connection and reads it there.
+/// Guards against a second copy of an end for a caller that half-closes its connection and reads the end there.
 #[test]
-fn an_end_that_was_read_after_a_half_close_is_told_once() {
+fn an_end_that_was_read_after_a_half_close_is_not_sent_again() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
@@ -120,10 +122,10 @@
     assert_eq!(ends_received(&bed, 1), 0, "{:?}", bed.caller_received);
 }
 
-/// Guards against an end lost for fear of telling it twice: a caller that aborts with all read looks like one that leaves it
-/// unread, and hears of it once more.
+/// Guards against the loss of an end in order to avoid a second copy: a caller that read everything and resets the
+/// connection cannot be told from one that left the end unread, so the end is sent once more.
 #[test]
-fn an_end_whose_caller_aborts_is_told_on_another_connection() {
+fn an_end_whose_caller_resets_the_connection_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let mut aborting = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
@@ -133,17 +135,17 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end told twice that was read, where another one of the same write was not: the last message alone is unread
-/// for certain.
+/// Guards against a second copy of an end that was read, if another one of the same write was not: only the last
+/// message is certain to be unread.
 #[test]
-fn an_end_that_was_read_of_two_written_together_is_told_once() {
+fn of_two_ends_written_together_the_one_that_was_read_is_not_sent_again() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     leaving.send(&set_up(2, 3000)).unwrap();
     bed.expect_at_server(2, kind::SET_UP);
     bed.send_from_all_servers(&answer(2));
     let mut received = Vec::new();
-    bed.run_until("its answer", |_| leaving.read(&mut received).is_err() || !received.is_empty());
+    bed.run_until("the answer", |_| leaving.read(&mut received).is_err() || !received.is_empty());
     let mut bytes = Vec::new();
     [1, 2].iter().for_each(|id| release(*id, cause::NORMAL).encode(&mut bytes));
     bed.servers[0].stream().write_all(&bytes).unwrap();
@@ -159,9 +161,10 @@
     assert_eq!((figures.ends_redelivered, figures.ends_unconfirmed), (1, 1));
 }
 
-/// Guards against ends lost beyond what is remembered of one connection, as a caller of many calls closes it before the writes.
+/// Guards against the loss of ends beyond the number remembered for one connection, if a caller with many calls closes
+/// it before the writes.
 #[test]
-fn all_ends_of_a_caller_that_closes_before_they_are_written_are_told_on_another_connection() {
+fn all_ends_of_a_caller_that_closes_before_they_are_written_are_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     let ids: Vec<u64> = (1000..1300).collect();
@@ -171,7 +174,9 @@
         bed.send_from_all_servers(&answer(id));
     }
     let mut received = Vec::new();
-    bed.run_until("that all stand", |_| leaving.read(&mut received).is_err() || received.len() == ids.len());
+    bed.run_until("all calls to be established", |_| {
+        leaving.read(&mut received).is_err() || received.len() == ids.len()
+    });
     let mut bytes = Vec::new();
     ids.iter().for_each(|id| release(*id, cause::NORMAL).encode(&mut bytes));
     bed.servers[0].stream().write_all(&bytes).unwrap();
@@ -181,9 +186,10 @@
     assert_eq!(redelivered, ids.len());
 }
 
-/// Guards against an end lost that was written with an error of another set-up behind it, as its caller closes in that moment.
+/// Guards against the loss of an end that was written with a refusal of another set-up behind it, if its caller closes
+/// before the writes.
 #[test]
-fn an_end_before_another_reply_is_told_on_another_connection_if_its_caller_closes_before_the_writes() {
+fn an_end_before_another_reply_is_sent_on_another_connection_if_its_caller_closes_before_the_writes() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     leaving.send(&set_up(2, 3000)).unwrap();
@@ -197,14 +203,15 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end lost in this process, on a connection whose caller reads nothing and closes in the end.
+/// Guards against the loss of an end inside the gatekeeper, in the buffer of a connection whose caller reads nothing
+/// and closes.
 #[test]
-fn an_end_that_was_never_written_is_told_on_another_connection() {
+fn an_end_that_was_never_written_is_sent_on_another_connection() {
     let mut bed = TestBed::new(1);
     let leaving = connect_caller_with_call(&mut bed);
     socket2::SockRef::from(leaving.stream()).set_recv_buffer_size(4096).unwrap();
     bed.gatekeeper.shrink_send_buffers();
-    // Results of tests fill all buffers on the way.
+    // Test results fill all buffers between the gatekeeper and the caller.
     let tests: Vec<u8> = (0..200_u64).flat_map(encoded_test).collect();
     bed.run_until_caller_blocked(|| {
         let _ = leaving.stream().write(&tests);
@@ -217,9 +224,9 @@
     assert_end_received_once(&bed, 1);
 }
 
-/// Guards against an end told twice although its caller confirmed it.
+/// Guards against a second copy of an end that its caller confirmed.
 #[test]
-fn an_end_that_was_confirmed_is_told_once() {
+fn an_end_that_was_confirmed_is_not_sent_again() {
     let mut bed = TestBed::new(1);
     let mut aborting = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
@@ -231,9 +238,10 @@
     assert_eq!(ends_received(&bed, 1), 0, "{:?}", bed.caller_received);
 }
 
-/// Guards against descriptors and time spent on connections that their callers closed: they are let go after 0.25 s.
+/// Guards against descriptors and time spent on connections that their callers closed: the gatekeeper closes them
+/// after 0.25 s.
 #[test]
-fn a_connection_closed_after_its_end_was_read_is_let_go() {
+fn a_half_closed_connection_whose_end_was_read_is_closed() {
     let mut bed = TestBed::new(1);
     let mut leaving = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
@@ -246,7 +254,7 @@
 }
 
 impl TestBed {
-    /// Turns, with a step before each, until something waits to be written to a caller.
+    /// Runs iterations, with a step before each, until bytes to a caller cannot be written.
     pub(super) fn run_until_caller_blocked(&mut self, mut step: impl FnMut()) {
         for _ in 0..MAX_ITERATIONS {
             if self.gatekeeper.blocked_callers() {
@@ -255,7 +263,7 @@
             step();
             self.run_iteration();
         }
-        panic!("nothing waits to be written");
+        panic!("all bytes to callers were written");
     }
 }
 
@@ -265,7 +273,7 @@
     bytes
 }
 
-/// Closes a connection with a reset, whatever was read.
+/// Closes a connection with a reset, also if all bytes were read.
 fn abort(caller: Peer) {
     socket2::SockRef::from(caller.stream()).set_linger(Some(Duration::ZERO)).unwrap();
 }
