--- a/crates/gatekeeper/src/node/tests/unread_releases.rs
+++ b/crates/gatekeeper/src/node/tests/unread_releases.rs
@@ -1,15 +1,16 @@
-//! The release of a call that is over reaches its server, also where the connection that it is written to goes in that moment.
+//! The release of a call that is over reaches its server, also if the connection that it is written to closes at the
+//! same time.
 
 use std::time::Duration;
 
 use super::*;
 
-/// Closes a connection with a reset, whatever was read.
+/// Closes a connection with a reset, also if all bytes were read.
 fn abort(peer: Peer) {
     socket2::SockRef::from(peer.stream()).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// The caller releases its call, and the server resets this connection before that is written.
+/// Has the caller release its call, and the server reset this connection before the release is written to it.
 fn reset_before_release_is_written(bed: &mut TestBed, id: u64, connection: usize) {
     let resetting = bed.servers.remove(connection);
     bed.caller.send(&release(id, cause::NORMAL)).unwrap();
@@ -20,7 +21,7 @@
     messages.iter().filter(|m| m.call == id && m.kind == kind::RELEASE).count()
 }
 
-/// Guards against a call that goes on at its server, as the write of its release failed.
+/// Guards against a call that continues at its server because the write of its release failed.
 #[test]
 fn a_release_whose_write_fails_is_sent_on_the_next_connection() {
     let mut bed = TestBed::new(1);
@@ -30,12 +31,13 @@
     assert_eq!(count_releases(&bed.servers_received, 1), 1, "{:?}", bed.servers_received);
 }
 
-/// Guards against a release that waits for a further connection although one is there.
+/// Guards against a release that waits for a new connection although another one is open.
 #[test]
-fn a_release_whose_write_fails_is_sent_on_a_connection_that_is_left() {
+fn a_release_whose_write_fails_is_sent_on_another_open_connection() {
     let mut bed = TestBed::new(1);
     bed.establish_call(1);
-    // A set-up without a word for 0.25 s brings a second connection; the word then makes the first one the best.
+    // A set-up without a reply for 0.25 s opens a second connection; the reply on the first one then makes that the
+    // preferred one.
     bed.caller.send(&set_up(2, 3000)).unwrap();
     bed.run_for(0.5);
     assert_eq!(bed.servers.len(), 2);
@@ -50,7 +52,8 @@
     assert_eq!(count_releases(&left, 1), 1, "{left:?}");
 }
 
-/// Guards against a call that goes on at its server, which closed the connection with the release unread.
+/// Guards against a call that continues at its server because the server closed the connection without reading the
+/// release.
 #[test]
 fn a_release_left_unread_as_its_server_closes_is_sent_on_the_next_connection() {
     let mut bed = TestBed::new(1);
@@ -62,7 +65,7 @@
     assert_eq!(count_releases(&bed.servers_received, 1), 1, "{:?}", bed.servers_received);
 }
 
-/// Guards against releases that are lost although more was said behind them.
+/// Guards against the loss of unread releases that have other messages behind them.
 #[test]
 fn all_releases_left_unread_as_their_server_closes_are_sent_on_the_next_connection() {
     let mut bed = TestBed::new(1);
@@ -77,7 +80,8 @@
     assert_eq!(sent, [1, 1, 1], "{:?}", bed.servers_received);
 }
 
-/// Guards against a release that its server's close crosses: the close comes first, and the reset after it meets nobody.
+/// Guards against the loss of a release that crosses its server's close: the close arrives first, and the reset after
+/// it finds the connection gone.
 #[test]
 fn a_release_that_crosses_the_close_of_its_server_is_sent_on_the_next_connection() {
     let mut bed = TestBed::new(1);
@@ -89,11 +93,11 @@
     assert_eq!(count_releases(&bed.servers_received, 1), 1, "{:?}", bed.servers_received);
 }
 
-/// Guards against a release on a connection that has fallen silent, closed as answers come on another one.
+/// Guards against the loss of a release on a silent connection, which is closed when answers arrive on another one.
 #[test]
-fn a_release_on_a_connection_that_is_overtaken_is_sent_on_the_other_one() {
+fn a_release_on_a_silent_connection_is_sent_on_the_one_that_replaces_it() {
     let mut bed = TestBed::new(1);
-    // The module knows that the server takes several at once and holds nothing back.
+    // After these answers the module knows that the server accepts several set-ups at once without delay.
     (10..20).for_each(|id| bed.establish_call(id));
     bed.send_from_all_servers(&Message::new(kind::STATE, 0).with(code::REPORT, "eps:0"));
     bed.run_iteration();
@@ -103,7 +107,11 @@
     bed.run_for(0.5);
     bed.caller.send(&set_up(3, 9000)).unwrap();
     bed.expect_at_server(3, kind::SET_UP);
-    assert_eq!(count_releases(&bed.servers_received, 10), 0, "it was sent on the silent one");
+    assert_eq!(
+        count_releases(&bed.servers_received, 10),
+        0,
+        "the release was sent on the silent connection only"
+    );
     bed.send_from_all_servers(&answer(3));
     bed.run_for(0.5);
     assert_eq!(count_releases(&bed.servers_received, 10), 1, "{:?}", bed.servers_received);
