--- a/crates/gatekeeper/src/node/tests/races.rs
+++ b/crates/gatekeeper/src/node/tests/races.rs
@@ -1,5 +1,5 @@
-//! Rare moments, each forced: what two peers do comes together in one turn, in the order that a test gives it, or is there
-//! before the gatekeeper looks. docs/ARCHITECTURE.md has the table of moments.
+//! Race conditions, each forced: events of two peers arrive in one iteration of the event loop, in the order that the
+//! test sets, or before the gatekeeper polls. docs/ARCHITECTURE.md has a table of these cases.
 
 use std::io::Read;
 use std::net::Shutdown;
@@ -7,12 +7,12 @@
 use super::*;
 use hollypaddle_platform::connection::Over;
 
-/// Set-ups with a description as large as a message may hold.
+/// A set-up with a description of 15,000 bytes, near the limit of a message.
 fn large_set_up(id: u64) -> Message {
-    let figures = set_up(id, 9000);
+    let plain = set_up(id, 9000);
     [code::CLASS, code::WAIT, code::NUMBER, code::FIGURES]
         .into_iter()
-        .fold(Message::new(kind::SET_UP, id), |m, code| m.with(code, figures.bytes(code).unwrap()))
+        .fold(Message::new(kind::SET_UP, id), |m, code| m.with(code, plain.bytes(code).unwrap()))
         .with(code::DESCRIPTION, vec![7; 15_000])
 }
 
@@ -21,19 +21,19 @@
         peer(TcpStream::connect(self.gatekeeper.address()).unwrap())
     }
 
-    /// A turn in which the servers' sides are not read.
+    /// Runs one iteration in which the servers read nothing.
     fn run_iteration_without_servers(&mut self) {
         self.gatekeeper.run_once().unwrap();
         let _ = self.caller.read(&mut self.caller_received);
     }
 
-    /// One server whose connection takes little at once.
+    /// A test bed with one server, whose connections have a small receive buffer.
     fn with_small_receive_buffer(sockets: usize) -> TestBed {
         let mut bed = TestBed::new(1);
         socket2::SockRef::from(&bed.listeners[0]).set_recv_buffer_size(4096).unwrap();
         let mut config = config(&bed.listeners, &bed.dns);
         (config.max_sockets, config.memory_bytes) = (sockets, 512 << 20);
-        // Time stands still, so that the server is not silent.
+        // The clock stands still, so that the server does not count as silent.
         bed.gatekeeper = Gatekeeper::with_clock(config, Clock::manual(1e9)).unwrap();
         bed.servers.clear();
         bed.run_until("another connection", |bed| !bed.servers.is_empty());
@@ -41,8 +41,8 @@
         bed
     }
 
-    /// Large set-ups of a few callers in turn, until the only connection to the server takes no more and has half of the last
-    /// one. Returns its id and the callers, its own first.
+    /// Sends large set-ups from several callers in turn until the only connection to the server is full and the last
+    /// one is written in part. Returns the id of that one, and the callers with its own first.
     fn block_server_connection(&mut self) -> (u64, Vec<Peer>) {
         let mut callers: Vec<Peer> = (0..4).map(|_| self.connect_caller()).collect();
         for id in 1_000..3_000 {
@@ -53,18 +53,19 @@
                 return (id, callers);
             }
         }
-        panic!("nothing is blocked");
+        panic!("the connection to the server did not fill up");
     }
 
+    /// Number of set-ups of the call that servers received.
     fn set_ups_received(&self, id: u64) -> usize {
         self.servers_received.iter().filter(|m| m.call == id && m.kind == kind::SET_UP).count()
     }
 }
 
-/// The caller leaves right behind its set-up, by closing, by a reset or by a cancel: all of it is there before the
-/// gatekeeper looks, as after a second without a processor. No attempt begins.
+/// Guards against an attempt for a caller that closes, resets or cancels right after its set-up: all of it is there
+/// before the gatekeeper polls, as after a second without a processor.
 #[test]
-fn a_caller_that_left_before_its_set_up_was_read_starts_nothing() {
+fn a_caller_that_disconnects_before_its_set_up_is_read_starts_no_attempt() {
     type Leave = fn(&mut Peer, u64);
     let close: Leave = |c, _| c.stream().shutdown(Shutdown::Both).unwrap();
     let cancel: Leave = |c, id| assert!(c.send(&release(id, cause::NORMAL)).is_ok());
@@ -78,20 +79,21 @@
         assert_eq!(
             bed.set_ups_received(id),
             0,
-            "an attempt for a caller that had left: {:?}",
+            "an attempt for a caller that had disconnected: {:?}",
             bed.servers_received
         );
     }
 }
 
-/// A set-up waits for a connection; the connection comes up, and the caller leaves, in one turn and in this order.
+/// Guards against an attempt for a set-up that waits for a connection, if the connection opens and then the caller
+/// disconnects in one iteration.
 #[test]
-fn a_connection_that_comes_up_as_the_caller_leaves_brings_no_attempt() {
+fn a_server_connection_that_opens_as_the_caller_disconnects_starts_no_attempt() {
     let mut bed = TestBed::new(1);
     let mut leaving = bed.connect_caller();
     let mut staying = bed.connect_caller();
     (0..2).for_each(|_| bed.run_iteration());
-    // The server closes its connection: the next one is on its way as the set-ups are decided.
+    // The server closes its connection: the next one is being opened when the set-ups are decided.
     bed.servers.clear();
     leaving.send(&set_up(1, 3000)).unwrap();
     staying.send(&set_up(2, 3000)).unwrap();
@@ -101,9 +103,9 @@
     assert_eq!((bed.set_ups_received(1), bed.set_ups_received(2)), (0, 1), "{:?}", bed.servers_received);
 }
 
-/// A server turns a set-up away and its caller leaves, in one turn and in this order: no further attempt.
+/// Guards against a further attempt if a server refuses a set-up and then its caller disconnects in one iteration.
 #[test]
-fn a_refusal_as_the_caller_leaves_brings_no_further_attempt() {
+fn a_refusal_as_the_caller_disconnects_starts_no_further_attempt() {
     let mut bed = TestBed::new(2);
     let mut leaving = bed.connect_caller();
     leaving.send(&set_up(1, 3000)).unwrap();
@@ -115,10 +117,10 @@
     assert_eq!(bed.set_ups_received(1), 1, "{:?}", bed.servers_received);
 }
 
-/// The answer comes as the caller leaves, in one turn and in this order: the call must not stand on at the server, as
-/// nobody knows that it does; nor is its end told to anybody.
+/// Guards against a call that stands at the server without a caller, and against its end sent to another caller, if
+/// the answer arrives and then the caller disconnects in one iteration.
 #[test]
-fn an_answer_whose_caller_left_with_it_leaves_no_call_behind() {
+fn an_answer_whose_caller_disconnects_with_it_releases_the_call() {
     let mut bed = TestBed::new(1);
     bed.establish_call(9);
     for with_end in [false, true] {
@@ -126,7 +128,7 @@
         let mut leaving = bed.connect_caller();
         leaving.send(&set_up(id, 3000)).unwrap();
         bed.expect_at_server(id, kind::SET_UP);
-        // The poller tells what was ready last time first; after turns without news, what comes first comes first.
+        // The poller reports first what was ready the last time; after idle iterations it reports in order of arrival.
         (0..2).for_each(|_| bed.run_iteration());
         bed.send_from_all_servers(&answer(id));
         if with_end {
@@ -139,7 +141,7 @@
         bed.run_for(0.5);
         assert!(
             !bed.caller_received.iter().any(|m| m.call == id),
-            "told to another caller: {:?}",
+            "sent to another caller: {:?}",
             bed.caller_received
         );
     }
@@ -147,47 +149,51 @@
     assert_eq!(figures["outstanding"], 1);
 }
 
-/// Half of a set-up is written to a server that reads nothing, and its caller leaves: whenever the server reads on, the
-/// set-up must not arrive whole. One that waits behind it and whose caller stays is not lost.
+/// Guards against a set-up that arrives complete although its caller disconnected when half of it was written to a
+/// server that reads nothing. A set-up that waits behind it, and whose caller stays, is not lost.
 #[test]
-fn a_half_written_set_up_whose_caller_left_never_arrives_whole() {
+fn a_half_written_set_up_whose_caller_disconnects_never_arrives_complete() {
     let mut bed = TestBed::with_small_receive_buffer(64);
     let (half_written_id, mut callers) = bed.block_server_connection();
-    // One that comes now waits behind it.
+    // A set-up that arrives now waits behind it.
     bed.caller.send(&set_up(1, 9000)).unwrap();
     bed.run_iteration_without_servers();
     drop(callers.remove(0));
     bed.run_iteration_without_servers();
-    // The server reads all that there is.
+    // The server reads everything.
     (0..MAX_ITERATIONS).for_each(|_| bed.run_iteration());
     bed.run_for(0.5);
-    assert_eq!(bed.set_ups_received(half_written_id), 0, "it came all the same");
-    assert_eq!(bed.set_ups_received(1_000), 1, "the first one is whole");
-    assert_eq!(bed.set_ups_received(1), 1, "what waited is sent on another connection");
+    assert_eq!(
+        bed.set_ups_received(half_written_id),
+        0,
+        "the set-up arrived although its caller had disconnected"
+    );
+    assert_eq!(bed.set_ups_received(1_000), 1, "the first set-up arrives complete");
+    assert_eq!(bed.set_ups_received(1), 1, "the waiting set-up is sent on another connection");
 }
 
-/// With descriptors for one connection to the server, and that one blocked, what waits for it is refused in the time that
-/// a connection has to come up, not at its deadline.
+/// Guards against a set-up that waits until its deadline for a blocked connection, if descriptors allow only one to
+/// the server: it is refused after the time in which a connection has to open.
 #[test]
-fn a_set_up_that_no_connection_takes_is_refused_at_once() {
-    // Callers may hold seven then.
+fn a_set_up_that_no_connection_accepts_is_refused_before_its_deadline() {
+    // With 24 sockets, callers may have seven connections.
     let mut bed = TestBed::with_small_receive_buffer(24);
     let _callers = bed.block_server_connection();
     bed.caller.send(&set_up(1, 9000)).unwrap();
     bed.run_iteration_without_servers();
-    let asked = bed.gatekeeper.now();
-    while bed.caller_received.is_empty() && bed.gatekeeper.now() - asked < 9.0 {
+    let sent_at = bed.gatekeeper.now();
+    while bed.caller_received.is_empty() && bed.gatekeeper.now() - sent_at < 9.0 {
         bed.gatekeeper.advance_clock(0.05);
         bed.run_iteration_without_servers();
     }
-    let elapsed_s = bed.gatekeeper.now() - asked;
+    let elapsed_s = bed.gatekeeper.now() - sent_at;
     assert!(elapsed_s < 1.5, "answered after {elapsed_s} s: {:?}", bed.caller_received);
 }
 
-/// A caller that connects makes the gatekeeper close the one that was of no use for longest, which has just sent a
-/// set-up: both are there before it looks, the connect first.
+/// Guards against the loss of a set-up on the connection that was idle for longest, which is closed to make room for a
+/// new caller: the connect and then the set-up are both there before the gatekeeper polls.
 #[test]
-fn a_connection_closed_to_make_room_is_read_a_last_time() {
+fn a_connection_closed_to_make_room_is_read_before_the_close() {
     let mut bed = TestBed::new(1);
     bed.caller.send(&set_up(1, 9000)).unwrap();
     bed.expect_at_server(1, kind::SET_UP);
@@ -196,30 +202,30 @@
     bed.gatekeeper.advance_clock(0.3);
     bed.run_iteration();
     let _one_more = bed.connect_caller();
-    let asked = others.first_mut().unwrap();
-    asked.send(&set_up(2, 3000)).unwrap();
+    let oldest = others.first_mut().unwrap();
+    oldest.send(&set_up(2, 3000)).unwrap();
     bed.expect_at_server(2, kind::SET_UP);
     bed.send_from_all_servers(&answer(2));
     let mut received = Vec::new();
-    bed.run_until("its answer", |_| others[0].read(&mut received).is_err() || !received.is_empty());
+    bed.run_until("the answer", |_| others[0].read(&mut received).is_err() || !received.is_empty());
     assert_eq!(
         received.first().map(|m| (m.call, m.kind)),
         Some((2, kind::ANSWER)),
-        "lost with its connection"
+        "the answer was lost with its connection"
     );
 }
 
-/// A connection that is closed for what it sent, with more of it unread, ends in good order: its peer reads every
-/// answer and then the end, not a reset.
+/// Guards against a reset of a connection that is closed because of invalid bytes, with more of them unread: the
+/// caller must be able to read every answer and then the end of the stream.
 #[test]
-fn a_connection_closed_with_something_unread_is_not_reset() {
+fn a_connection_closed_with_unread_bytes_is_not_reset() {
     let mut bed = TestBed::new(1);
     let bad = bed.connect_caller();
     let mut stream = bad.stream().try_clone().unwrap();
     let mut bytes = Vec::new();
     Message::new(kind::TEST, 1).caused(0).encode(&mut bytes);
     bytes.extend(vec![0xff; 300_000]);
-    // All of it is there before the first look: a later write would take the word of a reset from the read.
+    // All bytes are there before the first poll: a later write would consume the reset error that the read must see.
     let sent = stream.write(&bytes).unwrap();
     assert!(sent > 100_000);
     let mut received = Vec::new();
@@ -228,24 +234,24 @@
         let mut chunk = [0; 4096];
         match stream.read(&mut chunk) {
             Ok(0) => {
-                assert!(!received.is_empty(), "the answer to what came before is lost");
+                assert!(!received.is_empty(), "the answer to the valid message is lost");
                 return;
             }
             Ok(n) => received.extend_from_slice(&chunk[..n]),
             Err(error) => assert_eq!(error.kind(), ErrorKind::WouldBlock, "reset"),
         }
     }
-    panic!("never closed");
+    panic!("the connection was not closed");
 }
 
-/// A caller that is closed here and never closes itself is let go all the same.
+/// Guards against a connection kept for ever after the gatekeeper closed it, if its caller never closes its own side.
 #[test]
-fn a_closed_connection_lingers_for_a_bounded_time() {
+fn a_closed_connection_is_dropped_after_a_bounded_time() {
     let mut bed = TestBed::new(1);
     let mut silent = bed.connect_caller();
     bed.run_for(2.2);
     assert!(matches!(silent.read(&mut Vec::new()), Err(Over::Closed)));
-    // What it says from now on crossed the close and is answered by nobody; it comes again on a new connection.
+    // A set-up sent from now on crosses the close and is not answered; the caller sends it again on a new connection.
     drop(silent.send(&set_up(1, 3000)));
     bed.run_for(0.3);
     assert_eq!(bed.set_ups_received(1), 0);
@@ -254,13 +260,13 @@
         bed.run_iteration();
         silent.send(&set_up(1, 3000)).is_err()
     });
-    assert!(closed, "still held");
+    assert!(closed, "the connection is still open");
 }
 
-/// A set-up that comes between the last look at the sockets and the end of the program is answered; what cannot be written
-/// at once is written as long as the end allows.
+/// Guards against the loss of a set-up that arrives between the last poll and the end of the program. Replies that
+/// cannot be written at once are written for as long as the shutdown allows.
 #[test]
-fn a_set_up_in_the_last_moment_is_refused_and_not_lost() {
+fn a_set_up_that_arrives_after_the_last_poll_is_refused_and_not_lost() {
     let mut bed = TestBed::new(1);
     bed.run_iteration();
     bed.caller.send(&set_up(1, 3000)).unwrap();
@@ -281,10 +287,10 @@
     assert!(wait > 0 && wait <= 2000, "{wait}");
 }
 
-/// At the end of the program a call of a class that may not simply be repeated, with an attempt out, has failed: a refusal
-/// says that trying again is harmless.
+/// Guards against a refusal at shutdown of a call that has an open attempt and whose class may not simply be repeated:
+/// a refusal says that a retry is harmless, so the call has to fail.
 #[test]
-fn a_call_that_may_have_run_is_not_refused_at_the_end() {
+fn a_call_that_may_have_run_fails_at_shutdown_instead_of_being_refused() {
     for (effect, expected_cause) in
         [("read_like", cause::CONGESTION), ("non_idempotent", cause::TEMPORARY_FAILURE)]
     {
@@ -293,7 +299,7 @@
         bed.gatekeeper = Gatekeeper::new(Config::parse("n0".into(), "127.0.0.1:0", &text).unwrap()).unwrap();
         bed.servers.clear();
         bed.caller = bed.connect_caller();
-        bed.run_until("its connection", |bed| !bed.servers.is_empty());
+        bed.run_until("a connection to the server", |bed| !bed.servers.is_empty());
         bed.caller.send(&set_up(1, 3000)).unwrap();
         bed.expect_at_server(1, kind::SET_UP);
         let now = bed.gatekeeper.now();
@@ -307,9 +313,9 @@
     }
 }
 
-/// Where the settings say that callers are told no time, none is told.
+/// Guards against a retry time in a refusal although the settings forbid it, and against one above `maxRetryAfter`.
 #[test]
-fn callers_are_told_a_time_only_where_the_settings_allow_it() {
+fn refusals_carry_a_retry_time_only_if_the_settings_allow_it() {
     for (allowed, max_retry_after_s) in [(true, "0.3"), (false, "2.0")] {
         let mut bed = TestBed::new(1);
         let text = config_text(&bed.listeners, &bed.dns)
@@ -334,14 +340,14 @@
     }
 }
 
-/// The connection that a set-up waits for comes up when its time is over and its timer has not struck yet, as timers are
-/// coarse: nothing is sent that nobody waits for.
+/// Guards against an attempt that no caller waits for: the connection for a set-up opens when its time has expired and
+/// its timer has not fired yet, as timers are coarse.
 #[test]
-fn a_set_up_whose_time_is_over_is_not_sent() {
+fn a_set_up_whose_time_has_expired_is_not_sent() {
     let mut bed = TestBed::new(1);
     bed.gatekeeper = Gatekeeper::with_clock(config(&bed.listeners, &bed.dns), Clock::manual(1e9)).unwrap();
     bed.servers.clear();
-    bed.run_until("its connection", |bed| !bed.servers.is_empty());
+    bed.run_until("a connection to the server", |bed| !bed.servers.is_empty());
     bed.caller = bed.connect_caller();
     (0..2).for_each(|_| bed.run_iteration());
     bed.servers.clear();
@@ -354,10 +360,10 @@
     bed.expect_at_caller(1, kind::RELEASE, None);
 }
 
-/// A call stands for long and nothing else is said, on its caller's own connection or, as that is gone, on the one that is
-/// left: this side does not close it, as the end would find nobody.
+/// Guards against a connection closed as idle during a long call: the end would find no caller. It is the caller's own
+/// connection or, if that has closed, the one that is left.
 #[test]
-fn a_connection_that_the_end_of_a_call_needs_is_not_idle() {
+fn a_connection_needed_for_the_end_of_a_call_is_not_closed_as_idle() {
     for own_connection_closed in [false, true] {
         let mut bed = TestBed::new(1);
         bed.establish_call(1);
@@ -375,10 +381,11 @@
     }
 }
 
-/// Two callers wait 155 and 700 ms for a server that says nothing. Each hears its refusal before it gives up, and not much
-/// before: the time is the gatekeeper's, and a caller's runs out some milliseconds earlier there.
+/// Guards against refusals that arrive after their callers have given up, or much too early. Two callers wait 155 and
+/// 700 ms for a server that does not reply; measured on the gatekeeper's clock, a caller's time runs out some
+/// milliseconds earlier.
 #[test]
-fn a_refusal_at_the_deadline_comes_before_the_caller_gives_up() {
+fn a_refusal_at_the_deadline_arrives_before_the_caller_gives_up() {
     let mut bed = TestBed::with_small_receive_buffer(64);
     for (id, wait, early, due) in [(1, 155, 0.140, 0.151), (2, 700, 0.685, 0.696)] {
         let start = bed.gatekeeper.now();
@@ -401,9 +408,10 @@
     }
 }
 
-/// Guards against an answer lost as its caller's connection is closed to make room in the turn in which the answer comes.
+/// Guards against the loss of an answer whose caller's connection is closed to make room in the iteration in which it
+/// arrives.
 #[test]
-fn a_connection_whose_answer_has_just_come_makes_no_room() {
+fn a_connection_whose_answer_has_just_arrived_is_not_closed_to_make_room() {
     let mut bed = TestBed::with_manual_clock(1);
     bed.caller.send(&set_up(1, 9000)).unwrap();
     bed.expect_at_server(1, kind::SET_UP);
@@ -411,7 +419,8 @@
     for (id, other) in (100..).zip(&mut others) {
         other.send(&set_up(id, 9000)).unwrap();
     }
-    // All places are taken, others wait in the queue, and the listener is not looked at until the next beat.
+    // The caller limit is reached, other callers wait in the queue, and the listener is not polled until the next
+    // periodic check.
     bed.run_for(0.4);
     (0..3).for_each(|_| bed.run_iteration());
     let server = bed.servers[0].stream().try_clone().unwrap();
@@ -421,7 +430,7 @@
         release(1, cause::NORMAL).encode(&mut bytes);
         (&server).write_all(&bytes).unwrap();
     }));
-    // The answer comes before the look at the queue, which is due, and both are read in the next turn.
+    // The answer arrives before the check of the queue, which is due; both are handled in the next iteration.
     bed.gatekeeper.advance_clock(0.06);
     bed.run_iteration();
     bed.expect_at_caller(1, kind::ANSWER, None);
