--- a/crates/gatekeeper/src/node/tests/link_byte_counts.rs
+++ b/crates/gatekeeper/src/node/tests/link_byte_counts.rs
@@ -1,9 +1,9 @@
 //! The bytes sent on links between gatekeepers are counted by kind, and the counts add up to the total.
 
 use hollypaddle_membership::{Heartbeat, Incarnation, MemberId, Observation};
-use hollypaddle_replica::catch_up::Piece;
+use hollypaddle_replica::catch_up::Chunk;
 use hollypaddle_replica::record::{Key, Origin, Record, ServerKey, Value, KINDS};
-use hollypaddle_replica::Word;
+use hollypaddle_replica::Message;
 
 use crate::node::peers::BytesByKind;
 
@@ -14,11 +14,11 @@
     Incarnation { number: 3, nonce: 1 << 40 }
 }
 
-fn heartbeat(observed_members: u64) -> Word {
+fn heartbeat(observed_members: u64) -> Message {
     let observation =
         |n| Observation { member: MemberId(n << 50), incarnation: incarnation(), age_ms: 90, gone: false };
     let observations = (1..=observed_members).map(observation).collect();
-    Word::Beat(Heartbeat {
+    Message::Heartbeat(Heartbeat {
         incarnation: incarnation(),
         seq: 9,
         echo: None,
@@ -32,12 +32,12 @@
     Record { key, version, age_ms: 12, value }
 }
 
-fn piece(records: Vec<Record>) -> Word {
+fn chunk(records: Vec<Record>) -> Message {
     let origin = Origin { member: MemberId(1 << 60), life: incarnation() };
-    Word::Piece(Piece { origin, from: 0, upto: 9, base: None, horizon: 0, last: true, records })
+    Message::Chunk(Chunk { origin, after: 0, up_to: 9, base: None, horizon: 0, last: true, records })
 }
 
-fn count_bytes(message: &Word) -> (BytesByKind, u64) {
+fn count_bytes(message: &Message) -> (BytesByKind, u64) {
     let mut counts = BytesByKind::default();
     let bytes = FRAME_HEADER_BYTES + postcard::to_allocvec(message).unwrap().len() as u64;
     counts.count(message, bytes);
@@ -69,15 +69,15 @@
 }
 
 /// Guards against records that are counted under a wrong kind, as a withdrawn one without a value, or as part of their
-/// piece.
+/// chunk.
 #[test]
 fn records_are_counted_by_their_kind() {
     let silent = record(1, Key::Silent(ServerKey(7)), Some(Value::Silent(0)));
     let over = record(2, Key::Over(1 << 48), Some(Value::Over));
     let withdrawn = record(3, Key::Call(1 << 48), None);
-    let empty = count_bytes(&piece(Vec::new()));
+    let empty = count_bytes(&chunk(Vec::new()));
     assert_eq!((empty.0.records, empty.0.pieces), ([0; KINDS.len()], empty.1));
-    let (counts, bytes) = count_bytes(&piece(vec![silent, over, withdrawn]));
+    let (counts, bytes) = count_bytes(&chunk(vec![silent, over, withdrawn]));
     assert_eq!(total(&counts), bytes);
     assert_eq!(counts.pieces, empty.0.pieces);
     for (n, record) in [(1, silent), (3, over), (2, withdrawn)] {
@@ -90,8 +90,8 @@
 #[test]
 fn hello_and_leave_are_counted_as_greetings() {
     for message in [
-        Word::Leave,
-        Word::Hello { protocol: 2, from: MemberId(1), to: MemberId(2), life: incarnation(), known: None },
+        Message::Leave,
+        Message::Hello { protocol: 2, from: MemberId(1), to: MemberId(2), life: incarnation(), known: None },
     ] {
         let (counts, bytes) = count_bytes(&message);
         assert_eq!((counts.greetings, total(&counts)), (bytes, bytes));
