--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -244,6 +244,8 @@
     }
 }
 
+/// Guards against a set-up whose class, number or description changes on the way, that carries the figures for the gatekeeper
+/// on to the server, or whose waiting time is not reduced by what has passed; and against an end that does not reach the caller.
 #[test]
 fn a_set_up_is_forwarded_unchanged_and_its_call_is_established_and_ends() {
     let mut bed = TestBed::new(1);
@@ -318,6 +320,7 @@
     });
 }
 
+/// Guards against invalid bytes or parameters of one caller that reach a server, or that disturb other connections or calls.
 #[test]
 fn invalid_input_affects_only_its_own_connection_or_call() {
     let mut bed = TestBed::new(1);
@@ -443,6 +446,8 @@
     assert!(received.iter().all(|m| m.call == 4 && m.cause() == Some(cause::TEMPORARY_FAILURE)));
 }
 
+/// Guards against attempts that go on without a caller, and against the loss of the end of a standing call when its caller has
+/// reconnected.
 #[test]
 fn set_ups_of_a_disconnected_caller_are_given_up_and_its_standing_calls_continue() {
     let mut bed = TestBed::new(1);
@@ -579,13 +584,15 @@
     bed.establish_call(1);
 }
 
+/// Guards against callers that wait for the end of a call at a server that has stopped, and against other servers that get no
+/// set-ups for that reason.
 #[test]
 fn the_calls_of_a_server_that_refuses_connections_end_and_other_servers_go_on() {
     let mut bed = TestBed::new(2);
     bed.establish_call(1);
     // The listener and the connection of server 0 close; the call stands at the pool of its first choice, 0.
-    let gone = bed.listeners.remove(0).local_addr().unwrap();
-    bed.servers.retain(|s| s.stream().local_addr().unwrap() != gone);
+    let closed_address = bed.listeners.remove(0).local_addr().unwrap();
+    bed.servers.retain(|s| s.stream().local_addr().unwrap() != closed_address);
     bed.expect_at_caller(1, kind::RELEASE, Some(cause::TEMPORARY_FAILURE));
     bed.caller.send(&set_up_to(1, 2, 3000)).unwrap();
     bed.expect_at_server(2, kind::SET_UP);
@@ -656,6 +663,7 @@
     );
 }
 
+/// Guards against an open set-up that gets no answer at SIGTERM, and against a program that does not stop.
 #[test]
 fn sigterm_answers_open_set_ups_and_stops() {
     let mut bed = TestBed::new(1);
@@ -700,7 +708,7 @@
     #[test]
     fn every_set_up_gets_one_final_answer(steps in prop::collection::vec((0u8..7, 0usize..6), 1..30)) {
         let mut bed = TestBed::new(1);
-        let (mut next_id, mut gone) = (1u64, BTreeSet::new());
+        let (mut next_id, mut cancelled) = (1u64, BTreeSet::new());
         for (action, offset) in steps {
             let id = next_id.saturating_sub(1 + offset as u64).max(1);
             match action {
@@ -713,7 +721,7 @@
                 2 => bed.send_from_all_servers(&answer(id)),
                 3 => bed.send_from_all_servers(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
                 4 => bed.send_from_all_servers(&release(id, cause::NORMAL)),
-                5 if gone.insert(id) => drop(bed.caller.send(&release(id, cause::NORMAL))),
+                5 if cancelled.insert(id) => drop(bed.caller.send(&release(id, cause::NORMAL))),
                 _ => bed.gatekeeper.advance_clock(0.05),
             }
             bed.run_iteration();
@@ -724,7 +732,7 @@
             let answers = to_caller.iter().filter(|m| m.kind == kind::ANSWER).count();
             let releases = to_caller.iter().filter(|m| m.kind == kind::RELEASE).count();
             prop_assert!(answers <= 1 && releases <= 1, "call {}: {:?}", id, to_caller);
-            prop_assert!(answers + releases >= 1 || gone.contains(&id), "call {} received no final answer", id);
+            prop_assert!(answers + releases >= 1 || cancelled.contains(&id), "call {} received no final answer", id);
             let attempts = bed.servers_received.iter().filter(|m| m.call == id && m.kind == kind::SET_UP).count();
             prop_assert!(attempts <= 6);
         }
--- a/crates/gatekeeper/src/node/tests/operations.rs
+++ b/crates/gatekeeper/src/node/tests/operations.rs
@@ -45,6 +45,7 @@
     }
 }
 
+/// Guards against a control request with a wrong path, method, body or size that is accepted or has an effect.
 #[test]
 fn the_control_address_answers_valid_requests_and_refuses_invalid_ones() {
     let mut bed = TestBed::with_control_address(1);
@@ -99,6 +100,7 @@
     assert_eq!(bed.read_http_response(&mut fresh).0, 200);
 }
 
+/// Guards against figures that are missing before the first call, or that count a call twice or under a wrong outcome.
 #[test]
 fn the_figures_start_at_zero_and_match_the_calls_made() {
     let mut bed = TestBed::with_control_address(2);
