--- a/crates/gatekeeper/src/node/tests.rs
+++ b/crates/gatekeeper/src/node/tests.rs
@@ -244,8 +244,9 @@
     }
 }
 
-/// Guards against a set-up whose class, number or description changes on the way, that carries the figures for the gatekeeper
-/// on to the server, or whose waiting time is not reduced by what has passed; and against an end that does not reach the caller.
+/// Guards against a set-up whose class, number or description changes on the way, that carries the attributes for the
+/// gatekeeper on to the server, or whose waiting time is not reduced by what has passed; and against an end that does
+/// not reach the caller.
 #[test]
 fn a_set_up_is_forwarded_unchanged_and_its_call_is_established_and_ends() {
     let mut bed = TestBed::new(1);
@@ -255,7 +256,7 @@
     for code in [code::CLASS, code::NUMBER, code::DESCRIPTION] {
         assert_eq!(seen.bytes(code), sent.bytes(code));
     }
-    assert_eq!(seen.bytes(code::FIGURES), None, "parameter FIGURES is for the gatekeeper only");
+    assert_eq!(seen.bytes(code::ATTRIBUTES), None, "parameter ATTRIBUTES is for the gatekeeper only");
     let wait: u32 = seen.text(code::WAIT).unwrap().parse().unwrap();
     assert!((2000..=3000).contains(&wait));
     bed.send_from_all_servers(&release(1, cause::NORMAL));
@@ -320,7 +321,8 @@
     });
 }
 
-/// Guards against invalid bytes or parameters of one caller that reach a server, or that disturb other connections or calls.
+/// Guards against invalid bytes or parameters of one caller that reach a server, or that disturb other connections or
+/// calls.
 #[test]
 fn invalid_input_affects_only_its_own_connection_or_call() {
     let mut bed = TestBed::new(1);
@@ -347,13 +349,13 @@
         (code::WAIT, "9001"),
         (code::NUMBER, "+7f"),
         (code::NUMBER, number),
-        (code::FIGURES, "dest:x"),
-        (code::FIGURES, "dest:9;width:1;via:-1"),
-        (code::FIGURES, "dest:0.5;width:1;via:-1"),
-        (code::FIGURES, "dest:0;width:nan;via:-1"),
-        (code::FIGURES, "dest:0;width:0;via:-1"),
-        (code::FIGURES, "dest:0;width:1;via:-1;dest:1"),
-        (code::FIGURES, "dest:0;width:1;via:-1;again:7"),
+        (code::ATTRIBUTES, "dest:x"),
+        (code::ATTRIBUTES, "dest:9;width:1;via:-1"),
+        (code::ATTRIBUTES, "dest:0.5;width:1;via:-1"),
+        (code::ATTRIBUTES, "dest:0;width:nan;via:-1"),
+        (code::ATTRIBUTES, "dest:0;width:0;via:-1"),
+        (code::ATTRIBUTES, "dest:0;width:1;via:-1;dest:1"),
+        (code::ATTRIBUTES, "dest:0;width:1;via:-1;again:7"),
         // A parameter that occurs once more than it may.
         (250, "?"),
     ]
@@ -361,7 +363,7 @@
     .enumerate()
     {
         let mut message = Message::new(kind::SET_UP, 10 + n as u64).with(code, value);
-        for other in [code::CLASS, code::WAIT, code::NUMBER, code::FIGURES, code::DESCRIPTION, 250] {
+        for other in [code::CLASS, code::WAIT, code::NUMBER, code::ATTRIBUTES, code::DESCRIPTION, 250] {
             if other != code || code == 250 {
                 message = message.with(other, set_up(1, 1000).bytes(other).unwrap_or(b"?"));
             }
@@ -373,7 +375,7 @@
     }
     assert!(bed.servers_received.is_empty(), "invalid set-ups are not forwarded");
     bed.caller.send(&Message::new(200, 3).with(250, "?")).unwrap();
-    bed.caller.send(&Message::new(kind::TEST, 4).caused(0)).unwrap();
+    bed.caller.send(&Message::new(kind::TEST, 4).with_cause(0)).unwrap();
     assert_eq!(bed.expect_at_caller(4, kind::TEST_RESULT, None).cause(), Some(1));
     bed.establish_call(5);
 }
@@ -392,9 +394,9 @@
         stream.write_all(&half).unwrap();
     }
     bed.run_for(1.0);
-    bed.caller.send(&Message::new(kind::TEST, 2).caused(0)).unwrap();
+    bed.caller.send(&Message::new(kind::TEST, 2).with_cause(0)).unwrap();
     let mut late = connect(&bed);
-    late.send(&Message::new(kind::TEST, 3).caused(0)).unwrap();
+    late.send(&Message::new(kind::TEST, 3).with_cause(0)).unwrap();
     let mut received = Vec::new();
     bed.run_for(1.0);
     late.read(&mut received).unwrap();
@@ -446,8 +448,8 @@
     assert!(received.iter().all(|m| m.call == 4 && m.cause() == Some(cause::TEMPORARY_FAILURE)));
 }
 
-/// Guards against attempts that go on without a caller, and against the loss of the end of a standing call when its caller has
-/// reconnected.
+/// Guards against attempts that go on without a caller, and against the loss of the end of a standing call when its
+/// caller has reconnected.
 #[test]
 fn set_ups_of_a_disconnected_caller_are_given_up_and_its_standing_calls_continue() {
     let mut bed = TestBed::new(1);
@@ -584,8 +586,8 @@
     bed.establish_call(1);
 }
 
-/// Guards against callers that wait for the end of a call at a server that has stopped, and against other servers that get no
-/// set-ups for that reason.
+/// Guards against callers that wait for the end of a call at a server that has stopped, and against other servers that
+/// get no set-ups for that reason.
 #[test]
 fn the_calls_of_a_server_that_refuses_connections_end_and_other_servers_go_on() {
     let mut bed = TestBed::new(2);
@@ -719,7 +721,7 @@
                 // Without a set-up there is no call to send anything about.
                 2..=5 if next_id == 1 => {}
                 2 => bed.send_from_all_servers(&answer(id)),
-                3 => bed.send_from_all_servers(&release(id, cause::FULL).with(code::NOTE, "throttled").with(code::REPORT, "eps:0.1")),
+                3 => bed.send_from_all_servers(&release(id, cause::FULL).with(code::REJECT_REASON, "throttled").with(code::REPORT, "eps:0.1")),
                 4 => bed.send_from_all_servers(&release(id, cause::NORMAL)),
                 5 if cancelled.insert(id) => drop(bed.caller.send(&release(id, cause::NORMAL))),
                 _ => bed.gatekeeper.advance_clock(0.05),
--- a/crates/gatekeeper/src/node/tests/draining.rs
+++ b/crates/gatekeeper/src/node/tests/draining.rs
@@ -251,7 +251,7 @@
     (0..2).for_each(|_| bed.run_iteration());
     bed.gatekeeper.shrink_send_buffers();
     for _ in 0..50 {
-        (0..100).for_each(|id| caller.send(&Message::new(kind::TEST, id).caused(0)).map(drop).unwrap());
+        (0..100).for_each(|id| caller.send(&Message::new(kind::TEST, id).with_cause(0)).map(drop).unwrap());
         bed.run_until("all bytes to be written", |_| caller.flush().is_err() || !caller.blocked());
         (0..3).for_each(|_| bed.run_iteration());
         if bed.gatekeeper.blocked_callers() {
--- a/crates/gatekeeper/src/node/tests/races.rs
+++ b/crates/gatekeeper/src/node/tests/races.rs
@@ -5,12 +5,12 @@
 use std::net::Shutdown;
 
 use super::*;
-use hollypaddle_platform::connection::Over;
+use hollypaddle_platform::connection::CloseReason;
 
 /// A set-up with a description of 15,000 bytes, near the limit of a message.
 fn large_set_up(id: u64) -> Message {
     let plain = set_up(id, 9000);
-    [code::CLASS, code::WAIT, code::NUMBER, code::FIGURES]
+    [code::CLASS, code::WAIT, code::NUMBER, code::ATTRIBUTES]
         .into_iter()
         .fold(Message::new(kind::SET_UP, id), |m, code| m.with(code, plain.bytes(code).unwrap()))
         .with(code::DESCRIPTION, vec![7; 15_000])
@@ -223,7 +223,7 @@
     let bad = bed.connect_caller();
     let mut stream = bad.stream().try_clone().unwrap();
     let mut bytes = Vec::new();
-    Message::new(kind::TEST, 1).caused(0).encode(&mut bytes);
+    Message::new(kind::TEST, 1).with_cause(0).encode(&mut bytes);
     bytes.extend(vec![0xff; 300_000]);
     // All bytes are there before the first poll: a later write would consume the reset error that the read must see.
     let sent = stream.write(&bytes).unwrap();
@@ -250,7 +250,7 @@
     let mut bed = TestBed::new(1);
     let mut silent = bed.connect_caller();
     bed.run_for(2.2);
-    assert!(matches!(silent.read(&mut Vec::new()), Err(Over::Closed)));
+    assert!(matches!(silent.read(&mut Vec::new()), Err(CloseReason::Closed)));
     // A set-up sent from now on crosses the close and is not answered; the caller sends it again on a new connection.
     drop(silent.send(&set_up(1, 3000)));
     bed.run_for(0.3);
@@ -279,7 +279,7 @@
             break;
         }
     }
-    assert!(matches!(end, Err(Over::Closed)), "{end:?}");
+    assert!(matches!(end, Err(CloseReason::Closed)), "{end:?}");
     assert_eq!(bed.caller_received.len(), 1, "{:?}", bed.caller_received);
     let refusal = &bed.caller_received[0];
     assert_eq!((refusal.call, refusal.cause()), (1, Some(cause::CONGESTION)));
--- a/crates/gatekeeper/src/node/tests/unread_call_ends.rs
+++ b/crates/gatekeeper/src/node/tests/unread_call_ends.rs
@@ -231,7 +231,7 @@
     let mut aborting = connect_caller_with_call(&mut bed);
     write_unread_end(&mut bed, 1);
     read_until_end(&mut bed, &mut aborting, 1);
-    aborting.send(&Message::new(kind::RELEASE_HEARD, 1)).unwrap();
+    aborting.send(&Message::new(kind::RELEASE_COMPLETE, 1)).unwrap();
     (0..2).for_each(|_| bed.run_iteration());
     abort(aborting);
     bed.run_for(1.0);
@@ -269,7 +269,7 @@
 
 fn encoded_test(id: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
-    Message::new(kind::TEST, id).caused(0).encode(&mut bytes);
+    Message::new(kind::TEST, id).with_cause(0).encode(&mut bytes);
     bytes
 }
 
