--- a/crates/gatekeeper/src/ctl.rs
+++ b/crates/gatekeeper/src/ctl.rs
@@ -179,7 +179,7 @@
         ("ready", "caught up"),
     ];
     format!(
-        "member {}, life {}, caught up {}, held {}, majority reachable {}, superseded {}\n\n{}\n",
+        "member {}, life {}, caught up {}, held {}, majority heard {}, superseded {}\n\n{}\n",
         format_cell(report, "name"),
         format_cell(report, "life"),
         format_cell(report, "ready"),
--- a/crates/gatekeeper/src/node/clients.rs
+++ b/crates/gatekeeper/src/node/clients.rs
@@ -415,7 +415,7 @@
                             Message::new(kind::RELEASE, message.call).with_cause(cause::INVALID_PARAMETER)
                         }
                         Err(OfferError::DuplicateId) => {
-                            return Err(CloseReason::UnexpectedMessage("duplicate set-up of an open call"))
+                            return Err(CloseReason::UnexpectedMessage("a set-up came twice"))
                         }
                     },
                 };
@@ -425,7 +425,7 @@
                 let invalid_set_ups = client.invalid_set_ups;
                 self.send(now, key, &refusal, BestReply::Notice, poller);
                 if invalid_set_ups >= MAX_INVALID_SET_UPS {
-                    return Err(CloseReason::UnexpectedMessage("too many invalid set-ups"));
+                    return Err(CloseReason::UnexpectedMessage("nothing but set-ups that make no sense"));
                 }
             }
             kind::RELEASE => {
